--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -239,3 +239,7 @@
         })
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/config.rs"]
+mod tests;
--- a/src/node/connection/siblings.rs
+++ b/src/node/connection/siblings.rs
@@ -44,7 +44,7 @@
 /// The ending of the sockets' names.
 const ENDING: &str = ".sock";
 
-#[derive(Debug, Serialize, Deserialize)]
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
     /// The younger's first message.
     Hello {
@@ -300,3 +300,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/siblings.rs"]
+mod tests;
--- a/src/node/left_out_file.rs
+++ b/src/node/left_out_file.rs
@@ -136,3 +136,7 @@
         fs::write(&new, text).and_then(|()| fs::rename(&new, &self.path)).map_err(LeftOutFileError::File)
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/left_out_file.rs"]
+mod tests;
--- /dev/null
+++ b/tests/unit/config.rs
@@ -0,0 +1,112 @@
+//! One complete configuration file, as the platform writes it.
+
+use super::*;
+use oliverack::{Class, Effect, Group, Lifecycle, Plan};
+
+const FILE: &str = r#"{
+    "name": "n2",
+    "listen": "127.0.0.1:9000",
+    "discovery": "127.0.0.1:9001",
+    "seed": "00ff00ff00ff00ff",
+    "limits": {"sockets": 512, "memory_mb": 32, "cores": 0.5},
+    "counter": "127.0.0.1:9002",
+    "operator": "127.0.0.1:9003",
+    "known": {
+        "version": 17,
+        "full": true,
+        "servers": [
+            {"id": "s-00000001", "addr": "127.0.0.1:9100", "zone": "b", "cell": 4, "state": "SERVING",
+             "started_ms": 12500, "kind": 0, "weight": 1.0}
+        ]
+    },
+    "settings": {
+        "Classes": [
+            {"Name": "lookup", "Slo": 0.4, "Deadline": 2.5, "Effect": "idempotent", "LateWorth": 0.25,
+             "Streamed": true},
+            {"Name": "submit", "Slo": 0.8, "Deadline": 4.0, "Effect": "deduplicated", "Group": "zone",
+             "Window": 1.5},
+            {"Name": "order", "Slo": 0.6, "Deadline": 3.0, "Effect": "at_most_once"}
+        ],
+        "Plans": [
+            {"Name": "small", "QuotaRate": 2.0, "Depth": 6.0, "Open": 3, "Pays": 1.5, "ExcessWorth": 0.2,
+             "OverrunCost": 0.1, "CeilingRate": 4.0, "CeilingBurst": 12.0}
+        ],
+        "Dcs": ["a", "b"],
+        "Discovery": "ask",
+        "Locality": 1,
+        "Me": 2,
+        "PeersTotal": 5,
+        "Step": 0.002,
+        "Domain": {"HasCounter": true, "CountLimit": 0.06, "MaxUnits": 3.0, "PostPaid": true},
+        "Limits": {"Cancelling": true, "ConnIdle": 9.0, "ConnectTimeout": 0.3, "MaxRetryAfter": 2.0,
+                   "MayProbe": true, "OpenCap": 700, "RetryAfter": true, "SecondCopies": true, "SendCap": 4},
+        "Rules": {"Cold": 7.0, "ColdFrom": 0.3, "Fall": 1.2, "FallMultiple": 2.5, "MustAskIn": 8.0}
+    }
+}"#;
+
+fn read() -> Config {
+    Config::read(FILE.as_bytes()).expect("a complete file")
+}
+
+#[test]
+fn complete_file_gives_the_process_its_addresses_limits_and_list() {
+    let config = read();
+    assert_eq!(config.name, "n2");
+    assert_eq!(config.listen.to_string(), "127.0.0.1:9000");
+    assert_eq!(config.discovery.to_string(), "127.0.0.1:9001");
+    assert_eq!(config.counter.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9002"));
+    assert_eq!(config.operator.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9003"));
+    assert_eq!(config.seed, 0x00ff_00ff_00ff_00ff);
+    assert_eq!((config.sockets, config.memory), (512, 32 << 20));
+    assert_eq!(config.version, 17);
+    let [listed] = &config.known[..] else { panic!("one worker: {:?}", config.known) };
+    let server = &listed.server;
+    assert_eq!((&*server.id, server.zone, server.cell), ("s-00000001", 1, 4));
+    assert_eq!((server.started, server.lifecycle), (12.5, Lifecycle::Running));
+    assert_eq!(listed.addr.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9100"));
+}
+
+#[test]
+fn complete_file_gives_the_policy_each_of_its_settings() {
+    let options = read().options;
+    let settings = &options.settings;
+    assert_eq!((settings.me, settings.gateways, settings.zone), (2, 5, 1));
+    assert_eq!((settings.has_counter, settings.count_limit), (true, 0.06));
+    assert_eq!((settings.max_units, settings.post_paid), (3.0, true));
+    assert_eq!((settings.may_probe, settings.may_cancel, settings.second_copies), (true, true, true));
+    assert_eq!((settings.max_attempts, settings.max_open), (4, 700));
+    assert_eq!((settings.retry_after, settings.max_retry_after), (true, 2.0));
+    assert_eq!((settings.must_ask, settings.must_ask_in), (true, 8.0));
+    assert_eq!((settings.cold_from, settings.cold), (0.3, 7.0));
+    assert_eq!((settings.fall_multiple, settings.fall), (2.5, 1.2));
+    assert_eq!((settings.step, settings.max_customers), (0.002, (32 << 20) / 4 / 512));
+}
+
+#[test]
+fn complete_file_gives_the_policy_its_classes_and_plans() {
+    let options = read().options;
+    let mut lookup = Class::default();
+    lookup.aim = 0.4;
+    lookup.late_worth = 0.25;
+    lookup.streamed = true;
+    let mut submit = Class::default();
+    submit.aim = 0.8;
+    submit.effect = Effect::Keyed { group: Group::Zone, window: 1.5 };
+    let mut order = Class::default();
+    order.aim = 0.6;
+    order.effect = Effect::Unsafe;
+    assert_eq!(options.settings.classes, [lookup, submit, order]);
+    let mut small = Plan::default();
+    small.rate = 2.0;
+    small.burst = 6.0;
+    small.open = 3;
+    small.pays = 1.5;
+    small.excess_worth = 0.2;
+    small.overrun_cost = 0.1;
+    small.ceiling_rate = 4.0;
+    small.ceiling_burst = 12.0;
+    assert_eq!(options.settings.plans, [small]);
+    assert_eq!(options.classes, ["lookup", "submit", "order"]);
+    assert_eq!((options.plans, options.zones), (vec!["small".to_owned()], vec!["a".into(), "b".into()]));
+    assert_eq!((options.conn_idle, options.connect_timeout, options.deadline), (9.0, 0.3, 4.0));
+}
--- a/tests/unit/metrics.rs
+++ b/tests/unit/metrics.rs
@@ -26,3 +26,34 @@
         assert!(render().lines().any(|l| l == line), "{line}");
     }
 }
+
+#[test]
+fn text_has_the_bytes_that_earlier_versions_showed() {
+    let metrics = Metrics::new(2);
+    metrics.take(0).end(Outcome::Served);
+    metrics.take(1).end(Outcome::Refused);
+    metrics.take(1).end(Outcome::Failed);
+    let waiting = metrics.take(0);
+    metrics.dispatches.set(4);
+    let expected = r#"# TYPE svc_success counter
+svc_success{type="lookup"} 1
+svc_success{type="submit"} 0
+# TYPE svc_overload counter
+svc_overload{type="lookup"} 0
+svc_overload{type="submit"} 1
+# TYPE svc_error counter
+svc_error{type="lookup"} 0
+svc_error{type="submit"} 1
+# TYPE svc_dispatches counter
+svc_dispatches 4
+# TYPE svc_concurrent gauge
+svc_concurrent 1
+# TYPE svc_targets gauge
+svc_targets 3
+# TYPE svc_targets_disabled gauge
+svc_targets_disabled 1
+"#;
+    let text = metrics.render(&["lookup".into(), "submit".into()], Targets { listed: 3, avoided: 1 });
+    drop(waiting);
+    assert_eq!(text, expected);
+}
--- /dev/null
+++ b/tests/unit/siblings.rs
@@ -0,0 +1,51 @@
+//! The form of the messages between processes: the bytes that earlier versions sent, read and written.
+
+use super::*;
+use oliverack::Known;
+
+const HELLO: &str = r#"{"Hello":{"form":1,"node":"n0"}}"#;
+const KNOWS: &str = concat!(
+    r#"{"Knows":{"servers":[{"id":"10.1.0.18:8443","cold_since":1764748800.25,"latency":0.0125,"#,
+    r#""heard":1764748810.5,"out_until":1764748812.75,"out_for":2.0}],"left_out":["s-00000007"],"#,
+    r#""carried":12.5,"times":[0.03,0.02,0.01],"call_rate":4.0}}"#
+);
+const BY_HAND: &str = r#"{"ByHand":{"server":"s-00000007","out":true}}"#;
+
+/// Every message with every field, beside the bytes that an earlier version sent for it.
+fn messages() -> [(Message, &'static str); 3] {
+    let known = Known {
+        id: "10.1.0.18:8443".into(),
+        cold_since: 1_764_748_800.25,
+        latency: 0.0125,
+        heard: 1_764_748_810.5,
+        out_until: 1_764_748_812.75,
+        out_for: 2.0,
+    };
+    let memory = Memory {
+        servers: vec![known],
+        left_out: vec!["s-00000007".into()],
+        carried: 12.5,
+        times: [0.03, 0.02, 0.01],
+        call_rate: 4.0,
+    };
+    [
+        (Message::Hello { form: FORM, node: "n0".to_owned() }, HELLO),
+        (Message::Knows(memory), KNOWS),
+        (Message::ByHand { server: "s-00000007".into(), out: true }, BY_HAND),
+    ]
+}
+
+#[test]
+fn messages_have_the_bytes_that_earlier_versions_sent() {
+    for (message, bytes) in messages() {
+        assert_eq!(serde_json::to_string(&message).expect("a message"), bytes);
+    }
+}
+
+#[test]
+fn messages_of_an_earlier_version_are_read() {
+    for (message, bytes) in messages() {
+        let read: Message = serde_json::from_str(bytes).expect("a known form");
+        assert_eq!(read, message);
+    }
+}
