--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -66,7 +66,7 @@
         "counter": addresses.counter,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-        "known": List { version: 0, full: true, servers: workers },
+        "known": List { version: 0, full: true, endpoints: workers },
         "settings": {
             "Classes": [{"Name": CLASS, "Effect": "idempotent", "Slo": 2.0, "Deadline": 5.0}],
             "Plans": [{"Name": PLAN, "QuotaRate": 0.5, "Depth": 3.0, "OverrunCost": 1.0}],
--- a/lab/src/fleet/counter_calls.rs
+++ b/lab/src/fleet/counter_calls.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct Ended {
     end: CallEnd,
-    spent: f64,
+    elapsed: f64,
 }
 
 #[derive(Debug)]
@@ -55,13 +55,13 @@
         let Some(calls) = self.by_name.get_mut(&call.name) else { return Vec::new() };
         let pending = calls.iter_mut().find(|pending| pending.number == call.number);
         if let Some(pending) = pending.filter(|pending| pending.ended.is_none()) {
-            pending.ended = Some(Ended { end, spent: now - pending.sent });
+            pending.ended = Some(Ended { end, elapsed: now - pending.sent });
         }
         let mut events = Vec::new();
-        while let Some(Ended { end, spent }) = calls.front_mut().and_then(|pending| pending.ended.take()) {
+        while let Some(Ended { end, elapsed }) = calls.front_mut().and_then(|pending| pending.ended.take()) {
             calls.pop_front();
             let CallEnd { status, total } = end;
-            events.push(Event::Counted { counter: call.name, status, total, spent });
+            events.push(Event::CounterReplied { counter: call.name, status, total, elapsed });
         }
         if calls.is_empty() {
             self.by_name.remove(&call.name);
--- a/lab/src/fleet/discovery.rs
+++ b/lab/src/fleet/discovery.rs
@@ -2,14 +2,14 @@
 
 use super::configuration;
 use super::wire_size;
-use oliverack::{Server, ServerId, Time};
+use oliverack::{Endpoint, EndpointId, Time};
 use std::sync::Arc;
 
 /// A list as it is told to many gatekeepers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SharedList {
     /// Its entries.
-    pub servers: Vec<Server>,
+    pub endpoints: Vec<Endpoint>,
     /// Bytes of the answer that holds it.
     pub bytes: u64,
 }
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 struct Change {
     at: Time,
-    server: Server,
+    endpoint: Endpoint,
 }
 
 /// What becomes of a call that asks for the list.
@@ -36,7 +36,7 @@
     call_seconds: f64,
     give_up_after: f64,
     free_at: Time,
-    initial: Vec<Server>,
+    initial: Vec<Endpoint>,
     changes: Vec<Change>,
     /// The whole list after so many changes, kept as many gatekeepers are told the same.
     latest: Option<(usize, Arc<SharedList>)>,
@@ -44,7 +44,7 @@
 
 impl Discovery {
     /// A service that knows these workers.
-    pub fn new(figures: &configuration::Discovery, initial: Vec<Server>) -> Self {
+    pub fn new(figures: &configuration::Discovery, initial: Vec<Endpoint>) -> Self {
         Self {
             call_seconds: 1.0 / figures.calls_per_second,
             give_up_after: figures.give_up_after,
@@ -66,9 +66,9 @@
     }
 
     /// Records a change, and gives it as it is told.
-    pub fn change(&mut self, now: Time, server: Server) -> Arc<SharedList> {
-        self.changes.push(Change { at: now, server: server.clone() });
-        Arc::new(shared(vec![server], false))
+    pub fn change(&mut self, now: Time, endpoint: Endpoint) -> Arc<SharedList> {
+        self.changes.push(Change { at: now, endpoint: endpoint.clone() });
+        Arc::new(shared(vec![endpoint], false))
     }
 
     /// The version after the last change.
@@ -90,26 +90,26 @@
     }
 
     /// The entries after so many changes, without those that are gone.
-    fn replay(&self, version: usize) -> Vec<Server> {
-        let mut servers = self.initial.clone();
-        let known = |(place, server): (usize, &Server)| (server.id.clone(), place);
-        let mut places: std::collections::BTreeMap<ServerId, usize> =
-            servers.iter().enumerate().map(known).collect();
+    fn replay(&self, version: usize) -> Vec<Endpoint> {
+        let mut endpoints = self.initial.clone();
+        let known = |(place, endpoint): (usize, &Endpoint)| (endpoint.id.clone(), place);
+        let mut places: std::collections::BTreeMap<EndpointId, usize> =
+            endpoints.iter().enumerate().map(known).collect();
         for change in &self.changes[..version] {
-            match places.get(&change.server.id) {
-                Some(place) => servers[*place] = change.server.clone(),
+            match places.get(&change.endpoint.id) {
+                Some(place) => endpoints[*place] = change.endpoint.clone(),
                 None => {
-                    places.insert(change.server.id.clone(), servers.len());
-                    servers.push(change.server.clone());
+                    places.insert(change.endpoint.id.clone(), endpoints.len());
+                    endpoints.push(change.endpoint.clone());
                 }
             }
         }
-        servers.retain(|server| server.lifecycle != oliverack::Lifecycle::Gone);
-        servers
+        endpoints.retain(|endpoint| endpoint.lifecycle != oliverack::Lifecycle::Gone);
+        endpoints
     }
 }
 
-fn shared(servers: Vec<Server>, full: bool) -> SharedList {
-    let bytes = wire_size::list_answer(&servers, full);
-    SharedList { servers, bytes }
+fn shared(endpoints: Vec<Endpoint>, full: bool) -> SharedList {
+    let bytes = wire_size::list_answer(&endpoints, full);
+    SharedList { endpoints, bytes }
 }
--- a/lab/src/fleet/gatekeepers.rs
+++ b/lab/src/fleet/gatekeepers.rs
@@ -4,7 +4,9 @@
 use super::counter_calls::CounterCalls;
 use super::measures::Traffic;
 use super::processor::{ProcessorTimes, Work};
-use oliverack::{Action, Class, Effect, Event, Gateway, Group, Plan, Settings, SettingsError, Time};
+use oliverack::{
+    Action, Class, Effect, Event, Gateway, IdempotencyScope, Plan, Settings, SettingsError, Time,
+};
 use std::collections::HashSet;
 use std::time::Instant;
 
@@ -109,42 +111,42 @@
     }
 
     /// Workers that the policy lists, and those of them that it avoids.
-    pub fn targets(&self, now: Time) -> oliverack::Targets {
-        self.policy.targets(now)
+    pub fn targets(&self, now: Time) -> oliverack::EndpointCounts {
+        self.policy.endpoint_counts(now)
     }
 }
 
 /// What the policy is told at its start.
 pub fn settings(configuration: &Configuration, number: u32, zone: u32) -> Settings {
     let mut settings = Settings::default();
-    settings.me = number;
-    settings.gateways = configuration.gatekeepers.count;
+    settings.gateway_index = number;
+    settings.gateway_count = configuration.gatekeepers.count;
     settings.zone = zone;
     settings.classes = configuration.classes.iter().map(class).collect();
     settings.plans = configuration.plans.iter().map(plan).collect();
     settings.has_counter = configuration.counter.is_some();
-    settings.count_limit = configuration.policy.count_limit;
+    settings.counter_timeout = configuration.policy.count_limit;
     settings.max_units = f64::from(configuration.tenants.max_units);
-    settings.may_cancel = configuration.policy.may_cancel;
-    settings.second_copies = configuration.policy.second_copies;
+    settings.cancellation_enabled = configuration.policy.may_cancel;
+    settings.hedging_enabled = configuration.policy.second_copies;
     settings.max_attempts = configuration.policy.max_attempts;
     settings.max_retry_after = configuration.policy.max_retry_after;
-    settings.must_ask = configuration.discovery.mode == super::configuration::DiscoveryMode::Ask;
-    settings.cold_from = configuration.workers.cold_from;
-    settings.cold = configuration.workers.cold_seconds;
-    settings.fall_multiple = configuration.workers.fall_multiple;
-    settings.fall = configuration.workers.fall_seconds;
+    settings.discovery_is_polled = configuration.discovery.mode == super::configuration::DiscoveryMode::Ask;
+    settings.slow_start_initial_share = configuration.workers.cold_from;
+    settings.slow_start_window = configuration.workers.cold_seconds;
+    settings.overload_multiple = configuration.workers.fall_multiple;
+    settings.overload_window = configuration.workers.fall_seconds;
     settings
 }
 
 fn class(figures: &super::configuration::Class) -> Class {
     let mut class = Class::default();
-    class.aim = figures.aim;
-    class.late_worth = figures.late_worth;
+    class.latency_objective = figures.aim;
+    class.late_weight_share = figures.late_worth;
     class.effect = match figures.repeat {
-        Repeat::Safe => Effect::Safe,
-        Repeat::Keyed => Effect::Keyed { group: Group::Zone, window: figures.window },
-        Repeat::Unsafe => Effect::Unsafe,
+        Repeat::Safe => Effect::Idempotent,
+        Repeat::Keyed => Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: figures.window },
+        Repeat::Unsafe => Effect::AtMostOnce,
     };
     class
 }
@@ -153,10 +155,10 @@
     let mut plan = Plan::default();
     plan.rate = figures.rate;
     plan.burst = figures.burst;
-    plan.open = figures.open;
-    plan.pays = figures.pays;
-    plan.excess_worth = figures.excess_worth;
-    plan.overrun_cost = figures.overrun_cost;
+    plan.max_concurrent_attempts = figures.open;
+    plan.priority_weight = figures.pays;
+    plan.over_quota_weight_share = figures.excess_worth;
+    plan.over_quota_cost_share = figures.overrun_cost;
     plan.ceiling_rate = figures.ceiling_rate;
     plan.ceiling_burst = figures.ceiling_burst;
     plan
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -140,11 +140,11 @@
     pub fn count(&mut self, status: Status) {
         let counted = match status {
             Status::Ok => &mut self.ok,
-            Status::Full => &mut self.full,
+            Status::Rejected => &mut self.full,
             Status::Timeout => &mut self.timeout,
             Status::ConnectFailed => &mut self.connect_failed,
             Status::Error | Status::Reset => &mut self.reset,
-            Status::Cancelled | Status::Moot => &mut self.cancelled,
+            Status::Cancelled | Status::NotSent => &mut self.cancelled,
         };
         *counted += 1;
     }
--- a/lab/src/fleet/processor.rs
+++ b/lab/src/fleet/processor.rs
@@ -39,11 +39,11 @@
     pub fn of(event: &Event) -> Self {
         match event {
             Event::Request(_) => Self::Request,
-            Event::Outcome { .. } => Self::Outcome,
-            Event::List { kind: ListKind::Changes, .. } => Self::ListChange,
-            Event::List { .. } => Self::WholeList,
+            Event::AttemptEnded { .. } => Self::Outcome,
+            Event::EndpointsUpdated { kind: ListKind::Changes, .. } => Self::ListChange,
+            Event::EndpointsUpdated { .. } => Self::WholeList,
             Event::Timer { .. } => Self::Timer,
-            Event::Counted { .. } => Self::Counted,
+            Event::CounterReplied { .. } => Self::Counted,
             _ => Self::Other,
         }
     }
--- a/lab/src/fleet/requests.rs
+++ b/lab/src/fleet/requests.rs
@@ -1,6 +1,6 @@
 //! Requests that are open at gatekeepers, and their attempts.
 
-use oliverack::{JobId, ServerId, Time};
+use oliverack::{EndpointId, RequestId, Time};
 use std::collections::BTreeMap;
 
 /// One attempt of one request.
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone)]
 pub struct Attempt {
     /// The worker's id, as the policy knows it.
-    pub server: ServerId,
+    pub endpoint: EndpointId,
     /// When it was sent.
     pub sent: Time,
     /// Its outcome is still owed to the policy.
@@ -66,7 +66,7 @@
 }
 
 /// The id by which the policy knows a request.
-pub fn job_id(number: u64) -> JobId {
+pub fn job_id(number: u64) -> RequestId {
     number.to_string().into()
 }
 
@@ -74,8 +74,8 @@
 ///
 /// # Panics
 /// If the policy names a request that it was never given.
-pub fn number_of(job: &JobId) -> u64 {
-    job.parse().expect("the policy names no request but those that it was given")
+pub fn number_of(request_id: &RequestId) -> u64 {
+    request_id.parse().expect("the policy names no request but those that it was given")
 }
 
 /// All open requests, by number.
--- a/lab/src/fleet/simulation/actions.rs
+++ b/lab/src/fleet/simulation/actions.rs
@@ -4,27 +4,31 @@
 use crate::fleet::gatekeepers::Address;
 use crate::fleet::requests::{Attempt, AttemptKey, number_of};
 use crate::fleet::wire_size;
-use oliverack::{Action, Event, Load, ServerId, Status};
+use oliverack::{Action, EndpointId, Event, LoadReport, Status};
 
 impl Simulation {
     pub(super) fn carry_out(&mut self, from: Address, action: Action) {
         match action {
-            Action::Send { job, server, timeout, .. } => {
-                self.send(from, number_of(&job), server, timeout);
+            Action::StartAttempt { request_id, endpoint, timeout, .. } => {
+                self.send(from, number_of(&request_id), endpoint, timeout);
             }
-            Action::Refuse { job, retry_after } => self.refuse(number_of(&job), retry_after),
-            Action::Fail { job } => self.fail(number_of(&job)),
-            Action::Cancel { job, attempt } => {
-                let attempt = AttemptKey { request: number_of(&job), attempt };
+            Action::Reject { request_id, retry_after } => self.refuse(number_of(&request_id), retry_after),
+            Action::Fail { request_id } => self.fail(number_of(&request_id)),
+            Action::CancelAttempt { request_id, attempt } => {
+                let attempt = AttemptKey { request: number_of(&request_id), attempt };
                 let ends = Occurrence::AttemptEnds { attempt, status: Status::Cancelled };
                 self.queue.schedule(self.queue.now(), ends);
             }
-            Action::Timer { token, at } => self.queue.schedule(at, Occurrence::Timer { to: from, token }),
-            Action::Count { counter, amount, ttl } => self.count(from, counter, amount, ttl),
-            Action::Watch => self.ask_list(from),
-            Action::Probe { server } => {
+            Action::SetTimer { token, at } => self.queue.schedule(at, Occurrence::Timer { to: from, token }),
+            Action::AddToCounter { counter, amount, ttl } => self.count(from, counter, amount, ttl),
+            Action::PollEndpoints => self.ask_list(from),
+            Action::CheckHealth { endpoint } => {
                 // Workers of the model answer no probes.
-                let event = Event::Probed { server, status: Status::ConnectFailed, load: Load::default() };
+                let event = Event::HealthCheckEnded {
+                    endpoint,
+                    status: Status::ConnectFailed,
+                    load: LoadReport::default(),
+                };
                 self.tell_later(from, event);
             }
             // Lines of the log are no figures, and an action that is new to the model has no effect in it.
@@ -33,15 +37,15 @@
     }
 
     /// Begins an attempt.
-    fn send(&mut self, from: Address, number: u64, server: ServerId, timeout: f64) {
+    fn send(&mut self, from: Address, number: u64, endpoint: EndpointId, timeout: f64) {
         let now = self.queue.now();
         let Some(request) = self.requests.get_mut(number) else { return };
         let attempt = AttemptKey { request: number, attempt: request.attempts.len() as u32 };
-        request.attempts.push(Attempt { server: server.clone(), sent: now, out: true });
+        request.attempts.push(Attempt { endpoint: endpoint.clone(), sent: now, out: true });
         let (answered, wish) = (request.answered, request.wish);
-        let worker = self.worker_index.get(&server).copied();
+        let worker = self.worker_index.get(&endpoint).copied();
         let (Some(worker), false) = (worker, answered) else {
-            return self.queue.schedule(now, Occurrence::AttemptEnds { attempt, status: Status::Moot });
+            return self.queue.schedule(now, Occurrence::AttemptEnds { attempt, status: Status::NotSent });
         };
         if attempt.attempt == 0 {
             self.draw_on_quota(&wish);
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -4,7 +4,7 @@
 use crate::fleet::requests::AttemptKey;
 use crate::fleet::wire_size;
 use crate::fleet::workers::{Condition, Reception};
-use oliverack::{Event, Load, Status};
+use oliverack::{Event, LoadReport, Status};
 
 impl Simulation {
     pub(super) fn attempt_arrives(&mut self, attempt: AttemptKey, worker: usize, work: f64) {
@@ -69,7 +69,7 @@
     fn answer_bytes(&self, status: Status) -> Option<u64> {
         match status {
             Status::Ok => Some(wire_size::served(self.configuration.clients.answer_body)),
-            Status::Full => Some(wire_size::turned_away()),
+            Status::Rejected => Some(wire_size::turned_away()),
             _ => None,
         }
     }
@@ -81,7 +81,8 @@
         let Some(request) = self.requests.get_mut(key.request) else { return };
         let Some(attempt) = request.attempts.get_mut(key.attempt as usize).filter(|a| a.out) else { return };
         attempt.out = false;
-        let (server, spent, gatekeeper) = (attempt.server.clone(), now - attempt.sent, request.gatekeeper);
+        let (endpoint, elapsed, gatekeeper) =
+            (attempt.endpoint.clone(), now - attempt.sent, request.gatekeeper);
         self.measures.attempts.count(status);
         if let Some(bytes) = bytes {
             self.gatekeepers[gatekeeper].traffic.count(bytes);
@@ -89,16 +90,16 @@
         if status == Status::Ok {
             self.serve(key.request);
         }
-        let over = self.requests.get(key.request).is_none_or(|request| request.answered);
-        let event = Event::Outcome {
-            job: crate::fleet::requests::job_id(key.request),
+        let is_finished = self.requests.get(key.request).is_none_or(|request| request.answered);
+        let event = Event::AttemptEnded {
+            request_id: crate::fleet::requests::job_id(key.request),
             attempt: key.attempt,
-            server,
+            endpoint,
             status,
-            spent,
-            over,
-            settled: None,
-            load: Load::default(),
+            elapsed,
+            is_finished,
+            actual_units: None,
+            load: LoadReport::default(),
         };
         let to = self.address(gatekeeper);
         self.tell(to, event);
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -104,15 +104,15 @@
         self.queue.schedule(wish.until + LAST_ANSWER, Occurrence::Deadline(number));
         let tenant = &self.tenants[wish.tenant];
         let request = Request {
-            job: job_id(number),
+            id: job_id(number),
             units: wish.units,
-            expires: wish.until,
+            deadline: wish.until,
             plan: tenant.plan,
-            spread: tenant.spread,
-            first: tenant.first,
+            customer_gateway_count: tenant.spread,
+            first_gateway: tenant.first,
             class: wish.class,
             customer: tenant.id.clone(),
-            repeat: wish.retries > 0,
+            is_retry: wish.retries > 0,
         };
         let to: Address = self.address(gatekeeper);
         self.tell(to, Event::Request(request));
@@ -203,7 +203,7 @@
         let (wish, gatekeeper) = (request.wish, request.gatekeeper);
         self.measures.count_ending(self.queue.now(), Ending::Abandoned, inside_worth(&wish));
         let to = self.address(gatekeeper);
-        self.tell(to, Event::Left { job: job_id(number) });
+        self.tell(to, Event::ClientDisconnected { request_id: job_id(number) });
         self.close_if_over(number);
     }
 
--- a/lab/src/fleet/simulation/counting.rs
+++ b/lab/src/fleet/simulation/counting.rs
@@ -12,8 +12,12 @@
     pub(super) fn count(&mut self, from: Address, name: u64, amount: f64, life: f64) {
         let now = self.queue.now();
         let Some(figures) = &self.configuration.counter else {
-            let event =
-                Event::Counted { counter: name, status: Status::ConnectFailed, total: 0.0, spent: 0.0 };
+            let event = Event::CounterReplied {
+                counter: name,
+                status: Status::ConnectFailed,
+                total: 0.0,
+                elapsed: 0.0,
+            };
             return self.tell_later(from, event);
         };
         let delay = figures.delay;
@@ -47,7 +51,7 @@
                 self.queue.schedule(at, Occurrence::CallServed { from, call, amount, life });
             }
             Admission::Full => {
-                let end = CallEnd { status: Status::Full, total: 0.0 };
+                let end = CallEnd { status: Status::Rejected, total: 0.0 };
                 self.answer_call(from, call, end, wire_size::counter_busy());
             }
             Admission::Silent => {}
@@ -89,7 +93,7 @@
         let counts = &mut self.measures.counter_calls;
         match end.status {
             Status::Ok => counts.ok += 1,
-            Status::Full => counts.full += 1,
+            Status::Rejected => counts.full += 1,
             _ => counts.timeout += 1,
         }
         for event in gatekeeper.calls.end(now, call, end) {
--- a/lab/src/fleet/simulation/lists.rs
+++ b/lab/src/fleet/simulation/lists.rs
@@ -1,6 +1,6 @@
 //! How the list of workers reaches the gatekeepers.
 
-use super::{Occurrence, Simulation, server};
+use super::{Occurrence, Simulation, endpoint};
 use crate::fleet::discovery::{SharedList, Turn};
 use crate::fleet::gatekeepers::Address;
 use crate::fleet::wire_size;
@@ -62,7 +62,7 @@
             self.tell_whole_list(to, delay);
         } else {
             self.measures.fleet.list_calls_failed += 1;
-            self.tell(to, Event::List { kind: ListKind::Failed, servers: Vec::new() });
+            self.tell(to, Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
         }
     }
 
@@ -78,14 +78,14 @@
             let call = wire_size::watch_call(self.discovery.version(), self.watch_seconds());
             self.count_discovery(to.gatekeeper, call);
         }
-        self.tell(to, Event::List { kind, servers: list.servers.clone() });
+        self.tell(to, Event::EndpointsUpdated { kind, endpoints: list.endpoints.clone() });
     }
 
     /// Tells a change of a worker to all that watch.
     pub(super) fn tell_change(&mut self, worker: usize, lifecycle: Lifecycle) {
         let now = self.queue.now();
         let cells = self.configuration.workers.cells;
-        let mut entry = server(&self.worker_ids[worker], worker, &self.workers[worker], cells);
+        let mut entry = endpoint(&self.worker_ids[worker], worker, &self.workers[worker], cells);
         entry.lifecycle = lifecycle;
         let list = self.discovery.change(now, entry);
         self.measures.fleet.list_changes += 1;
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -20,7 +20,7 @@
 use super::requests::{AttemptKey, RequestTable, Wish};
 use super::tenants::{self, Tenant};
 use super::workers::Worker;
-use oliverack::{Event, Lifecycle, ListKind, Server, ServerId, SettingsError, Status, Time};
+use oliverack::{Endpoint, EndpointId, Event, Lifecycle, ListKind, SettingsError, Status, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -84,8 +84,8 @@
     gatekeepers: Vec<Gatekeeper>,
     workers: Vec<Worker>,
     /// Ids of the workers, by index, and indices by id.
-    worker_ids: Vec<ServerId>,
-    worker_index: HashMap<ServerId, usize>,
+    worker_ids: Vec<EndpointId>,
+    worker_index: HashMap<EndpointId, usize>,
     discovery: Discovery,
     counter: Option<Counter>,
     /// By zone, whether it is out of reach, and whether it is cut off from the counter.
@@ -117,7 +117,7 @@
 }
 
 /// A worker's id: a number that tells nothing of its place in the list.
-fn worker_id(index: usize) -> ServerId {
+fn worker_id(index: usize) -> EndpointId {
     format!("s-{:08x}", (index as u32).wrapping_mul(0x9E37_79B1)).into()
 }
 
@@ -130,10 +130,10 @@
         let zones = configuration.topology.zones;
         let worker = |number| Worker::new(&configuration.workers, number % zones, 0.0);
         let workers: Vec<Worker> = (0..configuration.workers.count).map(worker).collect();
-        let worker_ids: Vec<ServerId> = (0..workers.len()).map(worker_id).collect();
+        let worker_ids: Vec<EndpointId> = (0..workers.len()).map(worker_id).collect();
         let worker_index = worker_ids.iter().enumerate().map(|(i, id)| (id.clone(), i)).collect();
         let cells = configuration.workers.cells;
-        let listed = |(index, worker): (usize, &Worker)| server(&worker_ids[index], index, worker, cells);
+        let listed = |(index, worker): (usize, &Worker)| endpoint(&worker_ids[index], index, worker, cells);
         let initial = workers.iter().enumerate().map(listed).collect();
         let mut simulation = Self {
             queue: EventQueue::default(),
@@ -283,8 +283,8 @@
 }
 
 /// A worker as the list shows it.
-fn server(id: &ServerId, index: usize, worker: &Worker, cells: u32) -> Server {
-    Server {
+fn endpoint(id: &EndpointId, index: usize, worker: &Worker, cells: u32) -> Endpoint {
+    Endpoint {
         id: id.clone(),
         zone: worker.zone,
         cell: (index % cells as usize) as u32,
--- a/lab/src/fleet/wire_size.rs
+++ b/lab/src/fleet/wire_size.rs
@@ -1,7 +1,7 @@
 //! Bytes of each message as it would stand on the wire. Nothing is kept: texts are measured as they are formatted.
 
 use super::configuration::Repeat;
-use oliverack::{Lifecycle, Server};
+use oliverack::{Endpoint, Lifecycle};
 use std::fmt::{self, Write};
 
 /// Bytes of the value of `X-Txn`.
@@ -148,24 +148,24 @@
 }
 
 /// One entry of the list.
-fn list_entry(server: &Server) -> u64 {
-    let state = match server.lifecycle {
+fn list_entry(endpoint: &Endpoint) -> u64 {
+    let state = match endpoint.lifecycle {
         Lifecycle::Running => "SERVING",
         Lifecycle::Draining => "DRAINING",
         Lifecycle::Gone => "DELETED",
     };
-    let started = (server.started * 1000.0) as u64;
+    let started = (endpoint.started * 1000.0) as u64;
     let place = length(format_args!(
         r#"{{"id":"{}","addr":"10.1.0.18:8443","zone":"{}","kind":"m2","cell":{},"#,
-        server.id, server.zone, server.cell
+        endpoint.id, endpoint.zone, endpoint.cell
     ));
     place + length(format_args!(r#""state":"{state}","weight":1.0,"started_ms":{started}}}"#))
 }
 
 /// An answer that holds a list.
-pub fn list_answer(servers: &[Server], full: bool) -> u64 {
-    let entries: u64 = servers.iter().map(list_entry).sum();
-    let commas = servers.len().saturating_sub(1) as u64;
+pub fn list_answer(endpoints: &[Endpoint], full: bool) -> u64 {
+    let entries: u64 = endpoints.iter().map(list_entry).sum();
+    let commas = endpoints.len().saturating_sub(1) as u64;
     let frame = length(format_args!(r#"{{"version":1000,"full":{full},"servers":[]}}"#));
     let body = entries + commas + frame;
     length(format_args!("HTTP/1.1 200 OK\r\nContent-Length: {body}\r\n\r\n")) + body
--- a/lab/src/fleet/workers.rs
+++ b/lab/src/fleet/workers.rs
@@ -70,7 +70,7 @@
     /// Takes in an attempt.
     pub fn receive(&mut self, attempt: AttemptKey) -> Reception {
         match self.condition {
-            Condition::Draining => Reception::Rejected(Status::Full),
+            Condition::Draining => Reception::Rejected(Status::Rejected),
             Condition::Down | Condition::Gone => Reception::Rejected(Status::ConnectFailed),
             Condition::Hung | Condition::Unreachable => Reception::Silent,
             Condition::Serving if self.in_work.len() < self.slots => {
@@ -81,7 +81,7 @@
                 self.waiting.push_back(attempt);
                 Reception::Waits
             }
-            Condition::Serving => Reception::Rejected(Status::Full),
+            Condition::Serving => Reception::Rejected(Status::Rejected),
         }
     }
 
--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -75,12 +75,12 @@
     fn batch(&mut self, requests: u64) -> Result<f64, Error> {
         let before = self.around.child.processor_time()?;
         let outcome = self.row.load(requests, self.sent).run(self.around.child.address)?;
-        let spent = self.around.child.processor_time()? - before;
+        let elapsed = self.around.child.processor_time()? - before;
         self.sent += outcome.sent;
         if outcome.served < outcome.sent {
             return Err(Error::FewServed { served: outcome.served, sent: outcome.sent });
         }
-        Ok(spent.as_secs_f64() * 1e6 / outcome.sent as f64)
+        Ok(elapsed.as_secs_f64() * 1e6 / outcome.sent as f64)
     }
 }
 
--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -2,13 +2,10 @@
 
 use super::Error;
 use oliverack::{
-    Action, Class, CustomerId, Event, Gateway, JobId, Lifecycle, ListKind, Load, Plan, Request, Server,
-    ServerId, Settings, Status,
-};
-use std::{
-    collections::{BTreeSet, HashMap, VecDeque},
-    sync::Arc,
+    Action, Class, CustomerId, Endpoint, EndpointId, Event, Gateway, Lifecycle, ListKind, LoadReport, Plan,
+    Request, RequestId, Settings, Status,
 };
+use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// The seed of every gateway, so that runs differ in nothing but time.
 const SEED: u64 = 1;
@@ -47,8 +44,8 @@
 
 #[derive(Debug)]
 struct Attempt {
-    job: JobId,
-    server: ServerId,
+    request_id: RequestId,
+    endpoint: EndpointId,
 }
 
 /// What a driver is built for.
@@ -65,31 +62,31 @@
 impl Scenario {
     fn settings(self) -> Settings {
         let mut class = Class::default();
-        class.aim = 2.0;
+        class.latency_objective = 2.0;
         let mut metered = Plan::default();
         metered.rate = 1000.0;
         metered.burst = 2000.0;
-        metered.pays = 1.0;
-        metered.overrun_cost = 1.0;
+        metered.priority_weight = 1.0;
+        metered.over_quota_cost_share = 1.0;
         let mut settings = Settings::default();
-        settings.gateways = self.gateways;
+        settings.gateway_count = self.gateways;
         settings.classes = vec![class];
         settings.plans = vec![Plan::default(), metered];
         settings.has_counter = self.metered;
-        settings.second_copies = true;
+        settings.hedging_enabled = true;
         settings.max_attempts = 3;
         settings
     }
 }
 
 /// The name of a worker, as the real lists have them.
-fn name(number: usize) -> ServerId {
+fn name(number: usize) -> EndpointId {
     format!("s-{number:08x}").into()
 }
 
 /// The entry of a worker by its number.
-fn server(number: usize, lifecycle: Lifecycle) -> Server {
-    Server { id: name(number), zone: 0, cell: 0, started: 0.0, lifecycle }
+fn endpoint(number: usize, lifecycle: Lifecycle) -> Endpoint {
+    Endpoint { id: name(number), zone: 0, cell: 0, started: 0.0, lifecycle }
 }
 
 impl Driver {
@@ -117,15 +114,15 @@
     /// Gives the gateway a whole list, as known at its start, which also starts its sweeps. The timer that it asks
     /// for is the oldest of [`Driver::deliver_timer`].
     pub fn list(&mut self, workers: usize) {
-        let servers = (0..workers).map(|number| server(number, Lifecycle::Running)).collect();
-        self.handle(Event::List { kind: ListKind::Stale, servers });
+        let endpoints = (0..workers).map(|number| endpoint(number, Lifecycle::Running)).collect();
+        self.handle(Event::EndpointsUpdated { kind: ListKind::Stale, endpoints });
     }
 
     /// Changes one worker's entry.
     pub fn change(&mut self, number: usize, lifecycle: Lifecycle) {
         self.now += REQUEST_SPACING;
-        let servers = vec![server(number, lifecycle)];
-        self.handle(Event::List { kind: ListKind::Changes, servers });
+        let endpoints = vec![endpoint(number, lifecycle)];
+        self.handle(Event::EndpointsUpdated { kind: ListKind::Changes, endpoints });
     }
 
     /// One request, from its arrival to its answer; whether it was served.
@@ -136,7 +133,7 @@
     }
 
     /// The same; adds the workers that it was sent to.
-    pub fn request_noting(&mut self, reached: &mut BTreeSet<ServerId>) -> bool {
+    pub fn request_noting(&mut self, reached: &mut BTreeSet<EndpointId>) -> bool {
         self.open_request();
         self.now += ANSWER_TIME;
         self.answer_all(Some(reached))
@@ -148,36 +145,36 @@
         let tenant = (self.requests % self.tenants.len().max(1) as u64) as usize;
         self.requests += 1;
         let request = Request {
-            job: format!("{:016x}", self.requests).into(),
+            id: format!("{:016x}", self.requests).into(),
             units: 1.0,
-            expires: self.now + CLIENT_PATIENCE,
+            deadline: self.now + CLIENT_PATIENCE,
             plan: if self.metered { PLAN_METERED } else { PLAN_FREE },
-            spread: self.spread,
-            first: 0,
+            customer_gateway_count: self.spread,
+            first_gateway: 0,
             class: 0,
-            customer: Arc::clone(&self.tenants[tenant]),
-            repeat: false,
+            customer: self.tenants[tenant].clone(),
+            is_retry: false,
         };
         self.handle(Event::Request(request));
         self.open.len()
     }
 
     /// Every attempt that is out is answered 200; whether there was any.
-    fn answer_all(&mut self, mut reached: Option<&mut BTreeSet<ServerId>>) -> bool {
+    fn answer_all(&mut self, mut reached: Option<&mut BTreeSet<EndpointId>>) -> bool {
         let served = !self.open.is_empty();
-        for Attempt { job, server } in std::mem::take(&mut self.open) {
+        for Attempt { request_id, endpoint } in std::mem::take(&mut self.open) {
             if let Some(reached) = &mut reached {
-                reached.insert(server.clone());
+                reached.insert(endpoint.clone());
             }
-            self.handle(Event::Outcome {
-                job,
+            self.handle(Event::AttemptEnded {
+                request_id,
                 attempt: 0,
-                server,
+                endpoint,
                 status: Status::Ok,
-                spent: ANSWER_TIME,
-                over: true,
-                settled: None,
-                load: Load::default(),
+                elapsed: ANSWER_TIME,
+                is_finished: true,
+                actual_units: None,
+                load: LoadReport::default(),
             });
         }
         served
@@ -216,9 +213,11 @@
             self.gateway.handle(self.now, next, &mut self.actions);
             for action in self.actions.drain(..) {
                 match action {
-                    Action::Send { job, server, .. } => self.open.push(Attempt { job, server }),
-                    Action::Timer { token, .. } => self.timers.push_back(token),
-                    Action::Count { counter, amount, .. } => calls.push_back((counter, amount)),
+                    Action::StartAttempt { request_id, endpoint, .. } => {
+                        self.open.push(Attempt { request_id, endpoint })
+                    }
+                    Action::SetTimer { token, .. } => self.timers.push_back(token),
+                    Action::AddToCounter { counter, amount, .. } => calls.push_back((counter, amount)),
                     _ => {}
                 }
             }
@@ -230,6 +229,6 @@
         self.now += COUNTER_TIME;
         let total = self.counts.entry(counter).or_default();
         *total += amount;
-        Event::Counted { counter, status: Status::Ok, total: *total, spent: COUNTER_TIME }
+        Event::CounterReplied { counter, status: Status::Ok, total: *total, elapsed: COUNTER_TIME }
     }
 }
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -100,7 +100,7 @@
         let configuration = Configuration {
             discovery: discovery.address,
             counter: counter.as_ref().map(|counter| counter.address),
-            known: serde_json::json!(List { version: 0, full: true, servers: known }),
+            known: serde_json::json!(List { version: 0, full: true, endpoints: known }),
             gateways: row.subject.gateways,
             memory_mb: row.memory_mb,
         };
--- a/lab/src/process/stand_in_discovery.rs
+++ b/lab/src/process/stand_in_discovery.rs
@@ -58,7 +58,8 @@
     /// It is the whole list.
     pub full: bool,
     /// The entries.
-    pub servers: &'a [Entry],
+    #[serde(rename = "servers")]
+    pub endpoints: &'a [Entry],
 }
 
 /// How a list is written.
@@ -118,10 +119,10 @@
         match from.filter(|from| *from >= self.whole_until) {
             Some(from) => {
                 let newer = self.changes.iter().filter(|(version, _)| *version > from);
-                let servers: Vec<Entry> = newer.map(|(_, entry)| entry.clone()).collect();
-                self.form.write(&List { version: self.version, full: false, servers: &servers })
+                let endpoints: Vec<Entry> = newer.map(|(_, entry)| entry.clone()).collect();
+                self.form.write(&List { version: self.version, full: false, endpoints: &endpoints })
             }
-            None => self.form.write(&List { version: self.version, full: true, servers: &self.entries }),
+            None => self.form.write(&List { version: self.version, full: true, endpoints: &self.entries }),
         }
     }
 }
--- a/lab/tests/demo.rs
+++ b/lab/tests/demo.rs
@@ -1,6 +1,6 @@
 //! What the demonstration shows, as the policy decides it.
 
-use oliverack::{Action, Event, Gateway, Lifecycle, ListKind, Options, Request, Server, Status};
+use oliverack::{Action, Endpoint, Event, Gateway, Lifecycle, ListKind, Options, Request, Status};
 use oliverack_lab::{
     demo::{Addresses, configuration},
     process::stand_in_discovery::{Entry, State},
@@ -18,31 +18,35 @@
     let options = Options::read(&configuration["settings"]).expect("readable");
     let mut gateway = Gateway::new(options.settings, 7).expect("usable");
     let (mut now, mut actions) = (100.0, Vec::new());
-    let server = Server { id: "w".into(), zone: 0, cell: 0, started: 0.0, lifecycle: Lifecycle::Running };
-    gateway.handle(now, Event::List { kind: ListKind::Stale, servers: vec![server] }, &mut actions);
+    let endpoint = Endpoint { id: "w".into(), zone: 0, cell: 0, started: 0.0, lifecycle: Lifecycle::Running };
+    gateway.handle(
+        now,
+        Event::EndpointsUpdated { kind: ListKind::Stale, endpoints: vec![endpoint] },
+        &mut actions,
+    );
     let (mut sent, mut refused, mut total) = (0, Vec::new(), 0.0);
     for number in 0..4 {
         let request = Request {
-            job: format!("j{number}").into(),
+            id: format!("j{number}").into(),
             units: 1.0,
-            expires: now + 5.0,
+            deadline: now + 5.0,
             plan: 0,
-            spread: 1,
-            first: 0,
+            customer_gateway_count: 1,
+            first_gateway: 0,
             class: 0,
             customer: "c".into(),
-            repeat: false,
+            is_retry: false,
         };
         gateway.handle(now, Event::Request(request), &mut actions);
         while let Some(action) = (!actions.is_empty()).then(|| actions.remove(0)) {
             match action {
-                Action::Count { counter, amount, .. } => {
+                Action::AddToCounter { counter, amount, .. } => {
                     total += amount;
-                    let event = Event::Counted { counter, status: Status::Ok, total, spent: 0.001 };
+                    let event = Event::CounterReplied { counter, status: Status::Ok, total, elapsed: 0.001 };
                     gateway.handle(now, event, &mut actions);
                 }
-                Action::Send { .. } => sent += 1,
-                Action::Refuse { retry_after, .. } => refused.push(retry_after),
+                Action::StartAttempt { .. } => sent += 1,
+                Action::Reject { retry_after, .. } => refused.push(retry_after),
                 _ => {}
             }
         }
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -1,6 +1,6 @@
 //! The models of the simulated fleet, one by one.
 
-use oliverack::{Event, Lifecycle, Server, Status};
+use oliverack::{Endpoint, Event, Lifecycle, Status};
 use oliverack_lab::fleet::clock::{EventQueue, START};
 use oliverack_lab::fleet::configuration::{Counter as CounterFigures, Discovery as DiscoveryFigures};
 use oliverack_lab::fleet::configuration::{DiscoveryMode, Workers as WorkerFigures};
@@ -105,11 +105,11 @@
 fn answers_for_one_name_are_told_in_the_order_of_the_calls() {
     let mut calls = CounterCalls::default();
     let (first, second) = (calls.begin(START, 1), calls.begin(START, 1));
-    let full = CallEnd { status: Status::Full, total: 0.0 };
+    let full = CallEnd { status: Status::Rejected, total: 0.0 };
     let ok = CallEnd { status: Status::Ok, total: 3.0 };
     assert!(calls.end(START + 0.01, second, full).is_empty());
     let told: Vec<Status> = calls.end(START + 0.02, first, ok).iter().map(status).collect();
-    assert_eq!(told, [Status::Ok, Status::Full]);
+    assert_eq!(told, [Status::Ok, Status::Rejected]);
     // An answer that comes after the time-out is not told again.
     assert!(!calls.awaits(first));
     assert!(calls.end(START + 0.03, first, ok).is_empty());
@@ -117,7 +117,7 @@
 
 fn status(event: &Event) -> Status {
     match event {
-        Event::Counted { status, .. } => *status,
+        Event::CounterReplied { status, .. } => *status,
         other => panic!("{other:?}"),
     }
 }
@@ -146,7 +146,7 @@
 fn a_worker_serves_queues_and_then_turns_away() {
     let mut worker = Worker::new(&worker_figures(), 0, 0.0);
     let receptions: Vec<Reception> = (0..3).map(|number| worker.receive(attempt(number))).collect();
-    assert_eq!(receptions, [Reception::Begins, Reception::Waits, Reception::Rejected(Status::Full)]);
+    assert_eq!(receptions, [Reception::Begins, Reception::Waits, Reception::Rejected(Status::Rejected)]);
     assert_eq!(worker.begin_next(|_| true), None);
     worker.finish(attempt(0));
     assert_eq!(worker.begin_next(|_| true), Some(attempt(1)));
@@ -166,7 +166,7 @@
 fn workers_fail_in_their_different_ways() {
     let mut worker = Worker::new(&worker_figures(), 0, 0.0);
     worker.condition = Condition::Draining;
-    assert_eq!(worker.receive(attempt(0)), Reception::Rejected(Status::Full));
+    assert_eq!(worker.receive(attempt(0)), Reception::Rejected(Status::Rejected));
     worker.stop(Condition::Hung);
     assert_eq!(worker.receive(attempt(0)), Reception::Silent);
     worker.stop(Condition::Unreachable);
@@ -187,8 +187,8 @@
     assert_close(Worker::new(&figures, 0, 0.0).capacity(START, &figures), 1.0);
 }
 
-fn server(id: &str, lifecycle: Lifecycle) -> Server {
-    Server { id: id.into(), zone: 0, cell: 0, started: 0.0, lifecycle }
+fn endpoint(id: &str, lifecycle: Lifecycle) -> Endpoint {
+    Endpoint { id: id.into(), zone: 0, cell: 0, started: 0.0, lifecycle }
 }
 
 fn discovery() -> Discovery {
@@ -199,7 +199,7 @@
         give_up_after: 0.15,
         watch_seconds: 2.5,
     };
-    Discovery::new(&figures, vec![server("a", Lifecycle::Running), server("b", Lifecycle::Running)])
+    Discovery::new(&figures, vec![endpoint("a", Lifecycle::Running), endpoint("b", Lifecycle::Running)])
 }
 
 #[test]
@@ -214,10 +214,10 @@
 #[test]
 fn the_list_of_a_past_time_holds_what_was_known_then() {
     let mut discovery = discovery();
-    discovery.change(START + 1.0, server("a", Lifecycle::Gone));
-    discovery.change(START + 2.0, server("c", Lifecycle::Running));
+    discovery.change(START + 1.0, endpoint("a", Lifecycle::Gone));
+    discovery.change(START + 2.0, endpoint("c", Lifecycle::Running));
     let mut names = |at: f64| -> Vec<String> {
-        discovery.list_at(START + at).servers.iter().map(|s| s.id.to_string()).collect()
+        discovery.list_at(START + at).endpoints.iter().map(|s| s.id.to_string()).collect()
     };
     assert_eq!(names(0.5), ["a", "b"]);
     assert_eq!(names(1.0), ["b"]);
--- a/lab/tests/process_bounds.rs
+++ b/lab/tests/process_bounds.rs
@@ -107,8 +107,8 @@
 #[test]
 fn a_rate_settles_once_three_batches_agree() {
     let mut settling = Settling::default();
-    let settled = [0.1, 0.2, 0.4, 0.42, 0.43, 0.42].map(|value| settling.note(value, 0.01));
-    assert_eq!(settled, [false, false, false, false, true, true]);
+    let actual_units = [0.1, 0.2, 0.4, 0.42, 0.43, 0.42].map(|value| settling.note(value, 0.01));
+    assert_eq!(actual_units, [false, false, false, false, true, true]);
 }
 
 #[test]
--- a/lab/tests/process_report.rs
+++ b/lab/tests/process_report.rs
@@ -23,8 +23,8 @@
 
 #[test]
 fn readings_of_proc_are_understood() {
-    let spent = proc_reading::parse_schedstat("364058052 17 15\n").expect("a reading");
-    assert_eq!(spent, Duration::from_nanos(364_058_052));
+    let elapsed = proc_reading::parse_schedstat("364058052 17 15\n").expect("a reading");
+    assert_eq!(elapsed, Duration::from_nanos(364_058_052));
     let status = "Name:\toliverack\nVmPeak:\t   90 kB\nVmHWM:\t    21568 kB\nVmRSS:\t    16052 kB\n";
     let memory = proc_reading::parse_status(status).expect("a reading");
     assert_eq!((memory.resident, memory.peak), (16_052 * 1024, 21_568 * 1024));
--- a/src/bin/oliverack-sim/events.rs
+++ b/src/bin/oliverack-sim/events.rs
@@ -1,12 +1,12 @@
 //! Translates the simulator's messages to the policy's events.
 
 use crate::row::{Row, RowError};
-use oliverack::{Event, Lifecycle, ListKind, Request, Server};
+use oliverack::{Endpoint, Event, Lifecycle, ListKind, Request};
 use serde_json::Value;
 use std::{collections::BTreeMap, fmt};
 
 /// The numbered lists that the wire refers to.
-pub type Pages = BTreeMap<u64, Vec<Server>>;
+pub type Pages = BTreeMap<u64, Vec<Endpoint>>;
 
 /// An event that can't be translated.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -35,11 +35,11 @@
 impl std::error::Error for EventError {}
 
 /// The entries of a numbered list.
-pub fn page(items: &[Value]) -> Result<Vec<Server>, RowError> {
+pub fn page(items: &[Value]) -> Result<Vec<Endpoint>, RowError> {
     items.iter().map(entry).collect()
 }
 
-fn entry(item: &Value) -> Result<Server, RowError> {
+fn entry(item: &Value) -> Result<Endpoint, RowError> {
     let row = Row { message: "DIRECTORY", values: item.as_array().map_or(&[], Vec::as_slice) };
     let lifecycle = match row.text(4, "Lifecycle")? {
         "Running" => Lifecycle::Running,
@@ -47,7 +47,7 @@
         "Deleted" => Lifecycle::Gone,
         _ => return Err(row.unknown("Lifecycle")),
     };
-    Ok(Server {
+    Ok(Endpoint {
         id: row.text(5, "Worker")?.into(),
         zone: row.number_or(3, "Zone", 0.0)? as u32,
         cell: row.number_or(0, "Cell", 0.0)? as u32,
@@ -62,9 +62,9 @@
     let event = match name {
         "PEERS_KNOWN" => list(row("PEERS_KNOWN"), pages)?,
         "DEMAND" => Event::Request(request(row("DEMAND"))?),
-        "HEAD_RECEIVED" => Event::FirstByte { job: row("HEAD_RECEIVED").text(0, "Job")?.into() },
+        "HEAD_RECEIVED" => Event::ResponseStarted { request_id: row("HEAD_RECEIVED").text(0, "Job")?.into() },
         "DONE" => outcome(row("DONE"))?,
-        "LEFT" => Event::Left { job: row("LEFT").text(0, "Job")?.into() },
+        "LEFT" => Event::ClientDisconnected { request_id: row("LEFT").text(0, "Job")?.into() },
         "ELAPSED" => Event::Timer { token: row("ELAPSED").whole_number(0, "Name")? },
         "HEALTH_RESULT" => probed(row("HEALTH_RESULT"))?,
         "TALLIED" => counted(row("TALLIED"))?,
@@ -83,10 +83,10 @@
         _ => return Err(row.unknown("How")),
     };
     if kind == ListKind::Failed {
-        return Ok(Event::List { kind, servers: Vec::new() });
+        return Ok(Event::EndpointsUpdated { kind, endpoints: Vec::new() });
     }
-    let servers = pages.get(&row.whole_number(1, "Page")?).cloned();
-    Ok(Event::List { kind, servers: servers.ok_or_else(|| row.unknown("Page"))? })
+    let endpoints = pages.get(&row.whole_number(1, "Page")?).cloned();
+    Ok(Event::EndpointsUpdated { kind, endpoints: endpoints.ok_or_else(|| row.unknown("Page"))? })
 }
 
 /// The bit of a request's state that says that it is a client's marked repeat.
@@ -94,41 +94,41 @@
 
 fn request(row: Row) -> Result<Request, RowError> {
     Ok(Request {
-        job: row.text(0, "Job")?.into(),
+        id: row.text(0, "Job")?.into(),
         units: row.number_or(1, "Weight", 1.0)?,
-        first: row.number_or(2, "FromNo", 0.0)? as u32,
-        expires: row.number(3, "Expires")?,
+        first_gateway: row.number_or(2, "FromNo", 0.0)? as u32,
+        deadline: row.number(3, "Expires")?,
         plan: row.number_or(4, "GradeOfService", 0.0)? as usize,
-        spread: row.number_or(5, "NEntries", 1.0)? as u32,
+        customer_gateway_count: row.number_or(5, "NEntries", 1.0)? as u32,
         class: row.number_or(6, "Category", 0.0)? as usize,
         customer: row.text(7, "Customer").unwrap_or("").into(),
-        repeat: row.number_or(8, "StateBits", 0.0)? as u64 & REPEAT_BIT != 0,
+        is_retry: row.number_or(8, "StateBits", 0.0)? as u64 & REPEAT_BIT != 0,
     })
 }
 
 fn outcome(row: Row) -> Result<Event, RowError> {
-    Ok(Event::Outcome {
-        job: row.text(0, "Job")?.into(),
+    Ok(Event::AttemptEnded {
+        request_id: row.text(0, "Job")?.into(),
         attempt: row.whole_number(1, "RoundNo")? as u32,
-        server: row.text(2, "Worker")?.into(),
+        endpoint: row.text(2, "Worker")?.into(),
         status: row.status(3)?,
-        spent: row.number_or(4, "Spent", 0.0)?,
-        over: row.flag(5, "NoMore")?,
-        settled: Some(row.number_or(7, "Settled", 0.0)?).filter(|units| *units > 0.0),
+        elapsed: row.number_or(4, "Spent", 0.0)?,
+        is_finished: row.flag(5, "NoMore")?,
+        actual_units: Some(row.number_or(7, "Settled", 0.0)?).filter(|units| *units > 0.0),
         load: row.load(8),
     })
 }
 
 fn probed(row: Row) -> Result<Event, RowError> {
-    let (server, status) = (row.text(0, "Worker")?.into(), row.status(1)?);
-    Ok(Event::Probed { server, status, load: row.load(3) })
+    let (endpoint, status) = (row.text(0, "Worker")?.into(), row.status(1)?);
+    Ok(Event::HealthCheckEnded { endpoint, status, load: row.load(3) })
 }
 
 fn counted(row: Row) -> Result<Event, RowError> {
-    Ok(Event::Counted {
+    Ok(Event::CounterReplied {
         counter: row.whole_number(0, "Counter")?,
         status: row.status(1)?,
         total: row.number_or(2, "Value", 0.0)?,
-        spent: row.number_or(3, "Spent", 0.0)?,
+        elapsed: row.number_or(3, "Spent", 0.0)?,
     })
 }
--- a/src/bin/oliverack-sim/main.rs
+++ b/src/bin/oliverack-sim/main.rs
@@ -163,14 +163,16 @@
 /// An action as the wire has it.
 fn decision(action: Action) -> Value {
     match action {
-        Action::Send { job, server, timeout, .. } => json!(["PLACE", &*job, timeout, &*server]),
-        Action::Refuse { job, retry_after } => json!(["PUSH_BACK", &*job, retry_after]),
-        Action::Fail { job } => json!(["SURRENDER", &*job]),
-        Action::Cancel { job, attempt } => json!(["REVOKE", &*job, attempt]),
-        Action::Timer { token, at } => json!(["DEFER", token, at]),
-        Action::Probe { server } => json!(["POLL", &*server]),
-        Action::Count { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
-        Action::Watch => json!(["SUBSCRIBE", true]),
+        Action::StartAttempt { request_id, endpoint, timeout, .. } => {
+            json!(["PLACE", &*request_id, timeout, &*endpoint])
+        }
+        Action::Reject { request_id, retry_after } => json!(["PUSH_BACK", &*request_id, retry_after]),
+        Action::Fail { request_id } => json!(["SURRENDER", &*request_id]),
+        Action::CancelAttempt { request_id, attempt } => json!(["REVOKE", &*request_id, attempt]),
+        Action::SetTimer { token, at } => json!(["DEFER", token, at]),
+        Action::CheckHealth { endpoint } => json!(["POLL", &*endpoint]),
+        Action::AddToCounter { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
+        Action::PollEndpoints => json!(["SUBSCRIBE", true]),
         Action::Log(text) => json!(["DEBUG", text]),
         other => json!(["PANIC", format!("no wire form for {other:?}")]),
     }
--- a/src/bin/oliverack-sim/row.rs
+++ b/src/bin/oliverack-sim/row.rs
@@ -1,6 +1,6 @@
 //! The positional values of one message of the wire, read by place and name.
 
-use oliverack::{Load, Status};
+use oliverack::{LoadReport, Status};
 use serde_json::Value;
 use std::fmt;
 
@@ -114,23 +114,23 @@
         Ok(match self.text(place, NAME)? {
             "S" => Status::Ok,
             "E" => Status::Error,
-            "F" => Status::Full,
+            "F" => Status::Rejected,
             "T" => Status::Timeout,
             "C" => Status::ConnectFailed,
             "R" => Status::Reset,
             "X" => Status::Cancelled,
-            "N" => Status::Moot,
+            "N" => Status::NotSent,
             _ => return Err(self.unknown(NAME)),
         })
     }
 
     /// A load report; values that are missing, or are no numbers, are left out.
-    pub fn load(&self, place: usize) -> Load {
+    pub fn load(&self, place: usize) -> LoadReport {
         let report = self.values.get(place);
         let value = |key: &str| report.and_then(|r| r.get(key)).and_then(Value::as_f64);
-        let mut load = Load::default();
+        let mut load = LoadReport::default();
         load.inflight = value("busy_reqs");
-        load.util = value("cpu_share");
+        load.utilization = value("cpu_share");
         load
     }
 }
--- a/src/customer.rs
+++ b/src/customer.rs
@@ -3,7 +3,8 @@
 use crate::{
     allotment::Allotment,
     decaying_sum::DecayingSum,
-    interface::{JobId, Plan, Time},
+    interface::{RequestId, Time},
+    settings::Plan,
     token_bucket::TokenBucket,
 };
 use std::collections::VecDeque;
@@ -38,11 +39,11 @@
     /// That call has had its time; requests no longer wait for it.
     pub call_overdue: bool,
     /// Requests that wait for that call.
-    pub held: VecDeque<JobId>,
+    pub held: VecDeque<RequestId>,
     /// Attempts that count against the plan's cap on concurrent attempts.
     pub attempts_out: u32,
     /// Covered requests, with their units, that wait for one of those to end.
-    pub slot_queue: VecDeque<(JobId, f64)>,
+    pub slot_queue: VecDeque<(RequestId, f64)>,
     /// When it last came.
     pub last_seen: Time,
 }
--- a/src/server_state.rs
+++ b/src/endpoint_state.rs
@@ -1,16 +1,17 @@
-//! What a gateway keeps of one server: little while it has sent it nothing, as most of a long list are other
-//! gateways' servers.
+//! What a gateway keeps of one endpoint: little while it has sent it nothing, as most of a long list are other
+//! gateways' endpoints.
 
 use crate::{
     decaying_sum::DecayingSum,
-    interface::{Group, Known, ServerId, Time},
+    interface::{EndpointId, EndpointSnapshot, Time},
+    settings::IdempotencyScope,
     token_bucket::TokenBucket,
 };
 use std::ops::RangeInclusive;
 
-/// A server that the list names, or did.
+/// An endpoint that the list names, or did.
 #[derive(Debug, Default)]
-pub struct ServerState {
+pub struct EndpointState {
     /// Its zone.
     pub zone: u32,
     /// Its cell.
@@ -33,7 +34,7 @@
     pub health: Option<Box<Health>>,
 }
 
-/// What attempts have shown of a server.
+/// What attempts have shown of an endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     /// Attempts that it works on.
@@ -54,7 +55,7 @@
     pub out_for: f64,
 }
 
-/// The health of a server that nothing was sent to.
+/// The health of an endpoint that nothing was sent to.
 static UNTRIED: Health = Health {
     inflight: 0.0,
     heard: 0.0,
@@ -66,7 +67,7 @@
     out_for: 0.0,
 };
 
-impl ServerState {
+impl EndpointState {
     /// What attempts have shown so far.
     pub fn health(&self) -> &Health {
         self.health.as_deref().unwrap_or(&UNTRIED)
@@ -85,43 +86,44 @@
     }
 }
 
-impl ServerState {
+impl EndpointState {
     /// What a process that follows should know of it.
-    pub fn known(&self, id: &ServerId, least_ejection: f64) -> Known {
+    pub fn known(&self, id: &EndpointId, least_ejection: f64) -> EndpointSnapshot {
         let health = self.health();
-        Known {
+        EndpointSnapshot {
             id: id.clone(),
-            cold_since: self.cold_since,
-            latency: self.latency,
-            heard: health.heard,
-            out_until: health.out_until,
-            out_for: if self.known { health.out_for.max(least_ejection) } else { 0.0 },
+            warming_up_since: self.cold_since,
+            mean_latency: self.latency,
+            last_response_at: health.heard,
+            ejected_until: health.out_until,
+            ejection_time: if self.known { health.out_for.max(least_ejection) } else { 0.0 },
         }
     }
 }
 
-impl ServerState {
+impl EndpointState {
     /// Takes over what another process knew of it, within bounds for its answers' time and for how long it may be
     /// ejected; whether attempts had shown something of it. One that started anew since is left as it is.
     pub fn restore(
         &mut self,
-        known: &Known,
+        known: &EndpointSnapshot,
         now: Time,
         cold: TokenBucket,
         longest_answer: f64,
         ejection: RangeInclusive<f64>,
     ) -> bool {
-        if self.cold_since > known.cold_since {
+        if self.cold_since > known.warming_up_since {
             return false;
         }
-        self.renew(known.cold_since.min(now), cold, known.latency.clamp(0.0, longest_answer));
+        self.renew(known.warming_up_since.min(now), cold, known.mean_latency.clamp(0.0, longest_answer));
         let (least, most) = ejection.into_inner();
-        let is_tried = known.heard != 0.0 || known.out_until != 0.0 || known.out_for > least;
+        let is_tried =
+            known.last_response_at != 0.0 || known.ejected_until != 0.0 || known.ejection_time > least;
         if is_tried {
             let health = self.health_mut();
-            health.heard = known.heard.min(now);
-            health.out_for = known.out_for.clamp(least, most);
-            health.out_until = known.out_until.min(now + most);
+            health.heard = known.last_response_at.min(now);
+            health.out_for = known.ejection_time.clamp(least, most);
+            health.out_until = known.ejected_until.min(now + most);
         }
         is_tried
     }
@@ -137,23 +139,23 @@
     }
 
     /// Moves its mean latency by a share of the way to an answer's time, and further the longer ago it was heard of.
-    pub fn note_latency(&mut self, now: Time, spent: f64, gain: f64, memory: f64) {
+    pub fn note_latency(&mut self, now: Time, elapsed: f64, gain: f64, memory: f64) {
         let heard = std::mem::replace(&mut self.health_mut().heard, now);
         let kept = (1.0 - gain) * (-(now - heard) / memory).exp();
-        self.latency = spent + (self.latency - spent) * kept;
+        self.latency = elapsed + (self.latency - elapsed) * kept;
     }
 
-    /// When it is no longer cold, if a cold server takes so many seconds to warm up.
+    /// When it is no longer cold, if a cold endpoint takes so many seconds to warm up.
     pub fn warm_at(&self, warm_up: f64) -> Time {
         if self.cold_since <= 0.0 { 0.0 } else { self.cold_since + warm_up }
     }
 
-    /// Whether it is in the same part of a group as the server of this zone and cell.
-    pub fn is_beside(&self, group: Group, zone: u32, cell: u32) -> bool {
+    /// Whether it is in the same part of a group as the endpoint of this zone and cell.
+    pub fn is_beside(&self, group: IdempotencyScope, zone: u32, cell: u32) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.zone == zone,
-            Group::Cell => self.cell == cell && self.zone == zone,
+            IdempotencyScope::All => true,
+            IdempotencyScope::Zone => self.zone == zone,
+            IdempotencyScope::Cell => self.cell == cell && self.zone == zone,
         }
     }
 }
@@ -191,5 +193,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/server_state.rs"]
+#[path = "../tests/unit/endpoint_state.rs"]
 mod tests;
--- a/src/latency_estimate.rs
+++ b/src/latency_estimate.rs
@@ -18,14 +18,14 @@
 
 impl LatencyEstimate {
     /// Moves the mean by a share of the way to a new answer's time.
-    pub fn note_mean(&mut self, spent: f64, gain: f64) {
-        self.mean = if self.mean == 0.0 { spent } else { self.mean + gain * (spent - self.mean) };
+    pub fn note_mean(&mut self, elapsed: f64, gain: f64) {
+        self.mean = if self.mean == 0.0 { elapsed } else { self.mean + gain * (elapsed - self.mean) };
     }
 
     /// Moves the middle one by a share of the way, by its logarithm; `memory` is that of its best, in seconds.
-    pub fn note_typical(&mut self, now: Time, spent: f64, gain: f64, memory: f64) {
-        let typical = if self.typical == 0.0 { spent } else { self.typical };
-        self.typical = typical * (spent.max(LEAST) / typical).powf(gain);
+    pub fn note_typical(&mut self, now: Time, elapsed: f64, gain: f64, memory: f64) {
+        let typical = if self.typical == 0.0 { elapsed } else { self.typical };
+        self.typical = typical * (elapsed.max(LEAST) / typical).powf(gain);
         let kept = (-(now - self.idle.at) / memory).exp();
         let known = self.idle.level > 0.0 && self.idle.level < self.typical;
         let best = if known { self.idle.level } else { self.typical };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,23 +11,25 @@
 mod customer;
 mod customer_table;
 mod decaying_sum;
+mod endpoint_state;
+mod endpoint_table;
 mod hash;
 mod interface;
-mod job;
 mod latency_estimate;
-mod options;
 mod ordered_table;
 mod policy;
 mod quota_window;
-mod server_state;
-mod server_table;
+mod request_state;
 mod settings;
-mod settings_document;
 mod thin_flow;
 mod timer_table;
 mod token_bucket;
 
-pub use interface::*;
-pub use options::{Options, OptionsError};
+pub use interface::{
+    Action, CustomerId, Endpoint, EndpointCounts, EndpointId, EndpointSnapshot, Event, HandoverSnapshot,
+    Lifecycle, ListKind, LoadReport, Request, RequestId, ResponseTimes, Seconds, Status, Time,
+};
 pub use policy::Gateway;
-pub use settings_document::SettingsDocument;
+pub use settings::{
+    Class, Effect, IdempotencyScope, Options, OptionsError, Plan, Settings, SettingsDocument, SettingsError,
+};
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,6 +1,6 @@
 //! What a gateway is told at its start: the configuration's file, and variables of the environment beside it.
 
-use crate::node::wire::worker_list::{List, Listed};
+use crate::node::wire::endpoint_list::{List, Listed};
 use oliverack::{Options, SettingsDocument};
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -39,7 +39,7 @@
     counter: Option<SocketAddr>,
     /// Where operators call, if they may.
     operator: Option<SocketAddr>,
-    /// The list of workers as last held; it may be old.
+    /// The list of endpoints as last held; it may be old.
     #[serde(borrow)]
     known: List<'a>,
     /// The settings object.
@@ -67,7 +67,7 @@
     pub operator: Option<SocketAddr>,
     /// The descriptor that clients come in by, where the platform holds their listening socket.
     pub accept_fd: Option<RawFd>,
-    /// The list of workers at the start.
+    /// The list of endpoints at the start.
     pub known: Vec<Listed>,
     /// The version of that list.
     pub version: u64,
@@ -148,7 +148,7 @@
 }
 
 impl Config {
-    /// The fewest descriptors that leave some for clients and workers; operators' calls come on top.
+    /// The fewest descriptors that leave some for clients and endpoints; operators' calls come on top.
     const LEAST_SOCKETS: usize = 64;
     /// Descriptors that operators' calls may take.
     pub const OPERATOR_SOCKETS: usize = 18;
@@ -158,12 +158,12 @@
     /// Bytes that a customer takes at most in the module's table: some 300, and the table's own.
     const CUSTOMER: usize = 512;
 
-    /// The share of the memory that the text of a list may take. Some 420 bytes for each of 10,000 workers at
+    /// The share of the memory that the text of a list may take. Some 420 bytes for each of 10,000 endpoints at
     /// 32 MB: an indented entry has some 300. While it is read, the entries take less than half as much beside it,
-    /// and the tables of workers that it leads to not more; requests and customers may fill half of the memory.
+    /// and the tables of endpoints that it leads to not more; requests and customers may fill half of the memory.
     const LIST_SHARE: usize = 8;
 
-    /// Longest list of workers, in bytes.
+    /// Longest list of endpoints, in bytes.
     pub fn list_bound(&self) -> usize {
         self.memory / Self::LIST_SHARE
     }
@@ -233,7 +233,7 @@
             counter: document.counter,
             operator,
             accept_fd: variable("NODE_ACCEPT_FD")?,
-            known: document.known.workers(&options.zones),
+            known: document.known.endpoints(&options.zones),
             version: document.known.version,
             options,
         })
--- a/src/node/connection/answer_body.rs
+++ b/src/node/connection/answer_body.rs
@@ -1,4 +1,4 @@
-//! Reads the bodies of servers' answers: small ones whole, large ones in pieces.
+//! Reads the bodies of endpoints' answers: small ones whole, large ones in pieces.
 
 use crate::node::wire::stream::Piece;
 use bytes::{Bytes, BytesMut};
--- a/src/node/connection/clients/answering.rs
+++ b/src/node/connection/clients/answering.rs
@@ -68,7 +68,7 @@
         chunked: bool,
         mut pieces: Pieces,
     ) -> io::Result<PassedOn> {
-        // The bound on memory holds for answers, too: what finds no room waits at its worker.
+        // The bound on memory holds for answers, too: what finds no room waits at its endpoint.
         let _permit = loop {
             match self.context.memory.take(STREAM.saturating_sub(self.permit.bytes())) {
                 Some(permit) => break permit,
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -17,7 +17,7 @@
 };
 use bytes::BytesMut;
 use hyper::StatusCode;
-use oliverack::JobId;
+use oliverack::RequestId;
 use std::{io, time::Instant};
 use tokio::{
     io::{AsyncWriteExt, Interest},
@@ -58,16 +58,16 @@
                 content
             }
         };
-        let Some((job, mut receiver)) = handler.accept(request) else {
+        let Some((request_id, mut receiver)) = handler.accept(request) else {
             self.rest = upload.map(|u| u.rest);
             return Ok(ClientResponse::plain(StatusCode::CONFLICT));
         };
-        let mut waiting = Waiting { handler, job: &job, answered: false };
+        let mut waiting = Waiting { handler, request_id: &request_id, answered: false };
         let mut early = None;
         if let Some(upload) = upload {
             early = self.forward_body(upload, expects, &mut receiver).await?;
             if early.is_none() {
-                handler.received_whole(&job);
+                handler.received_whole(&request_id);
             }
         }
         self.state.enter(Stage::Busy);
@@ -215,14 +215,14 @@
 /// A request that waits for its answer; dropped before, its client has gone.
 struct Waiting<'a> {
     handler: &'a dyn RequestHandler,
-    job: &'a JobId,
+    request_id: &'a RequestId,
     answered: bool,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.handler.left(self.job);
+            self.handler.left(self.request_id);
         }
     }
 }
--- a/src/node/connection/clients/handler.rs
+++ b/src/node/connection/clients/handler.rs
@@ -2,7 +2,7 @@
 
 use crate::node::wire::{client_request::ClientRequest, stream::Pieces};
 use bytes::Bytes;
-use oliverack::JobId;
+use oliverack::RequestId;
 use tokio::sync::oneshot;
 
 /// The one final answer to a client.
@@ -42,9 +42,9 @@
 pub trait RequestHandler {
     /// Takes a request; its final answer comes by the receiver. `None`: its name is that of one that is open, and so
     /// another client's.
-    fn accept(&self, request: ClientRequest) -> Option<(JobId, oneshot::Receiver<FinalAnswer>)>;
+    fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)>;
     /// The request's last byte has come: its time, and that of its attempts, begins.
-    fn received_whole(&self, job: &JobId);
+    fn received_whole(&self, request_id: &RequestId);
     /// The client is gone before its answer.
-    fn left(&self, job: &JobId);
+    fn left(&self, request_id: &RequestId);
 }
--- a/src/node/connection/clients/mod.rs
+++ b/src/node/connection/clients/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP server: takes connections and sees that no client holds more than its part.
+//! The HTTP endpoint: takes connections and sees that no client holds more than its part.
 
 mod answering;
 mod context;
--- a/src/node/connection/clients/reading.rs
+++ b/src/node/connection/clients/reading.rs
@@ -26,7 +26,7 @@
 /// Says that a body may come.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// Most bytes of a body that are gathered whole while half of the memory for bodies is left: a slow client takes
-/// seconds to send them, and meanwhile holds neither a worker nor a slot under a cap.
+/// seconds to send them, and meanwhile holds neither an endpoint nor a slot under a cap.
 pub const MAX_GATHERED: usize = 8 * MAX_WHOLE;
 
 /// A body as far as it was read.
--- a/src/node/connection/counter_client.rs
+++ b/src/node/connection/counter_client.rs
@@ -136,7 +136,7 @@
                 line.wake.notify_one();
             }
             let call = &mut line.calls[at];
-            let (name, spent) = (call.name, call.since.elapsed());
+            let (name, elapsed) = (call.name, call.since.elapsed());
             let status = if call.written == 0 {
                 // Not a byte has gone out, and none will: nothing is added.
                 line.calls.remove(at);
@@ -145,7 +145,7 @@
                 Status::Timeout
             };
             drop(lines);
-            report(events, name, status, 0.0, spent);
+            report(events, name, status, 0.0, elapsed);
             return;
         }
     }
@@ -156,7 +156,7 @@
         let (status, total) = match (answer, call.name) {
             (CounterAnswer::Pong, None) => return true,
             (CounterAnswer::Total(total), Some(_)) => (Status::Ok, *total),
-            (CounterAnswer::NothingAdded, Some(_)) => (Status::Full, 0.0),
+            (CounterAnswer::NothingAdded, Some(_)) => (Status::Rejected, 0.0),
             _ => {
                 self.lines.borrow_mut()[index].calls.push_front(call);
                 return false;
@@ -237,9 +237,9 @@
     }
 }
 
-fn report(events: &EventSender, name: Option<u64>, status: Status, total: f64, spent: Duration) {
+fn report(events: &EventSender, name: Option<u64>, status: Status, total: f64, elapsed: Duration) {
     if let Some(counter) = name {
-        events.clone().post(Event::Counted { counter, status, total, spent: spent.as_secs_f64() });
+        events.clone().post(Event::CounterReplied { counter, status, total, elapsed: elapsed.as_secs_f64() });
     }
 }
 
--- a/src/node/connection/discovery.rs
+++ b/src/node/connection/discovery.rs
@@ -1,11 +1,11 @@
-//! Follows the list of workers: one watch after another, the whole list after any doubt. Where beginning a watch has
+//! Follows the list of endpoints: one watch after another, the whole list after any doubt. Where beginning a watch has
 //! its price, the module says when, and the watch goes on from the list that is known.
 
 use crate::node::{
     connection::{answer_body::Bounds, http_client::HttpClient, write_progress::Trace},
     wire::{
+        endpoint_list::{List, Listed},
         stream::Outgoing,
-        worker_list::{List, Listed},
     },
 };
 use bytes::Bytes;
@@ -65,8 +65,8 @@
 
 /// Takes the lists that discovery tells.
 pub trait ListSink {
-    /// News of the workers.
-    fn list(&self, kind: ListKind, workers: Vec<Listed>);
+    /// News of the endpoints.
+    fn list(&self, kind: ListKind, endpoints: Vec<Listed>);
     /// Discovery was asked for the list in vain.
     fn unlisted(&self);
 }
@@ -195,10 +195,10 @@
         // Changes to a list that is not ours, or a version that went back: ask for the whole.
         let fits = list.full || self.version.is_some_and(|v| list.version >= v);
         self.version = fits.then_some(list.version);
-        let workers = list.workers(&self.discovery.zones);
-        if fits && (list.full || recovered || !workers.is_empty()) {
+        let endpoints = list.endpoints(&self.discovery.zones);
+        if fits && (list.full || recovered || !endpoints.is_empty()) {
             let kind = if list.full { ListKind::Full } else { ListKind::Changes };
-            self.discovery.sink.list(kind, workers);
+            self.discovery.sink.list(kind, endpoints);
         }
         if fits { None } else { Some(MIN_BACKOFF) }
     }
--- a/src/node/connection/worker_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -1,10 +1,10 @@
-//! Attempts and probes: one exchange with a worker each, and how it ended.
+//! Attempts and probes: one exchange with an endpoint each, and how it ended.
 
 use crate::node::{
     connection::{
         answer_body::{Begin, Bounds},
+        endpoint_pool::{EndpointPool, KEEP_LEAST, Target},
         http_client::Failure,
-        worker_pool::{KEEP_LEAST, Target, WorkerPool},
         write_progress::Trace,
     },
     wire::{
@@ -16,7 +16,7 @@
 };
 use bytes::Bytes;
 use hyper::{HeaderMap, Request, StatusCode, Uri, header, http::response::Parts};
-use oliverack::{Load, Status};
+use oliverack::{LoadReport, Status};
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::{sync::mpsc, time::sleep};
 
@@ -28,17 +28,17 @@
 pub struct AttemptEnd {
     pub status: Status,
     pub body: Bytes,
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 impl AttemptEnd {
     /// One that brought no answer.
     pub fn without_answer(status: Status) -> Self {
-        Self { status, body: Bytes::new(), load: Load::default() }
+        Self { status, body: Bytes::new(), load: LoadReport::default() }
     }
 }
 
-impl WorkerPool {
+impl EndpointPool {
     /// One exchange. Nothing is sent a second time: only a kept connection on which not one byte was written
     /// is replaced by another.
     async fn exchange(
@@ -63,7 +63,7 @@
             let idle = pooled.since.elapsed();
             // A connection may take long to come up. From here on to the first byte nothing is waited for.
             if !self.stands(target) {
-                return Err(Status::Moot);
+                return Err(Status::NotSent);
             }
             let request = build()?;
             match pooled.link.exchange(request, ended.cloned(), BOUNDS, begin).await {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Sends `what` to the worker once, if it `may_begin` when the connection is there; `wait` tells the worker how
+    /// Sends `what` to the endpoint once, if it `may_begin` when the connection is there; `wait` tells the endpoint how
     /// long the gateway will wait. A large answer goes to what `begin` returns for its length.
     pub async fn attempt(
         &self,
@@ -98,14 +98,14 @@
         begin: impl Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
     ) -> AttemptEnd {
         if !what.body.unsent() {
-            return AttemptEnd::without_answer(Status::Moot);
+            return AttemptEnd::without_answer(Status::NotSent);
         }
         let build = || {
             if !may_begin() {
-                return Err(Status::Moot);
+                return Err(Status::NotSent);
             }
             // A body that went by the connection before can't go by another one.
-            what.to_worker(wait).ok_or(Status::ConnectFailed)
+            what.to_endpoint(wait).ok_or(Status::ConnectFailed)
         };
         let ended = match &what.body {
             Content::Whole(_) => None,
@@ -125,7 +125,7 @@
         AttemptEnd { status, body, load }
     }
 
-    /// Asks the worker how it is.
+    /// Asks the endpoint how it is.
     pub async fn probe(&self, target: &Target) -> AttemptEnd {
         let build = || {
             let mut request = Request::new(Outgoing::Whole(None));
@@ -144,12 +144,12 @@
     }
 }
 
-/// What an answer's head says of the attempt, and of the worker.
-fn judge(status: StatusCode, headers: &HeaderMap) -> (Status, Load) {
+/// What an answer's head says of the attempt, and of the endpoint.
+fn judge(status: StatusCode, headers: &HeaderMap) -> (Status, LoadReport) {
     let turned_away = headers.get("x-turned-away").is_some_and(|v| v == "1");
     let status = match status.as_u16() {
         200 => Status::Ok,
-        503 | 504 if turned_away => Status::Full,
+        503 | 504 if turned_away => Status::Rejected,
         _ => Status::Error,
     };
     let load = headers.get("x-pressure").and_then(|v| v.to_str().ok()).map(load_report::parse);
--- a/src/node/connection/worker_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -1,8 +1,8 @@
-//! Connections to the workers, kept and reused within a budget.
+//! Connections to the endpoints, kept and reused within a budget.
 
-use crate::node::{connection::http_client::HttpClient, wire::worker_list::Listed};
+use crate::node::{connection::http_client::HttpClient, wire::endpoint_list::Listed};
 use fnv::FnvHashMap;
-use oliverack::{Lifecycle, ServerId, Status};
+use oliverack::{EndpointId, Lifecycle, Status};
 use std::{
     cell::{Cell, RefCell},
     net::SocketAddr,
@@ -20,48 +20,48 @@
 }
 
 /// Shortest time that an idle connection is kept for: the next request of a rush comes sooner, and a new
-/// connection costs the worker work.
+/// connection costs the endpoint work.
 pub(super) const KEEP_LEAST: Duration = Duration::from_millis(50);
 
-/// A connection rests for so long between an answer and the next request: a worker may say the same answer again some
+/// A connection rests for so long between an answer and the next request: an endpoint may say the same answer again some
 /// milliseconds later, and what comes while a request is out is read as that one's answer.
 const REUSE_AFTER: Duration = Duration::from_millis(10);
 
 /// A connection that may carry a request.
 pub(super) struct Pooled {
     pub(super) link: HttpClient,
-    /// The worker's life that it was opened in.
+    /// The endpoint's life that it was opened in.
     life: u64,
     /// Since when it has been idle.
     pub(super) since: Instant,
     _slot: ConnectionSlot,
 }
 
-/// A worker as the list last told it.
-struct KnownWorker {
+/// An endpoint as the list last told it.
+struct KnownEndpoint {
     addr: SocketAddr,
     started: f64,
-    /// Its own number: another worker at the same address, or the same one started anew, has another.
+    /// Its own number: another endpoint at the same address, or the same one started anew, has another.
     life: u64,
     /// It may be sent to.
     serving: bool,
 }
 
-/// The idle connections to one worker, the one that has stood idle longest first; never none.
+/// The idle connections to one endpoint, the one that has stood idle longest first; never none.
 type Pool = Vec<Pooled>;
 
 /// See the [module](self).
-pub struct WorkerPool {
-    workers: RefCell<FnvHashMap<ServerId, KnownWorker>>,
-    /// Only of workers to which there are idle connections: few of a long list.
-    pools: RefCell<FnvHashMap<ServerId, Pool>>,
+pub struct EndpointPool {
+    endpoints: RefCell<FnvHashMap<EndpointId, KnownEndpoint>>,
+    /// Only of endpoints to which there are idle connections: few of a long list.
+    pools: RefCell<FnvHashMap<EndpointId, Pool>>,
     lives: Cell<u64>,
     open: Rc<Cell<usize>>,
     budget: usize,
     /// What this process may have of it.
     share: Cell<usize>,
     /// An idle connection is kept for so long: at most, and as resets and answers on kept ones have shown. What
-    /// stands between may forget a connection far sooner than the worker closes it, and says so only to a
+    /// stands between may forget a connection far sooner than the endpoint closes it, and says so only to a
     /// request, which may then have run.
     pub(super) keep_most: Duration,
     pub(super) keep: Cell<Duration>,
@@ -73,18 +73,18 @@
 /// Where an attempt goes.
 #[derive(Clone)]
 pub struct Target {
-    id: ServerId,
+    id: EndpointId,
     addr: SocketAddr,
     life: u64,
 }
 
-impl WorkerPool {
+impl EndpointPool {
     /// `budget` connections at most, none kept idle for `idle_limit`, none waited for past `connect`.
     pub fn new(budget: usize, idle_limit: Duration, connect: Duration, dispatches: Rc<Cell<u64>>) -> Self {
-        // A worker closes at its limit, and a request that crosses that is lost: close well before.
+        // An endpoint closes at its limit, and a request that crosses that is lost: close well before.
         let keep_most = idle_limit.saturating_sub(Duration::from_secs(2)).max(idle_limit / 2);
         Self {
-            workers: RefCell::default(),
+            endpoints: RefCell::default(),
             pools: RefCell::default(),
             lives: Cell::new(0),
             open: Rc::default(),
@@ -100,46 +100,46 @@
     /// Takes in the list: the whole one, or what has changed, each with its address if it has a usable one.
     /// What is not named by a whole list, or is gone, is forgotten, and its idle connections are closed.
     pub fn listed(&self, whole: bool, list: &[Listed]) {
-        let (mut workers, mut pools) = (self.workers.borrow_mut(), self.pools.borrow_mut());
-        let mut old = if whole { std::mem::take(&mut *workers) } else { FnvHashMap::default() };
-        workers.reserve(list.len());
-        for Listed { server, addr } in list {
-            let known = workers.remove_entry(&server.id).or_else(|| old.remove_entry(&server.id));
+        let (mut endpoints, mut pools) = (self.endpoints.borrow_mut(), self.pools.borrow_mut());
+        let mut old = if whole { std::mem::take(&mut *endpoints) } else { FnvHashMap::default() };
+        endpoints.reserve(list.len());
+        for Listed { endpoint, addr } in list {
+            let known = endpoints.remove_entry(&endpoint.id).or_else(|| old.remove_entry(&endpoint.id));
             // The name that is held already is kept, so that each is held once.
             let (id, known) =
-                known.map_or_else(|| (server.id.clone(), None), |(id, worker)| (id, Some(worker)));
+                known.map_or_else(|| (endpoint.id.clone(), None), |(id, known)| (id, Some(known)));
             let addr = addr.or(known.as_ref().map(|h| h.addr));
-            let (Some(addr), true) = (addr, server.lifecycle != Lifecycle::Gone) else {
+            let (Some(addr), true) = (addr, endpoint.lifecycle != Lifecycle::Gone) else {
                 pools.remove(&id);
                 continue;
             };
-            let same = known.filter(|h| h.addr == addr && h.started == server.started);
+            let same = known.filter(|h| h.addr == addr && h.started == endpoint.started);
             let renewed = same.is_none();
-            let mut worker = same.unwrap_or_else(|| {
+            let mut known = same.unwrap_or_else(|| {
                 self.lives.set(self.lives.get() + 1);
-                KnownWorker { addr, started: server.started, life: self.lives.get(), serving: false }
+                KnownEndpoint { addr, started: endpoint.started, life: self.lives.get(), serving: false }
             });
-            worker.serving = server.lifecycle == Lifecycle::Running;
-            if renewed || !worker.serving {
+            known.serving = endpoint.lifecycle == Lifecycle::Running;
+            if renewed || !known.serving {
                 pools.remove(&id);
             }
-            workers.insert(id, worker);
+            endpoints.insert(id, known);
         }
         old.keys().for_each(|id| drop(pools.remove(id)));
     }
 
-    /// Operators have left the worker out and restart it: its connections are of no further use.
-    pub fn left_out(&self, id: &ServerId) {
-        if let Some(worker) = self.workers.borrow_mut().get_mut(id) {
+    /// Operators have left the endpoint out and restart it: its connections are of no further use.
+    pub fn in_maintenance(&self, id: &EndpointId) {
+        if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(id) {
             self.lives.set(self.lives.get() + 1);
-            worker.life = self.lives.get();
+            endpoint.life = self.lives.get();
             self.pools.borrow_mut().remove(id);
         }
     }
 
-    /// Where to reach a worker; `None` if the list does not name it.
-    pub fn target(&self, id: &ServerId) -> Option<Target> {
-        self.workers.borrow().get(id).map(|h| Target { id: id.clone(), addr: h.addr, life: h.life })
+    /// Where to reach an endpoint; `None` if the list does not name it.
+    pub fn target(&self, id: &EndpointId) -> Option<Target> {
+        self.endpoints.borrow().get(id).map(|h| Target { id: id.clone(), addr: h.addr, life: h.life })
     }
 
     /// Closes idle connections that are dead or due.
@@ -150,10 +150,10 @@
         });
     }
 
-    /// Whether something new may still go to the worker that was chosen: the list has told nothing else since, and
+    /// Whether something new may still go to the endpoint that was chosen: the list has told nothing else since, and
     /// it is the same one, in the same life.
     pub(super) fn stands(&self, target: &Target) -> bool {
-        self.workers.borrow().get(&target.id).is_some_and(|h| h.serving && h.life == target.life)
+        self.endpoints.borrow().get(&target.id).is_some_and(|h| h.serving && h.life == target.life)
     }
 
     pub(super) fn take(&self, target: &Target) -> Option<Pooled> {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// How long until one of the idle connections has rested, if none has yet: that costs the worker less than a new
+    /// How long until one of the idle connections has rested, if none has yet: that costs the endpoint less than a new
     /// one would.
     pub(super) fn rests(&self, target: &Target) -> Option<Duration> {
         let pools = self.pools.borrow();
@@ -184,8 +184,8 @@
     }
 
     pub(super) fn put(&self, target: &Target, mut pooled: Pooled) {
-        let workers = self.workers.borrow();
-        let serves = workers.get(&target.id).is_some_and(|h| h.serving && h.life == pooled.life);
+        let endpoints = self.endpoints.borrow();
+        let serves = endpoints.get(&target.id).is_some_and(|h| h.serving && h.life == pooled.life);
         if serves && pooled.link.ready() {
             pooled.since = Instant::now();
             self.pools.borrow_mut().entry(target.id.clone()).or_default().push(pooled);
@@ -219,8 +219,8 @@
     }
 
     pub(super) async fn fresh(&self, target: &Target) -> Result<Pooled, Status> {
-        // No descriptor left says nothing of the worker: the attempt was never sent.
-        let slot = self.slot().ok_or(Status::Moot)?;
+        // No descriptor left says nothing of the endpoint: the attempt was never sent.
+        let slot = self.slot().ok_or(Status::NotSent)?;
         let link = HttpClient::open(target.addr, self.connect).await.map_err(|_| Status::ConnectFailed)?;
         Ok(Pooled { link, life: target.life, since: Instant::now(), _slot: slot })
     }
--- a/src/node/connection/http_client.rs
+++ b/src/node/connection/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection to a server, which knows how much of a request has been written to it.
+//! One HTTP connection to an endpoint, which knows how much of a request has been written to it.
 //!
 //! The connection has no task of its own: whoever holds it drives it, so dropping it closes the socket at
 //! once, and nothing can be sent again behind the holder's back.
@@ -30,7 +30,7 @@
     time::{sleep, timeout},
 };
 
-/// Longest time from an answer's first byte to its head's end: servers that are slow write in small pieces.
+/// Longest time from an answer's first byte to its head's end: endpoints that are slow write in small pieces.
 const HEAD_SPAN: Duration = Duration::from_secs(1);
 
 /// How an exchange failed, as far as it matters whether the request has run.
--- a/src/node/connection/mod.rs
+++ b/src/node/connection/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to clients, workers, the counter, discovery, operators and sibling processes. They tell of what happens through
+//! Connections to clients, endpoints, the counter, discovery, operators and sibling processes. They tell of what happens through
 //! small traits and know nothing of who listens.
 
 pub mod answer_body;
@@ -6,11 +6,11 @@
 pub mod counter_client;
 pub mod counter_line;
 pub mod discovery;
+pub mod endpoint_attempt;
+pub mod endpoint_pool;
 pub mod events;
 pub mod http_client;
 pub mod operators;
 pub mod siblings;
 pub mod socket_input;
-pub mod worker_attempt;
-pub mod worker_pool;
 pub mod write_progress;
--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -1,9 +1,9 @@
 //! The operators' listener: one call a connection, answered from live state whatever the clients do.
 //!
-//! Nothing here waits on clients, workers or the counter. Calls run side by side on descriptors kept aside for
+//! Nothing here waits on clients, endpoints or the counter. Calls run side by side on descriptors kept aside for
 //! them; callers that hold a connection without a whole call make room for others.
 
-use crate::node::{config::Config, left_out_file::LeftOutFileError};
+use crate::node::{config::Config, maintenance_file::MaintenanceFileError};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{
@@ -37,17 +37,17 @@
 
 /// Why operators are told no.
 #[derive(Debug)]
-pub enum LeaveOutError {
+pub enum MaintenanceError {
     /// Nobody has this id.
-    UnknownWorker,
+    UnknownEndpoint,
     /// It holds in this process, but an upgrade would lose it.
-    NotKept(LeftOutFileError),
+    NotKept(MaintenanceFileError),
 }
 
-impl fmt::Display for LeaveOutError {
+impl fmt::Display for MaintenanceError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::UnknownWorker => f.write_str("no worker has this id"),
+            Self::UnknownEndpoint => f.write_str("no worker has this id"),
             Self::NotKept(e) => write!(f, "not kept: {e}"),
         }
     }
@@ -59,8 +59,8 @@
     fn is_accepting(&self) -> bool;
     /// The metrics as they stand, in Prometheus' text format.
     fn render_metrics(&self) -> String;
-    /// Leaves a worker out, or puts it back.
-    fn leave_out(&self, id: &str, out: bool) -> Result<(), LeaveOutError>;
+    /// Leaves an endpoint out, or puts it back.
+    fn set_maintenance(&self, id: &str, out: bool) -> Result<(), MaintenanceError>;
 }
 
 pub struct Operators {
@@ -94,11 +94,11 @@
 
     async fn converse(&self, socket: TcpStream) {
         let service = service_fn(async |request| Ok::<_, Infallible>(self.answer(&request)));
-        let mut server = http1::Builder::new();
+        let mut endpoint = http1::Builder::new();
         // The whole call has a limit, so its head needs none of its own.
-        server.keep_alive(false).max_buf_size(MAX_HEAD).header_read_timeout(None);
+        endpoint.keep_alive(false).max_buf_size(MAX_HEAD).header_read_timeout(None);
         // A caller that goes, or speaks no HTTP, has had its answer from hyper or wants none.
-        let _ = server.serve_connection(TokioIo::new(socket), service).await;
+        let _ = endpoint.serve_connection(TokioIo::new(socket), service).await;
     }
 
     fn answer(&self, request: &Request<Incoming>) -> Answer {
@@ -106,8 +106,8 @@
         let (wanted, answer): (Method, &dyn Fn() -> Answer) = match path.as_slice() {
             ["healthcheck"] => (Method::GET, &|| self.health()),
             ["stats"] => (Method::GET, &|| say(StatusCode::OK, self.operations.render_metrics())),
-            ["workers", id, "maint"] => (Method::PUT, &|| self.leave_out(id, true)),
-            ["workers", id, "ready"] => (Method::PUT, &|| self.leave_out(id, false)),
+            ["workers", id, "maint"] => (Method::PUT, &|| self.set_maintenance(id, true)),
+            ["workers", id, "ready"] => (Method::PUT, &|| self.set_maintenance(id, false)),
             _ => return say(StatusCode::NOT_FOUND, "no such call\n"),
         };
         if *request.method() == wanted {
@@ -119,13 +119,15 @@
         no
     }
 
-    fn leave_out(&self, id: &str, out: bool) -> Answer {
+    fn set_maintenance(&self, id: &str, out: bool) -> Answer {
         let Ok(id) = percent_decode_str(id).decode_utf8() else {
             return say(StatusCode::BAD_REQUEST, "the id is no text\n");
         };
-        match self.operations.leave_out(&id, out) {
+        match self.operations.set_maintenance(&id, out) {
             Ok(()) => say(StatusCode::OK, if out { "out\n" } else { "back\n" }),
-            Err(error @ LeaveOutError::UnknownWorker) => say(StatusCode::NOT_FOUND, format!("{error}\n")),
+            Err(error @ MaintenanceError::UnknownEndpoint) => {
+                say(StatusCode::NOT_FOUND, format!("{error}\n"))
+            }
             Err(error) => say(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
         }
     }
--- a/src/node/connection/siblings.rs
+++ b/src/node/connection/siblings.rs
@@ -5,8 +5,8 @@
 //! elder. An open connection between two means that both are there; its end, however it came, that the other has
 //! gone. Messages are lines of JSON.
 
-use crate::node::{left_out_file::SharedFolder, processes::Processes};
-use oliverack::{Memory, ServerId};
+use crate::node::{maintenance_file::SharedFolder, processes::Processes};
+use oliverack::{EndpointId, HandoverSnapshot};
 use serde::{Deserialize, Serialize};
 use std::{
     cell::{Cell, RefCell},
@@ -47,14 +47,12 @@
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum Message {
     /// The younger's first message.
-    Hello {
-        form: u32,
-        node: String,
-    },
+    Hello { form: u32, node: String },
     /// The elder's first message.
-    Knows(Memory),
+    Knows(HandoverSnapshot),
     ByHand {
-        server: ServerId,
+        #[serde(rename = "server")]
+        endpoint: EndpointId,
         out: bool,
     },
 }
@@ -87,11 +85,11 @@
 /// What siblings tell each other of, and change in each other.
 pub trait SiblingHandler {
     /// Takes over what an elder process knows.
-    fn inherit(&self, memory: Memory);
+    fn inherit(&self, memory: HandoverSnapshot);
     /// What a younger process should know.
-    fn memory(&self) -> Memory;
-    /// Operators have told a process beside this one to leave a worker out, or to put it back.
-    fn leave_out(&self, server: &ServerId, out: bool);
+    fn memory(&self) -> HandoverSnapshot;
+    /// Operators have told a process beside this one to leave an endpoint out, or to put it back.
+    fn set_maintenance(&self, endpoint: &EndpointId, out: bool);
     /// A sibling has come or gone.
     fn processes_changed(&self);
 }
@@ -100,7 +98,7 @@
 pub struct Siblings {
     /// The node's name: only processes of that name are siblings.
     node: String,
-    /// Longest message, in bytes: what is known of a worker is no longer than its entry in an indented list.
+    /// Longest message, in bytes: what is known of an endpoint is no longer than its entry in an indented list.
     longest: u64,
     known: RefCell<BTreeMap<u64, Sibling>>,
     numbers: Cell<u64>,
@@ -120,9 +118,9 @@
         self.processes.set(elder, known.len() as u32 - elder);
     }
 
-    /// Tells all of them that operators have left a worker out, or put it back.
-    pub fn tell(&self, server: &ServerId, out: bool) {
-        let message = || Message::ByHand { server: server.clone(), out };
+    /// Tells all of them that operators have left an endpoint out, or put it back.
+    pub fn tell(&self, endpoint: &EndpointId, out: bool) {
+        let message = || Message::ByHand { endpoint: endpoint.clone(), out };
         // One that takes no messages loses its connection, which tells both sides.
         self.known.borrow_mut().retain(|_, sibling| sibling.messages.try_send(message()).is_ok());
         self.count();
@@ -249,7 +247,7 @@
         let listen = async {
             loop {
                 match lines.next().await? {
-                    Message::ByHand { server, out } => handler.leave_out(&server, out),
+                    Message::ByHand { endpoint, out } => handler.set_maintenance(&endpoint, out),
                     _ => return Err::<(), _>(Fault::Foreign),
                 }
             }
--- a/src/node/connection/write_progress.rs
+++ b/src/node/connection/write_progress.rs
@@ -55,7 +55,7 @@
         self.written.get() == 0
     }
 
-    /// The last byte has been handed to the socket: the server may have begun.
+    /// The last byte has been handed to the socket: the endpoint may have begun.
     pub fn sent_whole(&self) -> bool {
         match self.whole.get() {
             Some(whole) => self.written.get() >= whole,
--- a/src/node/descriptors.rs
+++ b/src/node/descriptors.rs
@@ -6,21 +6,21 @@
     runtime::counters,
 };
 
-/// Descriptors beside clients and workers: the standard three, runtime, signals, listener, a client just accepted,
+/// Descriptors beside clients and endpoints: the standard three, runtime, signals, listener, a client just accepted,
 /// discovery, a configuration being read, and the counter's lines, also those at old addresses.
 const OTHERS: usize = 21 + counter_client::LINES * (1 + counters::RETIRED);
-/// The workers' part of what is left, in twentieths. Usual clients hold a third of the descriptors at most for
-/// requests. So the larger part may go to clients, to those that bring none, and workers get enough for an attempt a
+/// The endpoints' part of what is left, in twentieths. Usual clients hold a third of the descriptors at most for
+/// requests. So the larger part may go to clients, to those that bring none, and endpoints get enough for an attempt a
 /// request and some kept ones.
-const WORKERS_TWENTIETHS: usize = 7;
+const ENDPOINTS_TWENTIETHS: usize = 7;
 
 /// Connections that may be held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DescriptorBudget {
     /// From clients.
     pub clients: usize,
-    /// To workers.
-    pub workers: usize,
+    /// To endpoints.
+    pub endpoints: usize,
 }
 
 impl DescriptorBudget {
@@ -28,7 +28,7 @@
     pub fn new(config: &Config) -> Self {
         let operators = config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + siblings::SOCKETS);
         let shared = config.sockets - OTHERS - operators;
-        let workers = shared * WORKERS_TWENTIETHS / 20;
-        Self { clients: shared - workers, workers }
+        let endpoints = shared * ENDPOINTS_TWENTIETHS / 20;
+        Self { clients: shared - endpoints, endpoints }
     }
 }
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -1,6 +1,6 @@
 //! What operators read at `/stats`: each figure is counted at one place, here, or read from live state.
 
-use oliverack::Targets;
+use oliverack::EndpointCounts;
 use std::{cell::Cell, fmt::Write, rc::Rc};
 
 /// How a request ended, as its client saw it.
@@ -16,7 +16,7 @@
     /// By class, the requests served, refused and failed.
     ends: Vec<[Cell<u64>; 3]>,
     concurrent: Cell<u64>,
-    /// Attempts written whole to workers.
+    /// Attempts written whole to endpoints.
     pub dispatches: Rc<Cell<u64>>,
 }
 
@@ -33,7 +33,7 @@
     }
 
     /// The metrics in Prometheus' text format.
-    pub fn render(&self, classes: &[String], targets: Targets) -> String {
+    pub fn render(&self, classes: &[String], targets: EndpointCounts) -> String {
         let mut text = String::with_capacity(1024);
         let names = ["success", "overload", "error"];
         // Writing to memory does not fail.
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -3,8 +3,8 @@
 use crate::node::{
     connection::{
         clients::FinalAnswer,
-        worker_attempt::AttemptEnd,
-        worker_pool::Target,
+        endpoint_attempt::AttemptEnd,
+        endpoint_pool::Target,
         write_progress::{Trace, may_have_run},
     },
     runtime::{
@@ -17,51 +17,52 @@
         stream::{self, Content, Piece},
     },
 };
-use oliverack::{Event, JobId, Load, ServerId, Status, Time};
+use oliverack::{EndpointId, Event, LoadReport, RequestId, Status, Time};
 use std::{rc::Rc, time::Duration};
 use tokio::{sync::mpsc, task::AbortHandle};
 use tracing::debug;
 
 impl Driver {
-    /// Begins an attempt, if its request still waits for it and the server is known.
+    /// Begins an attempt, if its request still waits for it and the endpoint is known.
     pub(super) fn send(
         self: &Rc<Self>,
         now: Time,
-        job: JobId,
-        server: ServerId,
+        request_id: RequestId,
+        endpoint: EndpointId,
         timeout: f64,
         dedup_until: Option<Time>,
     ) {
         let mut table = self.open.borrow_mut();
-        let target = self.workers.target(&server);
-        let Some(open) = table.get_mut(&job) else { return };
+        let target = self.endpoints.target(&endpoint);
+        let Some(open) = table.get_mut(&request_id) else { return };
         let number = open.attempts.len() as u32;
         // No time-out of its own means the client's; none is longer.
         let left = open.expires.map_or(open.remaining, |expires| expires - now);
         let wait = if timeout == 0.0 { left } else { timeout.min(left) };
-        let over = !open.is_waiting();
-        let (Some(target), false, true) = (target, over, wait > 0.0) else {
+        let is_finished = !open.is_waiting();
+        let (Some(target), false, true) = (target, is_finished, wait > 0.0) else {
             open.attempts.push(None);
             drop(table);
-            self.wind_up(&job);
-            return self.events.borrow_mut().push_back(not_sent(job, number, server, over));
+            self.wind_up(&request_id);
+            return self.events.borrow_mut().push_back(not_sent(request_id, number, endpoint, is_finished));
         };
         // A body that comes in pieces goes out once at most, and may take its time.
         if let (Some(until), Content::Whole(_)) = (dedup_until, &open.upstream.body) {
             open.dedup_until = until;
-            self.timers.set(until, TimerPurpose::DedupEnd(job.clone()));
+            self.timers.set(until, TimerPurpose::DedupEnd(request_id.clone()));
         }
-        debug!(request = ?open.upstream.txn, attempt = number, worker = %server, wait, "attempt begun");
+        debug!(request = ?open.upstream.txn, attempt = number, endpoint = %endpoint, wait, "attempt begun");
         let trace = Trace::default();
         let upstream = open.upstream.clone();
-        let task = self.spawn_attempt(job.clone(), number, target, upstream, wait, trace.clone());
-        let timer = open.expires.map(|_| self.timers.set(now + wait, TimerPurpose::Attempt(job, number)));
-        open.attempts.push(Some(Attempt { server, sent: now, wait, begun: None, trace, task, timer }));
+        let task = self.spawn_attempt(request_id.clone(), number, target, upstream, wait, trace.clone());
+        let timer =
+            open.expires.map(|_| self.timers.set(now + wait, TimerPurpose::Attempt(request_id, number)));
+        open.attempts.push(Some(Attempt { endpoint, sent: now, wait, begun: None, trace, task, timer }));
     }
 
     fn spawn_attempt(
         self: &Rc<Self>,
-        job: JobId,
+        request_id: RequestId,
         number: u32,
         target: Target,
         upstream: Rc<UpstreamRequest>,
@@ -70,18 +71,23 @@
     ) -> AbortHandle {
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let begin = |length| driver.begun(&job, number, length);
-            let may_begin = || driver.may_begin(&job);
-            let end = driver.workers.attempt(&target, &upstream, wait, &trace, may_begin, begin).await;
-            driver.ended(&job, number, end);
+            let begin = |length| driver.begun(&request_id, number, length);
+            let may_begin = || driver.may_begin(&request_id);
+            let end = driver.endpoints.attempt(&target, &upstream, wait, &trace, may_begin, begin).await;
+            driver.ended(&request_id, number, end);
         });
         task.abort_handle()
     }
 
     /// A large answer has begun: from here on it is the request's, however it ends. `None`: it has another one.
-    fn begun(self: &Rc<Self>, job: &JobId, number: u32, length: Option<u64>) -> Option<mpsc::Sender<Piece>> {
+    fn begun(
+        self: &Rc<Self>,
+        request_id: &RequestId,
+        number: u32,
+        length: Option<u64>,
+    ) -> Option<mpsc::Sender<Piece>> {
         let mut table = self.open.borrow_mut();
-        let open = table.get_mut(job)?;
+        let open = table.get_mut(request_id)?;
         open.attempt_mut(number)?;
         let (sender, pieces) = stream::pipe();
         let given = open.give(FinalAnswer::Streamed { length, pieces });
@@ -93,42 +99,42 @@
         let timer = attempt.timer.take();
         drop(table);
         timer.into_iter().for_each(|timer| self.timers.cancel(timer));
-        self.wind_up(job);
-        self.post(Event::FirstByte { job: job.clone() });
+        self.wind_up(request_id);
+        self.post(Event::ResponseStarted { request_id: request_id.clone() });
         (given == Given::ToClient).then_some(sender)
     }
 
-    fn ended(self: &Rc<Self>, job: &JobId, number: u32, end: AttemptEnd) {
+    fn ended(self: &Rc<Self>, request_id: &RequestId, number: u32, end: AttemptEnd) {
         let mut table = self.open.borrow_mut();
-        let Some(open) = table.get_mut(job) else { return };
+        let Some(open) = table.get_mut(request_id) else { return };
         let Some(attempt) = open.attempts.get_mut(number as usize).and_then(Option::take) else { return };
-        let (request, worker) = (&open.upstream.txn, &attempt.server);
-        debug!(?request, attempt = number, %worker, reason = ?end.status, "attempt ended");
+        let (request, endpoint) = (&open.upstream.txn, &attempt.endpoint);
+        debug!(?request, attempt = number, %endpoint, reason = ?end.status, "attempt ended");
         attempt.timer.into_iter().for_each(|timer| self.timers.cancel(timer));
         if end.status == Status::Ok {
             open.give(FinalAnswer::Served(end.body));
         }
-        let over = !open.is_waiting();
+        let is_finished = !open.is_waiting();
         drop(table);
-        self.wind_up(job);
-        self.post(Event::Outcome {
-            job: job.clone(),
+        self.wind_up(request_id);
+        self.post(Event::AttemptEnded {
+            request_id: request_id.clone(),
             attempt: number,
-            server: attempt.server,
+            endpoint: attempt.endpoint,
             status: end.status,
             // A long answer's time is its client's affair.
-            spent: (attempt.begun.unwrap_or_else(|| self.clock.now()) - attempt.sent).max(0.0),
-            over,
-            settled: None,
+            elapsed: (attempt.begun.unwrap_or_else(|| self.clock.now()) - attempt.sent).max(0.0),
+            is_finished,
+            actual_units: None,
             load: end.load,
         });
     }
 
     /// Ends an attempt from this side: dropping its task closes the connection.
-    pub(super) fn stop(self: &Rc<Self>, job: &JobId, number: u32, status: Status) {
+    pub(super) fn stop(self: &Rc<Self>, request_id: &RequestId, number: u32, status: Status) {
         let stopped = {
             let mut table = self.open.borrow_mut();
-            let attempt = table.get_mut(job).and_then(|open| open.attempt_mut(number));
+            let attempt = table.get_mut(request_id).and_then(|open| open.attempt_mut(number));
             attempt.map(|attempt| {
                 attempt.task.abort();
                 may_have_run(&attempt.trace)
@@ -136,30 +142,39 @@
         };
         if let Some(may_have_run) = stopped {
             // Not written whole: it was never sent, whatever ended it.
-            let status = if may_have_run { status } else { Status::Moot };
-            self.ended(job, number, AttemptEnd::without_answer(status));
+            let status = if may_have_run { status } else { Status::NotSent };
+            self.ended(request_id, number, AttemptEnd::without_answer(status));
         }
     }
 
-    /// Asks a worker how it is.
-    pub(super) fn probe(self: &Rc<Self>, server: ServerId) {
-        let target = self.workers.target(&server);
+    /// Asks an endpoint how it is.
+    pub(super) fn probe(self: &Rc<Self>, endpoint: EndpointId) {
+        let target = self.endpoints.target(&endpoint);
         let limit = Duration::from_secs_f64(self.config.options.connect_timeout);
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let end = match target {
-                Some(target) => tokio::time::timeout(limit, driver.workers.probe(&target)).await,
-                None => Ok(AttemptEnd::without_answer(Status::Moot)),
+                Some(target) => tokio::time::timeout(limit, driver.endpoints.probe(&target)).await,
+                None => Ok(AttemptEnd::without_answer(Status::NotSent)),
             };
             let AttemptEnd { status, load, .. } =
                 end.unwrap_or_else(|_| AttemptEnd::without_answer(Status::Timeout));
-            driver.post(Event::Probed { server, status, load });
+            driver.post(Event::HealthCheckEnded { endpoint, status, load });
         });
     }
 }
 
 /// The outcome of an attempt that was not begun.
-fn not_sent(job: JobId, attempt: u32, server: ServerId, over: bool) -> Event {
-    let (status, load) = (Status::Moot, Load::default());
-    Event::Outcome { job, attempt, server, status, spent: 0.0, over, settled: None, load }
+fn not_sent(request_id: RequestId, attempt: u32, endpoint: EndpointId, is_finished: bool) -> Event {
+    let (status, load) = (Status::NotSent, LoadReport::default());
+    Event::AttemptEnded {
+        request_id,
+        attempt,
+        endpoint,
+        status,
+        elapsed: 0.0,
+        is_finished,
+        actual_units: None,
+        load,
+    }
 }
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -4,11 +4,11 @@
     config::Config,
     connection::{
         discovery::ListSink,
+        endpoint_pool::EndpointPool,
         events::{EventSender, EventSink},
         siblings::Siblings,
-        worker_pool::WorkerPool,
     },
-    left_out_file::LeftOutFile,
+    maintenance_file::MaintenanceFile,
     metrics::Metrics,
     processes::Processes,
     runtime::{
@@ -17,11 +17,11 @@
         open_requests::OpenRequest,
         timers::{TimerPurpose, Timers},
     },
-    wire::worker_list::Listed,
+    wire::endpoint_list::Listed,
 };
 use fnv::{FnvHashMap, FnvHashSet};
 use hyper::header::HeaderValue;
-use oliverack::{Action, Event, Gateway, JobId, ListKind, SettingsError, Status, Time};
+use oliverack::{Action, Event, Gateway, ListKind, RequestId, SettingsError, Status, Time};
 use std::{
     cell::{Cell, RefCell},
     collections::VecDeque,
@@ -49,21 +49,21 @@
     /// Those that the policy has still to hear of, in order.
     pub(super) events: RefCell<VecDeque<Event>>,
     is_working: Cell<bool>,
-    pub(super) open: RefCell<FnvHashMap<JobId, OpenRequest>>,
+    pub(super) open: RefCell<FnvHashMap<RequestId, OpenRequest>>,
     /// The clients' names of the open requests.
     pub(super) transactions: RefCell<FnvHashSet<HeaderValue>>,
     pub(super) last_job: Cell<u64>,
     pub(super) timers: Timers,
     /// The policy wants the list followed, where that has its price.
     pub asked: Rc<Notify>,
-    pub(super) workers: WorkerPool,
+    pub(super) endpoints: EndpointPool,
     pub metrics: Rc<Metrics>,
     counters: CounterClients,
     /// Other processes of this gateway.
     pub siblings: Rc<Siblings>,
     pub processes: Rc<Processes>,
     /// `None`: there are no operators' calls, or no folder.
-    pub(super) left_out_file: Option<LeftOutFile>,
+    pub(super) maintenance_file: Option<MaintenanceFile>,
 }
 
 impl Driver {
@@ -71,14 +71,14 @@
     ///
     /// # Errors
     /// Settings that no gateway can work with.
-    pub fn new(mut config: Config, worker_budget: usize) -> Result<Rc<Self>, SettingsError> {
+    pub fn new(mut config: Config, endpoint_budget: usize) -> Result<Rc<Self>, SettingsError> {
         let settings = &config.options.settings;
         let gateway = Gateway::new(settings.clone(), config.seed)?;
         let counter = config.counter.filter(|_| settings.has_counter);
-        let counters = CounterClients::new(counter, Duration::from_secs_f64(settings.count_limit));
+        let counters = CounterClients::new(counter, Duration::from_secs_f64(settings.counter_timeout));
         let metrics = Metrics::new(config.options.classes.len());
-        let workers = WorkerPool::new(
-            worker_budget,
+        let endpoints = EndpointPool::new(
+            endpoint_budget,
             Duration::from_secs_f64(config.options.conn_idle),
             Duration::from_secs_f64(config.options.connect_timeout),
             metrics.dispatches.clone(),
@@ -96,12 +96,12 @@
             last_job: Cell::new(0),
             timers: Timers::default(),
             asked: Rc::default(),
-            workers,
+            endpoints,
             metrics,
             counters,
             siblings: Siblings::new(&config.name, config.list_bound(), processes.clone()),
             processes,
-            left_out_file: config.operator.and_then(|_| LeftOutFile::new(&config.name)),
+            maintenance_file: config.operator.and_then(|_| MaintenanceFile::new(&config.name)),
             config,
         });
         driver.list(ListKind::Stale, known);
@@ -126,7 +126,7 @@
 
     /// Closes idle connections that are due.
     pub fn sweep(&self) {
-        self.workers.sweep();
+        self.endpoints.sweep();
     }
 
     /// Hands the policy one event and carries out what it wants; events that this leads to come after it.
@@ -146,28 +146,30 @@
         }
     }
 
-    /// News of the workers. Names are mapped to addresses here, which are each gateway's own.
-    fn list(self: &Rc<Self>, kind: ListKind, workers: Vec<Listed>) {
-        self.workers.listed(kind != ListKind::Changes, &workers);
-        let servers = workers.into_iter().map(|listed| listed.server).collect();
-        self.post(Event::List { kind, servers });
+    /// News of the endpoints. Names are mapped to addresses here, which are each gateway's own.
+    fn list(self: &Rc<Self>, kind: ListKind, endpoints: Vec<Listed>) {
+        self.endpoints.listed(kind != ListKind::Changes, &endpoints);
+        let endpoints = endpoints.into_iter().map(|listed| listed.endpoint).collect();
+        self.post(Event::EndpointsUpdated { kind, endpoints });
     }
 
     fn carry_out(self: &Rc<Self>, now: Time, action: Action) {
         match action {
-            Action::Send { job, server, timeout, dedup_until } => {
-                self.send(now, job, server, timeout, dedup_until);
+            Action::StartAttempt { request_id, endpoint, timeout, dedup_until } => {
+                self.send(now, request_id, endpoint, timeout, dedup_until);
             }
-            Action::Refuse { job, retry_after } => self.refuse(&job, retry_after),
-            Action::Fail { job } => self.fail(&job),
-            Action::Cancel { job, attempt } => self.stop(&job, attempt, Status::Cancelled),
-            Action::Timer { token, at } => {
+            Action::Reject { request_id, retry_after } => self.refuse(&request_id, retry_after),
+            Action::Fail { request_id } => self.fail(&request_id),
+            Action::CancelAttempt { request_id, attempt } => {
+                self.stop(&request_id, attempt, Status::Cancelled)
+            }
+            Action::SetTimer { token, at } => {
                 self.timers.set(at, TimerPurpose::Policy(token));
             }
-            Action::Probe { server } => self.probe(server),
-            Action::Count { counter, amount, ttl } => self.count(now, counter, amount, ttl),
+            Action::CheckHealth { endpoint } => self.probe(endpoint),
+            Action::AddToCounter { counter, amount, ttl } => self.count(now, counter, amount, ttl),
             Action::Log(text) => info!("{text}"),
-            Action::Watch => self.asked.notify_one(),
+            Action::PollEndpoints => self.asked.notify_one(),
             other => error!(action = ?other, "unknown action of the policy"),
         }
     }
@@ -175,10 +177,11 @@
     fn count(self: &Rc<Self>, now: Time, counter: u64, amount: f64, ttl: f64) {
         if let Some(client) = self.counters.client_for(counter) {
             let number = client.call(&self.sender(), counter, amount, ttl);
-            let limit = self.config.options.settings.count_limit;
+            let limit = self.config.options.settings.counter_timeout;
             self.timers.set(now + limit, TimerPurpose::CounterCall(client, number));
         } else {
-            let event = Event::Counted { counter, status: Status::ConnectFailed, total: 0.0, spent: 0.0 };
+            let event =
+                Event::CounterReplied { counter, status: Status::ConnectFailed, total: 0.0, elapsed: 0.0 };
             self.events.borrow_mut().push_back(event);
         }
     }
@@ -186,10 +189,10 @@
     fn fire(self: &Rc<Self>, purpose: TimerPurpose) {
         match purpose {
             TimerPurpose::Policy(token) => self.post(Event::Timer { token }),
-            TimerPurpose::Attempt(job, number) => self.stop(&job, number, Status::Timeout),
+            TimerPurpose::Attempt(request_id, number) => self.stop(&request_id, number, Status::Timeout),
             TimerPurpose::CounterCall(client, number) => client.expire(&self.sender(), number),
-            TimerPurpose::DedupEnd(job) => self.wind_up(&job),
-            TimerPurpose::Deadline(job) => self.fail_at_deadline(job),
+            TimerPurpose::DedupEnd(request_id) => self.wind_up(&request_id),
+            TimerPurpose::Deadline(request_id) => self.fail_at_deadline(request_id),
         }
     }
 
@@ -218,11 +221,11 @@
 }
 
 impl ListSink for Rc<Driver> {
-    fn list(&self, kind: ListKind, workers: Vec<Listed>) {
-        Driver::list(self, kind, workers);
+    fn list(&self, kind: ListKind, endpoints: Vec<Listed>) {
+        Driver::list(self, kind, endpoints);
     }
 
     fn unlisted(&self) {
-        Driver::post(self, Event::List { kind: ListKind::Failed, servers: Vec::new() });
+        Driver::post(self, Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
     }
 }
--- a/src/node/runtime/open_requests.rs
+++ b/src/node/runtime/open_requests.rs
@@ -8,7 +8,7 @@
     runtime::timers::TimerKey,
     wire::client_request::UpstreamRequest,
 };
-use oliverack::{ServerId, Time};
+use oliverack::{EndpointId, Time};
 use std::rc::Rc;
 use tokio::{sync::oneshot, task::AbortHandle};
 use tracing::debug;
@@ -16,7 +16,7 @@
 /// An attempt that is out.
 pub struct Attempt {
     /// Where it went.
-    pub server: ServerId,
+    pub endpoint: EndpointId,
     /// When it was sent.
     pub sent: Time,
     /// Seconds to wait for its answer, once its request is written.
@@ -32,7 +32,7 @@
 }
 
 impl Attempt {
-    /// Its server cannot have begun to work on it.
+    /// Its endpoint cannot have begun to work on it.
     fn is_unsent(&self) -> bool {
         self.begun.is_none() && !may_have_run(&self.trace)
     }
@@ -109,7 +109,7 @@
         self.attempts.get_mut(number as usize)?.as_mut()
     }
 
-    /// The numbers of the attempts that no server can have begun to work on.
+    /// The numbers of the attempts that no endpoint can have begun to work on.
     pub fn unsent_attempts(&self) -> Vec<u32> {
         let attempts = (0..).zip(&self.attempts);
         let unsent = attempts.filter(|(_, attempt)| attempt.as_ref().is_some_and(Attempt::is_unsent));
--- a/src/node/runtime/requests.rs
+++ b/src/node/runtime/requests.rs
@@ -9,7 +9,7 @@
     },
     wire::{client_request::ClientRequest, stream::Content},
 };
-use oliverack::{Event, JobId, Request, Status};
+use oliverack::{Event, Request, RequestId, Status};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tracing::debug;
@@ -25,58 +25,59 @@
 
     /// Gives every request in hand its final answer: the process is about to be killed.
     pub fn fail_all(self: &Rc<Self>) {
-        let jobs: Vec<JobId> = self.open.borrow().keys().cloned().collect();
-        for job in jobs {
-            self.fail(&job);
-            self.post(Event::Left { job });
+        let requests: Vec<RequestId> = self.open.borrow().keys().cloned().collect();
+        for request_id in requests {
+            self.fail(&request_id);
+            self.post(Event::ClientDisconnected { request_id });
         }
     }
 
     /// The policy answers before: this is the last resort, so that no client waits for nothing.
-    pub(super) fn fail_at_deadline(self: &Rc<Self>, job: JobId) {
-        let waits = self.open.borrow().get(&job).is_some_and(OpenRequest::is_waiting);
+    pub(super) fn fail_at_deadline(self: &Rc<Self>, request_id: RequestId) {
+        let waits = self.open.borrow().get(&request_id).is_some_and(OpenRequest::is_waiting);
         if waits {
-            self.fail(&job);
-            self.post(Event::Left { job });
+            self.fail(&request_id);
+            self.post(Event::ClientDisconnected { request_id });
         }
     }
 
-    pub(super) fn refuse(self: &Rc<Self>, job: &JobId, retry_after: f64) {
-        self.answer(job, FinalAnswer::Refused { retry_after });
+    pub(super) fn refuse(self: &Rc<Self>, request_id: &RequestId, retry_after: f64) {
+        self.answer(request_id, FinalAnswer::Refused { retry_after });
     }
 
-    pub(super) fn fail(self: &Rc<Self>, job: &JobId) {
-        self.answer(job, FinalAnswer::Failed);
+    pub(super) fn fail(self: &Rc<Self>, request_id: &RequestId) {
+        self.answer(request_id, FinalAnswer::Failed);
     }
 
-    fn answer(self: &Rc<Self>, job: &JobId, answer: FinalAnswer) {
-        let given = self.open.borrow_mut().get_mut(job).map_or(Given::Before, |open| open.give(answer));
+    fn answer(self: &Rc<Self>, request_id: &RequestId, answer: FinalAnswer) {
+        let given =
+            self.open.borrow_mut().get_mut(request_id).map_or(Given::Before, |open| open.give(answer));
         if given != Given::Before {
-            self.wind_up(job);
+            self.wind_up(request_id);
         }
     }
 
-    /// Whether an attempt of a request may begin its work: its client waits, and the servers would know a repeat.
-    pub(super) fn may_begin(&self, job: &JobId) -> bool {
+    /// Whether an attempt of a request may begin its work: its client waits, and the endpoints would know a repeat.
+    pub(super) fn may_begin(&self, request_id: &RequestId) -> bool {
         let open = self.open.borrow();
-        open.get(job).is_some_and(|open| open.is_waiting() && self.clock.now() < open.dedup_until)
+        open.get(request_id).is_some_and(|open| open.is_waiting() && self.clock.now() < open.dedup_until)
     }
 
-    /// Winds up a request that is answered, whose client has left, or which the servers may have forgotten. An
+    /// Winds up a request that is answered, whose client has left, or which the endpoints may have forgotten. An
     /// attempt that still waits for its connection, or is half written, must not begin its work now: it is
     /// stopped. Without attempts out an answered request is dropped.
-    pub(super) fn wind_up(self: &Rc<Self>, job: &JobId) {
-        let unsent = if self.may_begin(job) {
+    pub(super) fn wind_up(self: &Rc<Self>, request_id: &RequestId) {
+        let unsent = if self.may_begin(request_id) {
             Vec::new()
         } else {
-            self.open.borrow().get(job).map(OpenRequest::unsent_attempts).unwrap_or_default()
+            self.open.borrow().get(request_id).map(OpenRequest::unsent_attempts).unwrap_or_default()
         };
-        unsent.into_iter().for_each(|number| self.stop(job, number, Status::Cancelled));
+        unsent.into_iter().for_each(|number| self.stop(request_id, number, Status::Cancelled));
         let mut table = self.open.borrow_mut();
-        if !table.get(job).is_some_and(OpenRequest::is_done) {
+        if !table.get(request_id).is_some_and(OpenRequest::is_done) {
             return;
         }
-        let open = table.remove(job);
+        let open = table.remove(request_id);
         drop(table);
         if let Some(open) = open {
             open.deadline.into_iter().for_each(|timer| self.timers.cancel(timer));
@@ -86,58 +87,58 @@
 }
 
 impl RequestHandler for Rc<Driver> {
-    fn accept(&self, request: ClientRequest) -> Option<(JobId, oneshot::Receiver<FinalAnswer>)> {
+    fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)> {
         if !self.transactions.borrow_mut().insert(request.upstream.txn.clone()) {
             return None;
         }
         debug!(request = ?request.upstream.txn, customer = request.customer, class = request.class, "request taken");
         self.last_job.set(self.last_job.get() + 1);
-        let job: JobId = self.last_job.get().to_string().into();
+        let request_id: RequestId = self.last_job.get().to_string().into();
         let expires = self.clock.now() + request.remaining;
         let (answer, receiver) = oneshot::channel();
         let upstream = Rc::new(request.upstream);
         let open = OpenRequest::new(answer, upstream.clone(), request.remaining);
-        self.open.borrow_mut().insert(job.clone(), open);
+        self.open.borrow_mut().insert(request_id.clone(), open);
         if matches!(upstream.body, Content::Whole(_)) {
-            self.received_whole(&job);
+            self.received_whole(&request_id);
         }
         self.post(Event::Request(Request {
-            job: job.clone(),
+            id: request_id.clone(),
             units: request.units,
-            expires,
+            deadline: expires,
             plan: request.plan,
-            spread: request.spread,
-            first: request.first,
+            customer_gateway_count: request.spread,
+            first_gateway: request.first,
             class: request.class,
             customer: request.customer.into(),
-            repeat: request.repeat,
+            is_retry: request.repeat,
         }));
-        Some((job, receiver))
+        Some((request_id, receiver))
     }
 
-    fn received_whole(&self, job: &JobId) {
+    fn received_whole(&self, request_id: &RequestId) {
         let mut table = self.open.borrow_mut();
-        let Some(open) = table.get_mut(job).filter(|open| open.expires.is_none()) else { return };
+        let Some(open) = table.get_mut(request_id).filter(|open| open.expires.is_none()) else { return };
         let now = self.clock.now();
         let expires = now + open.remaining;
         open.expires = Some(expires);
         // After the time-outs that are cut to the same moment: the policy's own answer comes first.
-        let deadline = TimerPurpose::Deadline(job.clone());
+        let deadline = TimerPurpose::Deadline(request_id.clone());
         open.deadline = Some(self.timers.set(expires + LAST_RESORT, deadline));
         for (number, attempt) in (0..).zip(&mut open.attempts) {
             if let Some(attempt) = attempt.as_mut().filter(|attempt| attempt.begun.is_none()) {
                 attempt.sent = now;
-                let purpose = TimerPurpose::Attempt(job.clone(), number);
+                let purpose = TimerPurpose::Attempt(request_id.clone(), number);
                 attempt.timer = Some(self.timers.set(now + attempt.wait, purpose));
             }
         }
     }
 
-    fn left(&self, job: &JobId) {
-        let waited = self.open.borrow_mut().get_mut(job).is_some_and(OpenRequest::abandon);
+    fn left(&self, request_id: &RequestId) {
+        let waited = self.open.borrow_mut().get_mut(request_id).is_some_and(OpenRequest::abandon);
         if waited {
-            self.wind_up(job);
-            self.post(Event::Left { job: job.clone() });
+            self.wind_up(request_id);
+            self.post(Event::ClientDisconnected { request_id: request_id.clone() });
         }
     }
 }
--- a/src/node/runtime/timers.rs
+++ b/src/node/runtime/timers.rs
@@ -1,7 +1,7 @@
 //! Timers in the order in which they are due.
 
 use crate::node::connection::counter_client::CounterClient;
-use oliverack::{JobId, Time};
+use oliverack::{RequestId, Time};
 use std::{
     cell::{Cell, RefCell},
     collections::BTreeMap,
@@ -14,11 +14,11 @@
     /// The policy asked for it, by this token.
     Policy(u64),
     /// The time of an attempt is up.
-    Attempt(JobId, u32),
+    Attempt(RequestId, u32),
     /// The client no longer waits.
-    Deadline(JobId),
-    /// The servers may have forgotten the request.
-    DedupEnd(JobId),
+    Deadline(RequestId),
+    /// The endpoints may have forgotten the request.
+    DedupEnd(RequestId),
     /// The time of a counter call is up.
     CounterCall(Rc<CounterClient>, u64),
 }
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -5,7 +5,7 @@
     connection::{
         clients::{Clients, Context},
         discovery::{self, Discovery},
-        operators::{LeaveOutError, Operations, Operators},
+        operators::{MaintenanceError, Operations, Operators},
         siblings,
     },
     descriptors::DescriptorBudget,
@@ -108,7 +108,7 @@
     let kill = time_to_kill(config.options.deadline);
     let budget = DescriptorBudget::new(&config);
     let (address, addresses) = watch::channel(config.discovery);
-    let driver = Driver::new(config, budget.workers).map_err(NodeError::Settings)?;
+    let driver = Driver::new(config, budget.endpoints).map_err(NodeError::Settings)?;
     let mut calls = JoinSet::new();
     if operators.is_some() {
         meet_siblings(&driver, &mut calls).await;
@@ -147,7 +147,7 @@
     let handler: siblings::Handler = Rc::new(driver.clone());
     let (met, listener) = siblings::meet(&driver.siblings, &handler).await;
     if !met {
-        driver.recall_left_out();
+        driver.restore_maintenance();
     }
     if let Some(listener) = listener {
         calls.spawn_local(siblings::welcome(driver.siblings.clone(), handler, listener));
@@ -160,7 +160,7 @@
 ) -> tokio::task::JoinHandle<()> {
     let config = &driver.config;
     let discovery = Discovery {
-        must_ask: config.options.settings.must_ask,
+        must_ask: config.options.settings.discovery_is_polled,
         version: config.version,
         list_bound: config.list_bound(),
         zones: config.options.zones.clone(),
@@ -204,8 +204,8 @@
         self.driver.render_metrics()
     }
 
-    fn leave_out(&self, id: &str, out: bool) -> Result<(), LeaveOutError> {
-        self.driver.leave_out_and_keep(id, out)
+    fn set_maintenance(&self, id: &str, out: bool) -> Result<(), MaintenanceError> {
+        self.driver.set_and_store_maintenance(id, out)
     }
 }
 
--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -1,4 +1,4 @@
-//! What a client's request says, in the terms of the settings, and what goes on of it to a worker.
+//! What a client's request says, in the terms of the settings, and what goes on of it to an endpoint.
 
 use crate::node::wire::{
     request_head::Head,
@@ -17,7 +17,7 @@
 /// Digits of a customer's number.
 const CUSTOMER_DIGITS: usize = 16;
 
-/// What goes on to a worker.
+/// What goes on to an endpoint.
 #[derive(Debug)]
 pub struct UpstreamRequest {
     /// The client's.
@@ -26,7 +26,7 @@
     pub uri: Uri,
     /// The request's name, new for every request of a client.
     pub txn: HeaderValue,
-    /// By it the workers of a group tell a repeat: without it a keyed request is another one.
+    /// By it the endpoints of a group tell a repeat: without it a keyed request is another one.
     pub idempotency_key: Option<HeaderValue>,
     /// The client's.
     pub content_type: Option<HeaderValue>,
@@ -35,9 +35,9 @@
 }
 
 impl UpstreamRequest {
-    /// The request as it goes to a worker that is told how many seconds the gateway will wait; `None`: its body has
+    /// The request as it goes to an endpoint that is told how many seconds the gateway will wait; `None`: its body has
     /// gone to another one.
-    pub fn to_worker(&self, wait: f64) -> Option<Request<Outgoing>> {
+    pub fn to_endpoint(&self, wait: f64) -> Option<Request<Outgoing>> {
         let mut request = Request::new(self.body.take()?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -76,7 +76,7 @@
     pub remaining: f64,
     /// It is a client's marked retry.
     pub repeat: bool,
-    /// What goes on to a worker.
+    /// What goes on to an endpoint.
     pub upstream: UpstreamRequest,
 }
 
@@ -106,7 +106,7 @@
             None => false,
             Some(_) => text(&head.headers, "x-resent").filter(|v| matches!(*v, "0" | "1")).ok_or(bad)? == "1",
         };
-        let gateways = options.settings.gateways;
+        let gateways = options.settings.gateway_count;
         let txn = text(&head.headers, "x-txn").ok_or(bad)?;
         let named = (1..=MAX_TXN).contains(&txn.len()) && txn.bytes().all(|b| b.is_ascii_graphic());
         if !named
--- a/src/node/wire/worker_list.rs
+++ b/src/node/wire/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The list of workers in discovery's form. It is read from its text without a copy of any of its strings.
+//! The list of endpoints in discovery's form. It is read from its text without a copy of any of its strings.
 
-use oliverack::{Lifecycle, Server};
+use oliverack::{Endpoint, Lifecycle};
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::{
@@ -9,19 +9,19 @@
     net::SocketAddr,
 };
 
-/// A list of workers, borrowed from its text.
+/// A list of endpoints, borrowed from its text.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub struct List<'a> {
     /// Grows with each change.
     pub version: u64,
-    /// It names all workers, not only those that have changed.
+    /// It names all endpoints, not only those that have changed.
     pub full: bool,
     /// Its entries.
-    #[serde(borrow)]
-    servers: Vec<Entry<'a>>,
+    #[serde(borrow, rename = "servers")]
+    endpoints: Vec<Entry<'a>>,
 }
 
-/// A worker as discovery shows it.
+/// An endpoint as discovery shows it.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct Entry<'a> {
     /// The same at all gateways.
@@ -44,19 +44,19 @@
     started_ms: f64,
 }
 
-/// A worker in the module's terms, with its address if it has a usable one.
+/// An endpoint in the module's terms, with its address if it has a usable one.
 #[derive(Debug, Clone)]
 pub struct Listed {
-    pub server: Server,
+    pub endpoint: Endpoint,
     pub addr: Option<SocketAddr>,
 }
 
 impl List<'_> {
-    /// The workers whose state is known; `zones` are the names of the zones by number.
-    pub fn workers(&self, zones: &[String]) -> Vec<Listed> {
-        let mut workers = Vec::with_capacity(self.servers.len());
-        workers.extend(self.servers.iter().filter_map(|entry| entry.listed(zones)));
-        workers
+    /// The endpoints whose state is known; `zones` are the names of the zones by number.
+    pub fn endpoints(&self, zones: &[String]) -> Vec<Listed> {
+        let mut endpoints = Vec::with_capacity(self.endpoints.len());
+        endpoints.extend(self.endpoints.iter().filter_map(|entry| entry.listed(zones)));
+        endpoints
     }
 }
 
@@ -69,18 +69,18 @@
             "DELETED" => Lifecycle::Gone,
             _ => return None,
         };
-        let server = Server {
+        let endpoint = Endpoint {
             id: self.id.as_ref().into(),
             zone: zone_number(&self.zone, zones),
             cell: self.cell,
             started: self.started_ms / 1000.0,
             lifecycle,
         };
-        Some(Listed { server, addr: self.addr.parse().ok() })
+        Some(Listed { endpoint, addr: self.addr.parse().ok() })
     }
 }
 
-/// One that the settings don't name is a zone all the same, and another than the next such: workers of two zones don't
+/// One that the settings don't name is a zone all the same, and another than the next such: endpoints of two zones don't
 /// know each other's requests.
 fn zone_number(name: &str, zones: &[String]) -> u32 {
     if let Some(number) = zones.iter().position(|zone| zone == name) {
--- a/src/node/wire/mod.rs
+++ b/src/node/wire/mod.rs
@@ -3,9 +3,9 @@
 pub mod client_request;
 pub mod client_response;
 pub mod counter_protocol;
+pub mod endpoint_list;
 pub mod limits;
 pub mod load_report;
 pub mod request_body;
 pub mod request_head;
 pub mod stream;
-pub mod worker_list;
--- a/src/policy/concurrency.rs
+++ b/src/policy/concurrency.rs
@@ -14,10 +14,10 @@
 
 /// This process's share of a plan's cap, one at least.
 fn slots(plan: &Plan, customer: &Customer, sharing: Sharing) -> u32 {
-    if plan.open == 0 {
+    if plan.max_concurrent_attempts == 0 {
         return u32::MAX;
     }
-    let share = even_slots(plan.open, customer.position, customer.spread);
+    let share = even_slots(plan.max_concurrent_attempts, customer.position, customer.spread);
     even_slots(share, sharing.position, sharing.processes).max(1)
 }
 
@@ -28,13 +28,13 @@
         let customer = &self.customers[customer];
         let rate = customer.arrivals.level / ARRIVALS_MEMORY;
         let out = rate * f64::from(customer.spread) * self.overload.latency.mean;
-        let is_thin = (1..customer.spread / THIN_CAP_GATEWAYS).contains(&plan.open);
-        is_thin && self.rng.f64() * out > THIN_CAP_SHARE * f64::from(plan.open)
+        let is_thin = (1..customer.spread / THIN_CAP_GATEWAYS).contains(&plan.max_concurrent_attempts);
+        is_thin && self.rng.f64() * out > THIN_CAP_SHARE * f64::from(plan.max_concurrent_attempts)
     }
 
     /// Sends a covered request, once a slot is free for it.
-    pub(super) fn send_in_slot(&mut self, id: JobId, units: f64, plan: &Plan) {
-        let customer = &self.customers[&self.jobs[&id].request.customer];
+    pub(super) fn send_in_slot(&mut self, id: RequestId, units: f64, plan: &Plan) {
+        let customer = &self.customers[&self.requests[&id].request.customer];
         if customer.attempts_out < slots(plan, customer, self.sharing) {
             self.send_first(id);
         } else {
@@ -44,9 +44,9 @@
 
     /// A burst finds a gateway's few slots taken, and each is free again in an answer's time: a request waits
     /// where that leaves time for its answer. Where those before it take too long it is refused at once.
-    fn queue_for_slot(&mut self, id: JobId, units: f64, plan: &Plan) {
-        let request = &self.jobs[&id].request;
-        let longest = WAIT_SHARE * self.settings.classes[request.class].aim;
+    fn queue_for_slot(&mut self, id: RequestId, units: f64, plan: &Plan) {
+        let request = &self.requests[&id].request;
+        let longest = WAIT_SHARE * self.settings.classes[request.class].latency_objective;
         let customer = self.customers.get_mut(&request.customer).expect("spending customers are known");
         let slots = f64::from(slots(plan, customer, self.sharing));
         let wait = (customer.slot_queue.len() + 1) as f64 * self.overload.latency.mean / slots;
@@ -65,7 +65,7 @@
                 return;
             }
             match customer.slot_queue.pop_front() {
-                Some((id, _)) if self.jobs.contains_key(&id) => self.send_first(id),
+                Some((id, _)) if self.requests.contains_key(&id) => self.send_first(id),
                 Some((_, units)) => customer.unspend(units), // Its client has left.
                 None => return,
             }
@@ -73,9 +73,9 @@
     }
 
     /// No slot came free in time.
-    pub(super) fn stop_queueing(&mut self, id: &JobId) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let Some(customer) = self.customers.get_mut(&job.request.customer) else { return };
+    pub(super) fn stop_queueing(&mut self, id: &RequestId) {
+        let Some(request_state) = self.requests.get(id) else { return };
+        let Some(customer) = self.customers.get_mut(&request_state.request.customer) else { return };
         let Some(index) = customer.slot_queue.iter().position(|(queued, _)| queued == id) else { return };
         let unsent = customer.slot_queue.remove(index);
         unsent.into_iter().for_each(|(_, units)| customer.unspend(units));
--- a/src/policy/counter_budget.rs
+++ b/src/policy/counter_budget.rs
@@ -86,13 +86,13 @@
 
     /// Learns from a call's end, `spent` seconds after its start. A gateway of many has less than one call
     /// out, so the rate is what moves. A spoilt answer says nothing of the counter's speed.
-    pub fn observe(&mut self, now: Time, status: Status, spent: f64, limit: f64) {
+    pub fn observe(&mut self, now: Time, status: Status, elapsed: f64, limit: f64) {
         if matches!(status, Status::Error | Status::Reset) {
             return;
         }
-        let quick = status == Status::Ok && spent < SLOW_SHARE * limit;
+        let quick = status == Status::Ok && elapsed < SLOW_SHARE * limit;
         let recovered = self.rate_before * RECOVERY_SHARE;
-        if !quick && now - spent >= self.decreased_at + limit {
+        if !quick && now - elapsed >= self.decreased_at + limit {
             // Once for all that was out at that moment or went out right behind it: they met the same queue.
             self.decreased_at = now;
             self.rate_before = self.rate_before.max(self.rate);
--- a/src/policy/servers.rs
+++ b/src/policy/endpoints.rs
@@ -1,23 +1,23 @@
-//! Decides what is known of the servers: when the list is asked for, which servers a gateway keeps to, and
-//! which are ejected as they fail.
+//! Decides when the endpoint list is polled, which endpoints a gateway keeps to, and which are ejected as they
+//! fail.
 
 use super::*;
 
-/// Servers that a gateway keeps to at least.
+/// Endpoints that a gateway keeps to at least.
 pub const MIN_SUBSET: usize = 6;
-/// Times servers over gateways that it keeps to, so that as many gateways meet at each server.
+/// Times endpoints over gateways that it keeps to, so that as many gateways meet at each endpoint.
 pub const SUBSET_FACTOR: usize = 20;
-/// Failures in a row that eject a server; a refused connection counts as all but one of them.
+/// Failures in a row that eject an endpoint; a refused connection counts as all but one of them.
 const EJECT_AFTER: u32 = 3;
-/// Seconds that a server is ejected for at first.
+/// Seconds that an endpoint is ejected for at first.
 pub const MIN_EJECTION: f64 = 1.0;
 /// Seconds that it is ejected for at most.
 pub const MAX_EJECTION: f64 = 8.0;
-/// Share of the servers that may be ejected at once: more failing together is no server's own fault.
+/// Share of the endpoints that may be ejected at once: more failing together is no endpoint's own fault.
 const MAX_EJECTED_SHARE: f64 = 0.5;
-/// Seconds out of reach, with no answer between, for a server to count as gone, and to be spared as cold.
+/// Seconds out of reach, with no answer between, for an endpoint to count as gone, and to be spared as cold.
 const GONE_AFTER: f64 = 0.5;
-/// Seconds after which what was heard of a server counts for little.
+/// Seconds after which what was heard of an endpoint counts for little.
 pub const NEWS_MEMORY: f64 = 14.0;
 /// Seconds that each gateway adds to the span over which all spread their first calls for the list.
 const LIST_CALL_SPACING: f64 = 0.05;
@@ -34,8 +34,8 @@
 pub const SWEEP_INTERVAL: f64 = 5.0;
 
 impl Gateway {
-    /// The list of servers, or that it could not be had.
-    pub(super) fn list(&mut self, kind: ListKind, servers: Vec<Server>) {
+    /// The list of endpoints, or that it could not be had.
+    pub(super) fn list(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) {
         match kind {
             ListKind::Stale => self.ask_for_list(MAX_START_SPAN),
             ListKind::Failed => self.ask_for_list(MAX_RETRY_SPAN),
@@ -46,10 +46,10 @@
         }
         self.none_beyond_until = 0.0;
         let (now, latency, rng) = (self.now, self.overload.latency.mean, &mut self.rng);
-        self.servers.update(kind == ListKind::Full, servers, |server, entry| {
+        self.endpoints.update(kind == ListKind::Full, endpoints, |endpoint, entry| {
             let level = rng.f64();
-            if !server.known || entry.started > server.cold_since {
-                server.renew(entry.started, TokenBucket { level, at: now }, latency);
+            if !endpoint.known || entry.started > endpoint.cold_since {
+                endpoint.renew(entry.started, TokenBucket { level, at: now }, latency);
             }
         });
     }
@@ -58,11 +58,11 @@
     /// in vain and are made anew. So each calls at a moment of its own, while calls fail within a longer
     /// span.
     fn ask_for_list(&mut self, longest: f64) {
-        if !self.settings.must_ask {
+        if !self.settings.discovery_is_polled {
             return;
         }
-        let spacing = LIST_CALL_SPACING * f64::from(self.settings.gateways);
-        let must_ask = MUST_ASK_SHARE * self.settings.must_ask_in;
+        let spacing = LIST_CALL_SPACING * f64::from(self.settings.gateway_count);
+        let must_ask = MUST_ASK_SHARE * self.settings.max_poll_interval;
         self.list_call_span = match self.list_call_span {
             0.0 => spacing.min(longest).min(must_ask),
             span => (2.0 * span).min(spacing.clamp(MIN_BACKOFF_SPAN, MAX_BACKOFF_SPAN)),
@@ -71,72 +71,72 @@
         self.set_timer(at, TimerPurpose::WatchList);
     }
 
-    /// Operators restart a server while it is out, so it comes back cold, and what was learned of it is void.
-    pub(super) fn leave_out(&mut self, server: &ServerId, out: bool) {
+    /// Operators restart an endpoint in maintenance, so it comes back cold, and what was learned of it is void.
+    pub(super) fn set_maintenance(&mut self, endpoint: &EndpointId, out: bool) {
         self.none_beyond_until = 0.0;
-        let was_out = self.servers.leave_out(server, out);
+        let was_out = self.endpoints.set_maintenance(endpoint, out);
         if was_out && !out {
             let cold = TokenBucket { level: self.rng.f64(), at: self.now };
             let (now, latency) = (self.now, self.overload.latency.mean);
-            let place = self.servers.find(server);
-            place.into_iter().for_each(|place| self.servers[place].renew(now, cold, latency));
+            let place = self.endpoints.find(endpoint);
+            place.into_iter().for_each(|place| self.endpoints[place].renew(now, cold, latency));
         }
     }
 
-    /// How many of the servers it keeps to.
+    /// How many of the endpoints it keeps to.
     pub(super) fn subset_size(&self) -> usize {
-        let count = self.servers.usable().len();
-        MIN_SUBSET.max(SUBSET_FACTOR * count / self.settings.gateways as usize).min(count)
+        let count = self.endpoints.usable().len();
+        MIN_SUBSET.max(SUBSET_FACTOR * count / self.settings.gateway_count as usize).min(count)
     }
 
-    /// One attempt less is out at a server.
-    pub(super) fn release(&mut self, server: &ServerId) {
-        if let Some(place) = self.servers.find(server) {
-            let health = self.servers[place].health_mut();
+    /// One attempt less is out at an endpoint.
+    pub(super) fn release(&mut self, endpoint: &EndpointId) {
+        if let Some(place) = self.endpoints.find(endpoint) {
+            let health = self.endpoints[place].health_mut();
             health.inflight = (health.inflight - 1.0).max(0.0);
             self.overload.in_flight = (self.overload.in_flight - 1.0).max(0.0);
         }
     }
 
-    /// Learns from an attempt's end. Slow, failing and vanished servers all show here, whatever the cause.
-    pub(super) fn observe(&mut self, id: &ServerId, class: Option<usize>, status: Status, spent: f64) {
-        let most_ejected = self.servers.usable().len() as f64 * MAX_EJECTED_SHARE;
-        let may_eject = (self.servers.count_ejected(self.now) as f64) < most_ejected;
-        let Some(place) = self.servers.find(id) else { return };
-        let server = &self.servers[place];
-        if !server.listed && server.health().inflight == 0.0 {
-            return self.servers.remove(place);
+    /// Learns from an attempt's end. Slow, failing and vanished endpoints all show here, whatever the cause.
+    pub(super) fn observe(&mut self, id: &EndpointId, class: Option<usize>, status: Status, elapsed: f64) {
+        let most_ejected = self.endpoints.usable().len() as f64 * MAX_EJECTED_SHARE;
+        let may_eject = (self.endpoints.count_ejected(self.now) as f64) < most_ejected;
+        let Some(place) = self.endpoints.find(id) else { return };
+        let endpoint = &self.endpoints[place];
+        if !endpoint.listed && endpoint.health().inflight == 0.0 {
+            return self.endpoints.remove(place);
         }
         if let (Some(class), Status::Ok | Status::Error) = (class, status) {
             // By class, as one alone may fail: its errors stand between good answers to the others.
             let (classes, failed) = (self.settings.classes.len(), status == Status::Error);
-            let health = self.servers[place].health_mut();
+            let health = self.endpoints[place].health_mut();
             health.note_error(self.now, class, classes, failed, GAIN, attempts::ERROR_MEMORY);
         }
-        if matches!(status, Status::Moot | Status::Cancelled) {
+        if matches!(status, Status::NotSent | Status::Cancelled) {
             return;
         }
         self.note_failure(place, status);
-        let health = self.servers[place].health_mut();
+        let health = self.endpoints[place].health_mut();
         if health.failures >= EJECT_AFTER && self.now >= health.out_until && may_eject {
             health.eject(self.now, MIN_EJECTION, MAX_EJECTION);
-            self.servers.note_ejected(place);
+            self.endpoints.note_ejected(place);
         }
         if matches!(status, Status::Ok | Status::Timeout) {
-            self.note_latency(place, status, spent);
+            self.note_latency(place, status, elapsed);
         }
     }
 
     /// Counts failures in a row.
     fn note_failure(&mut self, place: Place, status: Status) {
-        let server = &mut self.servers[place];
-        let health = server.health_mut();
-        if matches!(status, Status::Ok | Status::Error | Status::Full) {
+        let endpoint = &mut self.endpoints[place];
+        let health = endpoint.health_mut();
+        if matches!(status, Status::Ok | Status::Error | Status::Rejected) {
             health.missed_since = 0.0;
         }
         match status {
-            Status::Ok => server.note_served(self.now, MIN_EJECTION),
-            Status::Full => self.overload.note_turned_away(),
+            Status::Ok => endpoint.note_served(self.now, MIN_EJECTION),
+            Status::Rejected => self.overload.note_turned_away(),
             Status::ConnectFailed => {
                 // One may be chance; with the next it is ejected.
                 health.failures += EJECT_AFTER - 1;
@@ -148,11 +148,12 @@
         }
     }
 
-    fn note_latency(&mut self, place: Place, status: Status, spent: f64) {
-        // Old news counts less: a gateway of many hears of a server rarely, and it has changed since.
-        let server = &mut self.servers[place];
-        server.note_latency(self.now, spent, GAIN, NEWS_MEMORY);
-        let warm = server.cold_since <= 0.0 || self.now - server.cold_since >= self.settings.cold;
-        self.overload.note_answer(self.now, spent, status == Status::Timeout, warm);
+    fn note_latency(&mut self, place: Place, status: Status, elapsed: f64) {
+        // Old news counts less: a gateway of many hears of an endpoint rarely, and it has changed since.
+        let endpoint = &mut self.endpoints[place];
+        endpoint.note_latency(self.now, elapsed, GAIN, NEWS_MEMORY);
+        let warm =
+            endpoint.cold_since <= 0.0 || self.now - endpoint.cold_since >= self.settings.slow_start_window;
+        self.overload.note_answer(self.now, elapsed, status == Status::Timeout, warm);
     }
 }
--- a/src/policy/leases.rs
+++ b/src/policy/leases.rs
@@ -34,14 +34,14 @@
 impl Gateway {
     /// How long a request may wait for the counter, in seconds.
     pub(super) fn hold(&self) -> f64 {
-        HOLD_SHARE * self.settings.count_limit
+        HOLD_SHARE * self.settings.counter_timeout
     }
 
     /// Calls the counter for what the held requests need and recent demand wants.
     pub(super) fn ask_for_block(&mut self, key: &CustomerId, plan: &Plan) {
         let window = window(plan, key, self.now).number;
         let customer = self.customers.get_mut(key).expect("asked for known customers only");
-        let need: f64 = customer.held.iter().map(|id| self.jobs[id].request.units).sum();
+        let need: f64 = customer.held.iter().map(|id| self.requests[id].request.units).sum();
         let left = customer.known_left(self.now, plan, f64::INFINITY).unwrap_or(f64::INFINITY);
         let spare =
             (customer.demand.level / DEMAND_MEMORY * BLOCK_SPAN).min(left / f64::from(customer.spread));
@@ -66,16 +66,16 @@
         self.calls.entry(counter).or_default().push_back(call);
         self.budget.take();
         let ttl = (NAME_LIFE_WINDOWS * length).min(MAX_NAME_LIFE);
-        self.actions.push(Action::Count { counter, amount, ttl });
+        self.actions.push(Action::AddToCounter { counter, amount, ttl });
     }
 
     /// A call has ended.
-    pub(super) fn counted(&mut self, counter: u64, status: Status, total: f64, spent: f64) {
+    pub(super) fn counted(&mut self, counter: u64, status: Status, total: f64, elapsed: f64) {
         let Some(call) = self.calls.get_mut(&counter).and_then(VecDeque::pop_front) else { return };
         if self.calls[&counter].is_empty() {
             self.calls.remove(&counter);
         }
-        self.budget.observe(self.now, status, spent, self.settings.count_limit);
+        self.budget.observe(self.now, status, elapsed, self.settings.counter_timeout);
         let Some(customer) = self.customers.get_mut(&call.customer) else { return };
         let plan = self.settings.plans[customer.plan].clone();
         match (status, call.purpose) {
@@ -84,10 +84,10 @@
                 self.settle_lease(&call, total, wanted, unreported, &plan);
             }
             // Nothing was added: what the count was to hear of, it still has to.
-            (Status::Full | Status::ConnectFailed, CallPurpose::Lease { unreported, .. }) => {
+            (Status::Rejected | Status::ConnectFailed, CallPurpose::Lease { unreported, .. }) => {
                 customer.report_later(unreported, &plan);
             }
-            (Status::Full | Status::ConnectFailed, CallPurpose::Correct) => {
+            (Status::Rejected | Status::ConnectFailed, CallPurpose::Correct) => {
                 customer.report_later(call.amount, &plan);
             }
             // The answer was spoilt, the amount added: nobody got the block, so the count has it too much.
@@ -116,9 +116,10 @@
         }
     }
 
-    fn release_held(&mut self, id: JobId, answered: bool, plan: &Plan) {
-        let Some(job) = self.jobs.get(&id).filter(|j| !j.over) else { return };
-        let (units, customer) = (job.request.units, &self.customers[&job.request.customer]);
+    fn release_held(&mut self, id: RequestId, answered: bool, plan: &Plan) {
+        let Some(request_state) = self.requests.get(&id).filter(|j| !j.is_finished) else { return };
+        let (units, customer) =
+            (request_state.request.units, &self.customers[&request_state.request.customer]);
         if customer.lease >= units {
             self.spend(id, units, false);
         } else if answered {
@@ -134,7 +135,7 @@
         if call.window + 1 != window.number || total - call.amount <= 1e-6 {
             return;
         }
-        let customer = self.customers.get_mut(&call.customer).expect("settled for known customers only");
+        let customer = self.customers.get_mut(&call.customer).expect("actual_units for known customers only");
         let left = plan.burst + plan.rate * window.length - total;
         let missing = plan.burst - (left + plan.rate * window.age).min(plan.burst);
         customer.known_level.iter_mut().for_each(|l| l.level -= missing);
@@ -151,7 +152,7 @@
     /// rest lapses: it is added.
     fn settle_lease(&mut self, call: &CounterCall, total: f64, wanted: f64, unreported: f64, plan: &Plan) {
         let QuotaWindow { number, age, length } = window(plan, &call.customer, self.now);
-        let customer = self.customers.get_mut(&call.customer).expect("settled for known customers only");
+        let customer = self.customers.get_mut(&call.customer).expect("actual_units for known customers only");
         let limit = plan.burst + plan.rate * age;
         let prior = total - call.amount;
         let shift = (number - call.window.min(number)) as f64 * plan.rate * length;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,31 +1,32 @@
-//! Every decision of a gateway; its types, events and actions stand in `src/interface.rs`.
+//! Every decision of a gateway; its types, events and actions stand in `src/interface/`.
 //!
 //! [`Gateway`] takes the events and hands each to the part that decides about it. Ordinary path of a request:
 //! `quota` spends its customer's lease, else `leases` asks the counter for a block, else it is refused at
-//! once; `concurrency` gives it a slot, and `attempts` sends it to the server that `choice` names.
+//! once; `concurrency` gives it a slot, and `attempts` sends it to the endpoint that `choice` names.
 
 mod attempts;
 mod choice;
 mod concurrency;
 mod counter_budget;
+mod endpoints;
 mod handover;
 mod leases;
 mod overload;
 mod quota;
-mod servers;
 
 use crate::allotment::{Allotment, Sharing, even_slots};
 use crate::counter_call::{CallPurpose, CounterCall};
 use crate::customer::Customer;
 use crate::customer_table::CustomerTable;
 use crate::decaying_sum::DecayingSum;
+use crate::endpoint_state::EndpointState;
+use crate::endpoint_table::EndpointTable;
 use crate::interface::*;
-use crate::job::{Attempt, Job, Ran};
 use crate::latency_estimate::LatencyEstimate;
 use crate::ordered_table::Place;
 use crate::quota_window::{QuotaWindow, window_offset};
-use crate::server_state::ServerState;
-use crate::server_table::ServerTable;
+use crate::request_state::{Attempt, Ran, RequestState};
+use crate::settings::{Effect, IdempotencyScope, Plan, Settings, SettingsError};
 use crate::thin_flow::ThinFlow;
 use crate::timer_table::{TimerPurpose, TimerTable};
 use crate::token_bucket::TokenBucket;
@@ -47,17 +48,17 @@
     now: Time,
     actions: Vec<Action>,
     rng: fastrand::Rng,
-    /// Where among the usable servers, from 0 to 1, this gateway's own begin.
+    /// Where among the usable endpoints, from 0 to 1, this gateway's own begin.
     subset_start: f64,
     sharing: Sharing,
     /// When it took over from another process; 0: it did not.
     inherited_at: Time,
     /// Since when quotas and ceilings are dealt out as they are.
     shared_since: Time,
-    jobs: BTreeMap<JobId, Job>,
+    requests: BTreeMap<RequestId, RequestState>,
     customers: CustomerTable,
-    servers: ServerTable,
-    /// Until then no server beyond those that it keeps to may be chosen.
+    endpoints: EndpointTable,
+    /// Until then no endpoint beyond those that it keeps to may be chosen.
     none_beyond_until: Time,
     /// The span within which the list was last asked for; 0: it came since.
     list_call_span: f64,
@@ -68,7 +69,7 @@
     thin_flows: Vec<ThinFlow>,
     /// Units sent of late.
     sent_units: DecayingSum,
-    /// The most units a second that a server was sent of late.
+    /// The most units a second that an endpoint was sent of late.
     peak_units: DecayingSum,
     overload: Overload,
     /// Further attempts that may be made.
@@ -86,8 +87,8 @@
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             // Even over the gateways, and far apart for those in a row, as a customer's are.
-            subset_start: (f64::from(settings.me) * GOLDEN).fract(),
-            budget: CounterBudget::new(settings.gateways),
+            subset_start: (f64::from(settings.gateway_index) * GOLDEN).fract(),
+            budget: CounterBudget::new(settings.gateway_count),
             thin_flows: vec![ThinFlow::default(); settings.plans.len()],
             retry_budget: attempts::SAVED_RETRIES,
             settings,
@@ -102,59 +103,80 @@
             self.shared_since = now;
         }
         match event {
-            Event::List { kind, servers } => self.list(kind, servers),
+            Event::EndpointsUpdated { kind, endpoints } => self.list(kind, endpoints),
             Event::Request(request) => self.request(request),
-            Event::FirstByte { job } => self.begun(&job),
-            Event::Outcome { job, attempt, server, status, spent, over, settled, load: _ } => {
-                let request = self.jobs.get(&job).map(|j| (j.request.customer.clone(), j.request.class));
+            Event::ResponseStarted { request_id } => self.response_started(&request_id),
+            Event::AttemptEnded {
+                request_id,
+                attempt,
+                endpoint,
+                status,
+                elapsed,
+                is_finished,
+                actual_units,
+                load: _,
+            } => {
+                let request =
+                    self.requests.get(&request_id).map(|j| (j.request.customer.clone(), j.request.class));
                 let (customer, class) = request.unzip();
-                if !self.jobs.get(&job).is_some_and(|j| j.has_begun(attempt)) {
-                    self.release(&server);
+                if !self.requests.get(&request_id).is_some_and(|j| j.has_begun(attempt)) {
+                    self.release(&endpoint);
                 }
-                self.observe(&server, class, status, spent);
-                self.outcome(&job, attempt, status, over, settled);
+                self.observe(&endpoint, class, status, elapsed);
+                self.outcome(&request_id, attempt, status, is_finished, actual_units);
                 customer.into_iter().for_each(|c| self.fill_slots(&c));
             }
-            Event::ByHand { server, out } => self.leave_out(&server, out),
-            Event::Sharing { place, of } => {
+            Event::MaintenanceChanged { endpoint, in_maintenance: out } => {
+                self.set_maintenance(&endpoint, out)
+            }
+            Event::ReplicasChanged { index: place, count: of } => {
                 self.sharing = Sharing { position: place, processes: of.max(1) };
                 self.shared_since = now; // Until now it was dealt otherwise.
             }
-            Event::Inherit(memory) => self.inherit(memory),
-            Event::Left { job } => self.over(&job),
+            Event::SnapshotReceived(memory) => self.inherit(memory),
+            Event::ClientDisconnected { request_id } => self.finish(&request_id),
             Event::Timer { token } => self.timer(token),
-            Event::Probed { .. } => {} // None is asked for: attempts tell enough, and probes cost.
-            Event::Counted { counter, status, total, spent } => self.counted(counter, status, total, spent),
+            Event::HealthCheckEnded { .. } => {} // None is asked for: attempts tell enough, and probes cost.
+            Event::CounterReplied { counter, status, total, elapsed } => {
+                self.counted(counter, status, total, elapsed)
+            }
         }
         actions.append(&mut self.actions);
     }
 
-    /// Whether the list names the server, or operators have left it out.
-    pub fn knows(&self, server: &ServerId) -> bool {
-        self.servers.knows(server)
+    /// Whether the list names the endpoint, or operators have left it out.
+    pub fn knows_endpoint(&self, endpoint: &EndpointId) -> bool {
+        self.endpoints.knows(endpoint)
     }
 
-    /// How many servers are listed, and how many of them are avoided at `now`.
-    pub fn targets(&self, now: Time) -> Targets {
-        self.servers.targets(now)
+    /// How many endpoints are listed, and how many of them are avoided at `now`.
+    pub fn endpoint_counts(&self, now: Time) -> EndpointCounts {
+        self.endpoints.targets(now)
     }
 
-    /// The servers that operators have left out.
-    pub fn left_out(&self) -> impl Iterator<Item = &ServerId> {
-        self.servers.left_out()
+    /// The endpoints that operators have left out.
+    pub fn in_maintenance(&self) -> impl Iterator<Item = &EndpointId> {
+        self.endpoints.in_maintenance()
     }
 
     /// Whether one more attempt may go out within `share` of the bound on what is out.
     fn has_room(&mut self, share: f64) -> bool {
-        let aim = self.settings.classes.iter().map(|c| c.aim).reduce(f64::min).unwrap_or(1.0).max(1e-3);
-        let (servers, chance) = (self.servers.usable().len(), self.rng.f64());
-        self.overload.has_room(share, servers, self.settings.gateways, aim, chance)
+        let aim = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .reduce(f64::min)
+            .unwrap_or(1.0)
+            .max(1e-3);
+        let (endpoints, chance) = (self.endpoints.usable().len(), self.rng.f64());
+        self.overload.has_room(share, endpoints, self.settings.gateway_count, aim, chance)
     }
 
     /// Asks for a timer; returns its token.
     fn set_timer(&mut self, at: Time, purpose: TimerPurpose) -> u64 {
         let token = self.timers.add(purpose);
-        self.actions.push(Action::Timer { token, at });
+        self.actions.push(Action::SetTimer { token, at });
         token
     }
 
@@ -163,10 +185,10 @@
             Some(TimerPurpose::StopHolding(key)) => self.stop_holding(&key, token),
             Some(TimerPurpose::Hedge(id)) => self.hedge(&id),
             Some(TimerPurpose::StopQueueing(id)) => self.stop_queueing(&id),
-            Some(TimerPurpose::WatchList) => self.actions.push(Action::Watch),
+            Some(TimerPurpose::WatchList) => self.actions.push(Action::PollEndpoints),
             Some(TimerPurpose::Sweep) => {
                 self.customers.forget(self.now, CUSTOMER_MEMORY);
-                self.set_timer(self.now + servers::SWEEP_INTERVAL, TimerPurpose::Sweep);
+                self.set_timer(self.now + endpoints::SWEEP_INTERVAL, TimerPurpose::Sweep);
             }
             None => {}
         }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -6,23 +6,23 @@
 
 /// Seconds after which a known level is asked again: the page's refresh.
 pub const REFRESH: f64 = 1.0;
-/// Share of a ceiling's burst that is dealt out: the rest is for requests that reach their servers late.
+/// Share of a ceiling's burst that is dealt out: the rest is for requests that reach their endpoints late.
 const CEILING_SHARE: f64 = 0.8;
 
 impl Gateway {
     /// A client's request: it is refused, held for the counter, or sent.
     pub(super) fn request(&mut self, request: Request) {
-        let id = request.job.clone();
-        if self.jobs.contains_key(&id) {
+        let id = request.id.clone();
+        if self.requests.contains_key(&id) {
             return;
         }
         let readable = self.is_readable(&request);
-        let full = self.jobs.len() >= self.settings.max_open as usize;
-        self.jobs.insert(id.clone(), Job::new(request.clone(), self.now));
+        let full = self.requests.len() >= self.settings.max_open_requests as usize;
+        self.requests.insert(id.clone(), RequestState::new(request.clone(), self.now));
         if !readable {
             return self.end(&id, 0.0);
         }
-        let (most, step) = (self.settings.max_customers, self.settings.step);
+        let (most, step) = (self.settings.max_customers, self.settings.event_interval);
         if full || !self.customers.has_room(&request.customer, most, self.now, CUSTOMER_MEMORY, step) {
             return self.end(&id, self.settings.max_retry_after);
         }
@@ -41,13 +41,13 @@
     fn is_readable(&self, request: &Request) -> bool {
         (request.class < self.settings.classes.len() && request.plan < self.settings.plans.len())
             && (request.units.is_finite() && request.units >= 0.0)
-            && request.expires > self.now + 2.0 * self.hold() + 4.0 * self.settings.step
+            && request.deadline > self.now + 2.0 * self.hold() + 4.0 * self.settings.event_interval
     }
 
     /// Notes a request at its customer, who may be new.
     fn note_arrival(&mut self, request: &Request, plan: &Plan) {
-        let (now, gateways) = (self.now, self.settings.gateways);
-        let spread = request.spread.clamp(1, gateways);
+        let (now, gateways) = (self.now, self.settings.gateway_count);
+        let spread = request.customer_gateway_count.clamp(1, gateways);
         let full = (plan.burst / self.holders(spread)).max(request.units);
         // One that follows another process has only what was dealt since: the other may have spent the rest.
         let even_share = match self.inherited_at {
@@ -59,18 +59,20 @@
         let unseen = || Customer { even_share, ceiling_share, ..Customer::default() };
         let customer = self.customers.entry(request.customer.clone()).or_insert_with(unseen);
         (customer.plan, customer.spread, customer.last_seen) = (request.plan, spread, now);
-        customer.position = (self.settings.me + gateways - request.first % gateways) % gateways;
+        customer.position =
+            (self.settings.gateway_index + gateways - request.first_gateway % gateways) % gateways;
         customer.demand.add(now, request.units, leases::DEMAND_MEMORY);
         customer.arrivals.add(now, 1.0, concurrency::ARRIVALS_MEMORY);
     }
 
     /// The ordinary path: lease, else block, else refusal; the even share while the counter can't be used.
-    fn cover(&mut self, id: JobId, plan: &Plan) {
+    fn cover(&mut self, id: RequestId, plan: &Plan) {
         let (units, key) = self.units_of(&id);
         if !self.ceiling_covers(&key, plan, units) {
             return self.refuse_above_ceiling(&id, plan);
         }
-        let may_call = self.budget.affords(self.now, units * plan.pays) && self.settings.has_counter;
+        let may_call =
+            self.budget.affords(self.now, units * plan.priority_weight) && self.settings.has_counter;
         let customer = self.customers.get_mut(&key).expect("admitted customers are known");
         if customer.window != leases::window(plan, &key, self.now).number {
             customer.lease = 0.0; // It lapses with its window.
@@ -99,8 +101,8 @@
     }
 
     /// The units that a request takes, and its customer.
-    fn units_of(&self, id: &JobId) -> (f64, CustomerId) {
-        let request = &self.jobs[id].request;
+    fn units_of(&self, id: &RequestId) -> (f64, CustomerId) {
+        let request = &self.requests[id].request;
         (request.units, request.customer.clone())
     }
 
@@ -143,16 +145,17 @@
     }
 
     /// Refuses a request that the share of its customer's ceiling does not cover, until about the next deal.
-    fn refuse_above_ceiling(&mut self, id: &JobId, plan: &Plan) {
-        let request = &self.jobs[id].request;
+    fn refuse_above_ceiling(&mut self, id: &RequestId, plan: &Plan) {
+        let request = &self.requests[id].request;
         let holders = self.holders(self.customers[&request.customer].spread);
         self.end(id, request.units * holders / plan.ceiling_rate);
     }
 
     /// Beyond the quota (the source's soft limit): refused, but where the settings say that such a request
     /// earns more than it costs and there is room to spare, it goes; under a ceiling only within the share.
-    pub(super) fn beyond(&mut self, id: JobId, plan: &Plan) {
-        let pays = plan.excess_worth > plan.overrun_cost && plan.open == 0;
+    pub(super) fn beyond(&mut self, id: RequestId, plan: &Plan) {
+        let pays =
+            plan.over_quota_weight_share > plan.over_quota_cost_share && plan.max_concurrent_attempts == 0;
         let (units, key) = self.units_of(&id);
         if !(pays && self.has_room(overload::SPARE_SHARE) && self.ceiling_covers(&key, plan, units)) {
             let customer = &self.customers[&key];
@@ -167,7 +170,7 @@
     }
 
     /// The counter can't be used, or not in time.
-    pub(super) fn fall_back(&mut self, id: JobId, plan: &Plan) {
+    pub(super) fn fall_back(&mut self, id: RequestId, plan: &Plan) {
         let (units, key) = self.units_of(&id);
         if self.even_share_covers(&key, plan, units) {
             self.spend(id, units, true);
@@ -177,9 +180,9 @@
     }
 
     /// Spends what covers a request, the lease or what the count has yet to be told of, and sends it.
-    pub(super) fn spend(&mut self, id: JobId, units: f64, off_count: bool) {
-        let key = self.jobs[&id].request.customer.clone();
-        let plan = self.settings.plans[self.jobs[&id].request.plan].clone();
+    pub(super) fn spend(&mut self, id: RequestId, units: f64, off_count: bool) {
+        let key = self.requests[&id].request.customer.clone();
+        let plan = self.settings.plans[self.requests[&id].request.plan].clone();
         if self.exceeds_thin_cap(&key, &plan) {
             return self.end(&id, self.overload.latency.mean);
         }
--- a/src/job.rs
+++ b/src/request_state.rs
@@ -1,6 +1,6 @@
 //! A request on its way, and the attempts to have it served.
 
-use crate::interface::{Request, ServerId, Time};
+use crate::interface::{EndpointId, Request, Time};
 
 /// Where an attempt stands, as far as a repeat could do harm.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -17,18 +17,18 @@
 #[derive(Debug)]
 pub struct Attempt {
     /// Where it went.
-    pub server: ServerId,
+    pub endpoint: EndpointId,
     /// When it was sent.
     pub sent: Time,
     /// Where it stands.
     pub ran: Ran,
     /// Its answer has begun: the work is done, whatever time the client takes to read of it.
-    pub begun: bool,
+    pub has_started: bool,
 }
 
 /// A request that is open, or whose attempts are.
 #[derive(Debug)]
-pub struct Job {
+pub struct RequestState {
     /// What came.
     pub request: Request,
     /// When it came.
@@ -36,15 +36,15 @@
     /// In the order in which they were sent.
     pub attempts: Vec<Attempt>,
     /// It has its final answer, or is owed none.
-    pub over: bool,
+    pub is_finished: bool,
     /// Its answer streams.
     pub streaming: bool,
 }
 
-impl Job {
+impl RequestState {
     /// A request that has just come.
     pub fn new(request: Request, arrived: Time) -> Self {
-        Self { request, arrived, attempts: Vec::new(), over: false, streaming: false }
+        Self { request, arrived, attempts: Vec::new(), is_finished: false, streaming: false }
     }
 
     /// The first attempt that may have run, or may yet.
@@ -54,17 +54,17 @@
 
     /// Its one attempt's answer has begun to stream; where that went. `None`: it is not the only one, or has begun
     /// before.
-    pub fn begin_stream(&mut self) -> Option<ServerId> {
+    pub fn begin_stream(&mut self) -> Option<EndpointId> {
         self.streaming = true;
-        let mut out = self.attempts.iter_mut().filter(|a| a.ran == Ran::Out && !a.begun);
+        let mut out = self.attempts.iter_mut().filter(|a| a.ran == Ran::Out && !a.has_started);
         let (Some(attempt), None) = (out.next(), out.next()) else { return None };
-        attempt.begun = true;
-        Some(attempt.server.clone())
+        attempt.has_started = true;
+        Some(attempt.endpoint.clone())
     }
 
     /// Whether the answer to this attempt has begun to stream.
     pub fn has_begun(&self, attempt: u32) -> bool {
-        self.attempts.get(attempt as usize).is_some_and(|a| a.begun)
+        self.attempts.get(attempt as usize).is_some_and(|a| a.has_started)
     }
 
     /// How many attempts are out.
--- a/src/settings_document.rs
+++ b/src/settings/document.rs
@@ -14,7 +14,7 @@
     pub plans: Option<Vec<PlanDocument>>,
     /// Names of the zones.
     pub dcs: Option<Vec<String>>,
-    /// How the list of workers is learned; by default it is pushed.
+    /// How the list of endpoints is learned; by default it is pushed.
     pub discovery: Option<DiscoveryMode>,
     /// The number of the zone that this gateway is in, from 0.
     pub locality: Option<Count>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// How the list of workers is learned.
+/// How the list of endpoints is learned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum DiscoveryMode {
@@ -60,13 +60,13 @@
 pub enum EffectName {
     /// It may run any number of times.
     Idempotent,
-    /// Repeats are discarded by the workers of the group within the window.
+    /// Repeats are discarded by the endpoints of the group within the window.
     Deduplicated,
     /// It may run once at most.
     AtMostOnce,
 }
 
-/// Which workers discard repeats.
+/// Which endpoints discard repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum GroupName {
@@ -91,7 +91,7 @@
     pub deadline: Option<f64>,
     /// What a repeat may do.
     pub effect: EffectName,
-    /// For deduplicated requests: which workers discard repeats.
+    /// For deduplicated requests: which endpoints discard repeats.
     pub group: Option<GroupName>,
     /// For deduplicated requests: for how long, from the first attempt that may have run.
     pub window: Option<f64>,
@@ -145,13 +145,13 @@
 pub struct LimitsDocument {
     /// Attempts may be called off.
     pub cancelling: Option<bool>,
-    /// A worker closes a connection that has stood idle for so long.
+    /// An endpoint closes a connection that has stood idle for so long.
     pub conn_idle: Option<f64>,
     /// A connection that is not up after this time has failed.
     pub connect_timeout: Option<f64>,
     /// The longest advice to stay away that clients honour.
     pub max_retry_after: Option<f64>,
-    /// Workers may be probed.
+    /// Endpoints may be probed.
     pub may_probe: Option<bool>,
     /// Requests that a gateway may have open.
     pub open_cap: Option<Count>,
@@ -167,11 +167,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RulesDocument {
-    /// A worker is warm after this time at most.
+    /// An endpoint is warm after this time at most.
     pub cold: Option<f64>,
     /// The least share of its capacity that it starts with.
     pub cold_from: Option<f64>,
-    /// A cold worker falls when sent too much for so long.
+    /// A cold endpoint falls when sent too much for so long.
     pub fall: Option<f64>,
     /// Too much is this multiple of its present capacity.
     pub fall_multiple: Option<f64>,
--- a/src/options.rs
+++ b/src/settings/options.rs
@@ -1,11 +1,11 @@
 //! The policy's settings, and the names and limits that whoever carries out the actions needs beside them, as the
 //! settings object tells them.
 
-use crate::settings::{Class, Effect, Group, Plan, Settings};
-use crate::settings_document::{
+use crate::settings::document::{
     ClassDocument, Count, DiscoveryMode, DomainDocument, EffectName, GroupName, LimitsDocument, PlanDocument,
     RulesDocument, SettingsDocument,
 };
+use crate::settings::{Class, Effect, IdempotencyScope, Plan, Settings};
 use serde_json::Value;
 use std::fmt;
 
@@ -28,7 +28,7 @@
     pub plans: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// A server closes a connection that has stood idle for this many seconds.
+    /// An endpoint closes a connection that has stood idle for this many seconds.
     pub conn_idle: f64,
     /// The longest time that a client waits for an answer, in seconds.
     pub deadline: f64,
@@ -72,11 +72,11 @@
 impl From<SettingsDocument> for Options {
     fn from(document: SettingsDocument) -> Self {
         let mut settings = Settings::default();
-        settings.me = count_or(document.me, settings.me);
-        settings.gateways = count_or(document.peers_total, settings.gateways);
+        settings.gateway_index = count_or(document.me, settings.gateway_index);
+        settings.gateway_count = count_or(document.peers_total, settings.gateway_count);
         settings.zone = count_or(document.locality, settings.zone);
-        settings.step = document.step.unwrap_or(settings.step);
-        settings.must_ask = document.discovery == Some(DiscoveryMode::Ask);
+        settings.event_interval = document.step.unwrap_or(settings.event_interval);
+        settings.discovery_is_polled = document.discovery == Some(DiscoveryMode::Ask);
         apply_domain(&mut settings, &document.domain.unwrap_or_default());
         let limits = document.limits.unwrap_or_default();
         apply_limits(&mut settings, &limits);
@@ -103,43 +103,45 @@
 
 fn apply_domain(settings: &mut Settings, domain: &DomainDocument) {
     settings.has_counter = domain.has_counter.unwrap_or(false);
-    settings.count_limit = domain.count_limit.unwrap_or(settings.count_limit);
+    settings.counter_timeout = domain.count_limit.unwrap_or(settings.counter_timeout);
     settings.max_units = domain.max_units.unwrap_or(settings.max_units);
-    settings.post_paid = domain.post_paid.unwrap_or(false);
+    settings.units_settle_later = domain.post_paid.unwrap_or(false);
 }
 
 fn apply_limits(settings: &mut Settings, limits: &LimitsDocument) {
-    settings.may_probe = limits.may_probe.unwrap_or(false);
-    settings.may_cancel = limits.cancelling.unwrap_or(false);
-    settings.second_copies = limits.second_copies.unwrap_or(false);
+    settings.health_checks_enabled = limits.may_probe.unwrap_or(false);
+    settings.cancellation_enabled = limits.cancelling.unwrap_or(false);
+    settings.hedging_enabled = limits.second_copies.unwrap_or(false);
     settings.max_attempts = count_or(limits.send_cap, settings.max_attempts);
-    settings.max_open = count_or(limits.open_cap, settings.max_open);
-    settings.retry_after = limits.retry_after.unwrap_or(false);
+    settings.max_open_requests = count_or(limits.open_cap, settings.max_open_requests);
+    settings.retry_after_enabled = limits.retry_after.unwrap_or(false);
     settings.max_retry_after = limits.max_retry_after.unwrap_or(settings.max_retry_after);
 }
 
 fn apply_rules(settings: &mut Settings, rules: &RulesDocument) {
-    settings.must_ask_in = rules.must_ask_in.unwrap_or(settings.must_ask_in);
-    settings.cold_from = rules.cold_from.unwrap_or(settings.cold_from);
-    settings.cold = rules.cold.unwrap_or(settings.cold);
-    settings.fall_multiple = rules.fall_multiple.unwrap_or(settings.fall_multiple);
-    settings.fall = rules.fall.unwrap_or(settings.fall);
+    settings.max_poll_interval = rules.must_ask_in.unwrap_or(settings.max_poll_interval);
+    settings.slow_start_initial_share = rules.cold_from.unwrap_or(settings.slow_start_initial_share);
+    settings.slow_start_window = rules.cold.unwrap_or(settings.slow_start_window);
+    settings.overload_multiple = rules.fall_multiple.unwrap_or(settings.overload_multiple);
+    settings.overload_window = rules.fall.unwrap_or(settings.overload_window);
 }
 
 fn class(document: &ClassDocument) -> Class {
     let group = match document.group.unwrap_or(GroupName::Cell) {
-        GroupName::All => Group::All,
-        GroupName::Zone => Group::Zone,
-        GroupName::Cell => Group::Cell,
+        GroupName::All => IdempotencyScope::All,
+        GroupName::Zone => IdempotencyScope::Zone,
+        GroupName::Cell => IdempotencyScope::Cell,
     };
     let effect = match document.effect {
-        EffectName::Idempotent => Effect::Safe,
-        EffectName::Deduplicated => Effect::Keyed { group, window: document.window.unwrap_or(0.0) },
-        EffectName::AtMostOnce => Effect::Unsafe,
+        EffectName::Idempotent => Effect::Idempotent,
+        EffectName::Deduplicated => {
+            Effect::IdempotencyKey { scope: group, window: document.window.unwrap_or(0.0) }
+        }
+        EffectName::AtMostOnce => Effect::AtMostOnce,
     };
     Class {
-        aim: document.slo.unwrap_or(Class::default().aim),
-        late_worth: document.late_worth.unwrap_or(0.0),
+        latency_objective: document.slo.unwrap_or(Class::default().latency_objective),
+        late_weight_share: document.late_worth.unwrap_or(0.0),
         effect,
         streamed: document.streamed.unwrap_or(false),
     }
@@ -149,10 +151,10 @@
     Plan {
         rate: document.quota_rate.unwrap_or(0.0),
         burst: document.depth.unwrap_or(0.0),
-        open: count_or(document.open, 0),
-        pays: document.pays.unwrap_or(1.0),
-        excess_worth: document.excess_worth.unwrap_or(0.0),
-        overrun_cost: document.overrun_cost.unwrap_or(0.0),
+        max_concurrent_attempts: count_or(document.open, 0),
+        priority_weight: document.pays.unwrap_or(1.0),
+        over_quota_weight_share: document.excess_worth.unwrap_or(0.0),
+        over_quota_cost_share: document.overrun_cost.unwrap_or(0.0),
         ceiling_rate: document.ceiling_rate.unwrap_or(0.0),
         ceiling_burst: document.ceiling_burst.unwrap_or(0.0),
     }
--- a/src/timer_table.rs
+++ b/src/timer_table.rs
@@ -1,6 +1,6 @@
 //! The timers that a gateway has asked for, by their tokens.
 
-use crate::interface::{CustomerId, JobId};
+use crate::interface::{CustomerId, RequestId};
 use std::collections::BTreeMap;
 
 /// What a timer is for.
@@ -9,12 +9,12 @@
     /// Requests of this customer no longer wait for the counter.
     StopHolding(CustomerId),
     /// A second attempt of this request may go out.
-    Hedge(JobId),
+    Hedge(RequestId),
     /// This request no longer waits for a slot under its plan's cap.
-    StopQueueing(JobId),
+    StopQueueing(RequestId),
     /// Idle customers are forgotten.
     Sweep,
-    /// The list of servers is asked for.
+    /// The list of endpoints is asked for.
     WatchList,
 }
 
--- a/tests/by_hand.rs
+++ b/tests/by_hand.rs
@@ -5,12 +5,12 @@
 use oliverack::*;
 
 fn by_hand(rig: &mut Rig, name: &str, out: bool) {
-    rig.event(Event::ByHand { server: name.into(), out });
+    rig.event(Event::MaintenanceChanged { endpoint: name.into(), in_maintenance: out });
 }
 
 /// Sends `n` requests that stay open; where they went.
-fn send(rig: &mut Rig, tag: &str, n: usize) -> Vec<ServerId> {
-    (0..n).flat_map(|i| sends(&rig.ask(&format!("{tag}{i}")))).map(|(_, server)| server).collect()
+fn send(rig: &mut Rig, tag: &str, n: usize) -> Vec<EndpointId> {
+    (0..n).flat_map(|i| sends(&rig.ask(&format!("{tag}{i}")))).map(|(_, endpoint)| endpoint).collect()
 }
 
 fn rig() -> Rig {
@@ -24,33 +24,33 @@
     let mut rig = rig();
     by_hand(&mut rig, "a", true);
     by_hand(&mut rig, "a", true);
-    let full = |started| ["a", "b", "c"].map(|n| server(n, Lifecycle::Running, started)).to_vec();
-    for (kind, servers) in [
+    let full = |started| ["a", "b", "c"].map(|n| endpoint(n, Lifecycle::Running, started)).to_vec();
+    for (kind, endpoints) in [
         (ListKind::Full, full(0.0)),
-        (ListKind::Changes, vec![server("a", Lifecycle::Draining, 0.0)]),
-        (ListKind::Changes, vec![server("a", Lifecycle::Running, rig.now - 1.0)]),
-        (ListKind::Changes, vec![server("a", Lifecycle::Gone, 0.0)]),
+        (ListKind::Changes, vec![endpoint("a", Lifecycle::Draining, 0.0)]),
+        (ListKind::Changes, vec![endpoint("a", Lifecycle::Running, rig.now - 1.0)]),
+        (ListKind::Changes, vec![endpoint("a", Lifecycle::Gone, 0.0)]),
         (ListKind::Full, full(rig.now - 0.5)),
     ] {
-        rig.list(kind, servers);
+        rig.list(kind, endpoints);
         let went = send(&mut rig, "j", 2);
         assert!(went.iter().all(|id| &**id != "a"), "{kind:?}: {went:?}");
         rig.now += 1.0;
     }
-    assert!(rig.gateway.knows(&"a".into()) && !rig.gateway.knows(&"nobody".into()));
+    assert!(rig.gateway.knows_endpoint(&"a".into()) && !rig.gateway.knows_endpoint(&"nobody".into()));
     // For two calls out one call back.
     by_hand(&mut rig, "a", false);
-    assert_eq!(rig.gateway.left_out().count(), 0);
+    assert_eq!(rig.gateway.in_maintenance().count(), 0);
 }
 
 #[test]
 fn further_attempts_heed_a_call_that_came_meanwhile() {
     let mut rig = rig();
     let out = rig.ask("j");
-    let [(job, first)] = &sends(&out)[..] else { panic!("one send") };
+    let [(request_id, first)] = &sends(&out)[..] else { panic!("one send") };
     let others: Vec<&str> = ["a", "b", "c"].into_iter().filter(|n| *n != &**first).collect();
     by_hand(&mut rig, others[0], true);
-    let out = rig.outcome(job, 0, first, Status::ConnectFailed);
+    let out = rig.outcome(request_id, 0, first, Status::ConnectFailed);
     assert_eq!(sends(&out).iter().map(|(_, s)| &**s).collect::<Vec<_>>(), [others[1]]);
 }
 
@@ -62,9 +62,9 @@
         let mut to_a = 0;
         for i in 0..20 {
             rig.now += 0.05;
-            for (job, server) in sends(&rig.ask(&format!("{tag}{i}"))) {
-                to_a += usize::from(&*server == "a");
-                rig.outcome(&job, 0, &server, Status::Ok);
+            for (request_id, endpoint) in sends(&rig.ask(&format!("{tag}{i}"))) {
+                to_a += usize::from(&*endpoint == "a");
+                rig.outcome(&request_id, 0, &endpoint, Status::Ok);
             }
         }
         to_a
@@ -76,7 +76,7 @@
     by_hand(&mut rig, "a", false);
     let cold: Vec<usize> = (0..3).map(|i| ask(&mut rig, &format!("z{i}-"))).collect();
     assert!(cold.iter().sum::<usize>() > 0, "used within 3 s: {cold:?}");
-    // Twenty units a second over three servers; at 0.2 of its capacity it surely bears a third of that.
+    // Twenty units a second over three endpoints; at 0.2 of its capacity it surely bears a third of that.
     assert!(cold[0] <= 4, "spared while it is cold: {cold:?}");
 }
 
@@ -88,13 +88,22 @@
         let mut most: f64 = 0.0;
         for i in 0..200 {
             rig.now += 0.01;
-            for (job, server) in sends(&rig.ask(&format!("{tag}{i}"))) {
-                let spent = if &*server == "a" { slow } else { 0.02 };
-                let (attempt, status, over, settled) = (0, Status::Ok, true, None);
-                let load = Load::default();
-                rig.event(Event::Outcome { job, attempt, server, status, spent, over, settled, load });
+            for (request_id, endpoint) in sends(&rig.ask(&format!("{tag}{i}"))) {
+                let elapsed = if &*endpoint == "a" { slow } else { 0.02 };
+                let (attempt, status, is_finished, actual_units) = (0, Status::Ok, true, None);
+                let load = LoadReport::default();
+                rig.event(Event::AttemptEnded {
+                    request_id,
+                    attempt,
+                    endpoint,
+                    status,
+                    elapsed,
+                    is_finished,
+                    actual_units,
+                    load,
+                });
                 // The middle answer's time, which the bound on what is out goes by.
-                most = most.max(rig.gateway.memory().times[1]);
+                most = most.max(rig.gateway.snapshot().response_times.median);
             }
         }
         most
--- a/tests/ceiling.rs
+++ b/tests/ceiling.rs
@@ -64,7 +64,8 @@
 
 fn rules(n: u32, has_counter: bool) -> Settings {
     let mut s = settings();
-    (s.gateways, s.has_counter, s.max_units, s.count_limit) = (n, has_counter, f64::from(LARGEST), 0.15);
+    (s.gateway_count, s.has_counter, s.max_units, s.counter_timeout) =
+        (n, has_counter, f64::from(LARGEST), 0.15);
     s.plans = vec![plan(7.0, 40.0)];
     // The narrowest that the operators give, 1.6 times the quota.
     (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (11.2, 64.0);
@@ -87,10 +88,10 @@
 
 fn gateway(s: &Settings, me: u32, now: Time) -> Rig {
     let mut s = s.clone();
-    s.me = me;
+    s.gateway_index = me;
     let gateway = Gateway::new(s, u64::from(me) * 7919 + now as u64).expect("usable settings");
     let mut rig = Rig { gateway, now, actions: Vec::new() };
-    let name = |i: u32| server(&format!("s{i:03}"), Lifecycle::Running, 0.0);
+    let name = |i: u32| endpoint(&format!("s{i:03}"), Lifecycle::Running, 0.0);
     rig.list(ListKind::Stale, (0..60).map(name).collect());
     rig
 }
@@ -100,8 +101,8 @@
     let mut dice = fastrand::Rng::with_seed(u64::from(n));
     let mut customers = customers(n, s, &mut dice);
     let rigs = (0..n).map(|me| gateway(s, me, START)).collect();
-    let mut simulation = Simulation::new(rigs, CounterModel::new(1000.0, 0.003, 0.2, s.count_limit));
-    let mut asked: BTreeMap<JobId, (usize, f64)> = BTreeMap::new();
+    let mut simulation = Simulation::new(rigs, CounterModel::new(1000.0, 0.003, 0.2, s.counter_timeout));
+    let mut asked: BTreeMap<RequestId, (usize, f64)> = BTreeMap::new();
     let plan = s.plans[0].clone();
     let (mut number, mut troubled) = (0, false);
     let steps = (SECONDS / STEP) as u32;
@@ -134,9 +135,10 @@
                 let alone = matches!(customer.pattern, Pattern::Skewed) && dice.u32(0..3) > 0;
                 let place = if alone { 0 } else { dice.u32(0..customer.spread) };
                 let mut request = request(&format!("j{number}"), now);
-                (request.units, request.spread, request.first) = (units, customer.spread, customer.first);
+                (request.units, request.customer_gateway_count, request.first_gateway) =
+                    (units, customer.spread, customer.first);
                 request.customer = customer.id.clone();
-                asked.insert(request.job.clone(), (c, units));
+                asked.insert(request.id.clone(), (c, units));
                 let gateway = ((customer.first + place) % n) as usize;
                 sent.extend(simulation.handle(gateway, now, Event::Request(request)));
             }
@@ -144,8 +146,8 @@
         for customer in &mut customers {
             customer.level = (customer.level + plan.ceiling_rate * STEP).min(plan.ceiling_burst);
         }
-        for job in sent {
-            let (c, units) = asked[&job];
+        for request_id in sent {
+            let (c, units) = asked[&request_id];
             let customer = &mut customers[c];
             customer.level -= units;
             customer.sent += units;
