--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,42 +13,48 @@
 
 pub fn plan(rate: f64, burst: f64) -> Plan {
     let mut plan = Plan::default();
-    (plan.rate, plan.burst, plan.pays) = (rate, burst, 1.0);
+    (plan.rate, plan.burst, plan.priority_weight) = (rate, burst, 1.0);
     plan
 }
 
 pub fn settings() -> Settings {
     let mut s = Settings::default();
-    (s.gateways, s.has_counter, s.second_copies, s.max_attempts) = (2, true, true, 3);
-    (s.may_cancel, s.cold, s.cold_from, s.fall_multiple, s.fall) = (true, 10.0, 0.2, 2.0, 1.0);
+    (s.gateway_count, s.has_counter, s.hedging_enabled, s.max_attempts) = (2, true, true, 3);
+    (
+        s.cancellation_enabled,
+        s.slow_start_window,
+        s.slow_start_initial_share,
+        s.overload_multiple,
+        s.overload_window,
+    ) = (true, 10.0, 0.2, 2.0, 1.0);
     s.classes = vec![Class::default()];
     s.plans = vec![plan(10.0, 20.0)];
     s
 }
 
-pub fn server(name: &str, lifecycle: Lifecycle, started: Time) -> Server {
-    Server { id: name.into(), zone: 0, cell: 0, started, lifecycle }
+pub fn endpoint(name: &str, lifecycle: Lifecycle, started: Time) -> Endpoint {
+    Endpoint { id: name.into(), zone: 0, cell: 0, started, lifecycle }
 }
 
-pub fn request(job: &str, now: Time) -> Request {
+pub fn request(request_id: &str, now: Time) -> Request {
     Request {
-        job: job.into(),
+        id: request_id.into(),
         units: 1.0,
-        expires: now + 3.0,
+        deadline: now + 3.0,
         plan: 0,
-        spread: 2,
-        first: 0,
+        customer_gateway_count: 2,
+        first_gateway: 0,
         class: 0,
         customer: "c".into(),
-        repeat: false,
+        is_retry: false,
     }
 }
 
 impl Rig {
     pub fn new(settings: Settings) -> Self {
         let mut rig = Self::empty(settings);
-        let servers = ["a", "b", "c"].map(|n| server(n, Lifecycle::Running, 0.0)).to_vec();
-        rig.list(ListKind::Stale, servers);
+        let endpoints = ["a", "b", "c"].map(|n| endpoint(n, Lifecycle::Running, 0.0)).to_vec();
+        rig.list(ListKind::Stale, endpoints);
         rig
     }
 
@@ -56,8 +62,8 @@
         Self { gateway: Gateway::new(settings, 7).expect("usable settings"), now: 100.0, actions: Vec::new() }
     }
 
-    pub fn list(&mut self, kind: ListKind, servers: Vec<Server>) {
-        self.event(Event::List { kind, servers });
+    pub fn list(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) {
+        self.event(Event::EndpointsUpdated { kind, endpoints });
     }
 
     /// Handles one event and returns what it led to.
@@ -68,47 +74,53 @@
         out
     }
 
-    pub fn ask(&mut self, job: &str) -> Vec<Action> {
-        let request = request(job, self.now);
+    pub fn ask(&mut self, request_id: &str) -> Vec<Action> {
+        let request = request(request_id, self.now);
         self.event(Event::Request(request))
     }
 
     pub fn counted(&mut self, counter: u64, status: Status, total: f64) -> Vec<Action> {
-        self.event(Event::Counted { counter, status, total, spent: 0.002 })
+        self.event(Event::CounterReplied { counter, status, total, elapsed: 0.002 })
     }
 
-    pub fn outcome(&mut self, job: &str, attempt: u32, server: &ServerId, status: Status) -> Vec<Action> {
-        self.event(Event::Outcome {
-            job: job.into(),
+    pub fn outcome(
+        &mut self,
+        request_id: &str,
+        attempt: u32,
+        endpoint: &EndpointId,
+        status: Status,
+    ) -> Vec<Action> {
+        self.event(Event::AttemptEnded {
+            request_id: request_id.into(),
             attempt,
-            server: server.clone(),
+            endpoint: endpoint.clone(),
             status,
-            spent: 0.1,
-            over: status == Status::Ok,
-            settled: None,
-            load: Load::default(),
+            elapsed: 0.1,
+            is_finished: status == Status::Ok,
+            actual_units: None,
+            load: LoadReport::default(),
         })
     }
 }
 
 pub fn counts(actions: &[Action]) -> Vec<(u64, f64)> {
     let count = |a: &Action| match a {
-        Action::Count { counter, amount, .. } => Some((*counter, *amount)),
+        Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
         _ => None,
     };
     actions.iter().filter_map(count).collect()
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(JobId, ServerId)> {
+pub fn sends(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
     let send = |a: &Action| match a {
-        Action::Send { job, server, .. } => Some((job.clone(), server.clone())),
+        Action::StartAttempt { request_id, endpoint, .. } => Some((request_id.clone(), endpoint.clone())),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
 }
 
 pub fn refused(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
 pub fn failed(actions: &[Action]) -> usize {
@@ -136,8 +148,8 @@
     }
 
     /// One request through `rig` with its calls answered; its actions.
-    pub fn ask(&mut self, rig: &mut Rig, job: &str) -> Vec<Action> {
-        let mut out = rig.ask(job);
+    pub fn ask(&mut self, rig: &mut Rig, request_id: &str) -> Vec<Action> {
+        let mut out = rig.ask(request_id);
         out.extend(self.answer(rig, &out.clone()));
         out
     }
@@ -147,9 +159,9 @@
         let mut sent = 0;
         for i in 0..n {
             let out = self.ask(rig, &format!("{tag}{i}"));
-            for (job, server) in sends(&out) {
+            for (request_id, endpoint) in sends(&out) {
                 sent += 1;
-                let out = rig.outcome(&job, 0, &server, Status::Ok);
+                let out = rig.outcome(&request_id, 0, &endpoint, Status::Ok);
                 self.answer(rig, &out);
             }
         }
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -1,9 +1,9 @@
-//! A fleet of gateways on one clock, before servers that answer in 50 ms and a counter of a given strength.
+//! A fleet of gateways on one clock, before endpoints that answer in 50 ms and a counter of a given strength.
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Seconds that a server takes to answer.
+/// Seconds that an endpoint takes to answer.
 const ANSWER: f64 = 0.05;
 
 /// The counter service.
@@ -34,20 +34,22 @@
 
     /// When a call that is made now ends, and how.
     fn call(&mut self, now: Time, counter: u64, amount: f64) -> (Time, Event) {
-        let ended = |status, total, spent| (now + spent, Event::Counted { counter, status, total, spent });
+        let ended = |status, total, elapsed| {
+            (now + elapsed, Event::CounterReplied { counter, status, total, elapsed })
+        };
         if now < self.silent_until {
             return ended(Status::Timeout, 0.0, self.limit);
         }
         let wait = (self.free - now).max(0.0);
         if wait > self.line {
-            return ended(Status::Full, 0.0, self.way);
+            return ended(Status::Rejected, 0.0, self.way);
         }
         self.free = now.max(self.free) + 1.0 / self.calls;
         let total = self.totals.entry(counter).or_default();
         *total += amount;
-        let spent = wait + self.way;
-        if spent <= self.limit {
-            ended(Status::Ok, *total, spent)
+        let elapsed = wait + self.way;
+        if elapsed <= self.limit {
+            ended(Status::Ok, *total, elapsed)
         } else {
             ended(Status::Timeout, 0.0, self.limit)
         }
@@ -60,7 +62,7 @@
     pub counter: CounterModel,
     due: BTreeMap<(u64, u64), (usize, Event)>,
     turn: u64,
-    sent: BTreeSet<JobId>,
+    sent: BTreeSet<RequestId>,
 }
 
 impl Simulation {
@@ -75,7 +77,7 @@
     }
 
     /// Lets all that is due by `now` happen; returns the requests sent on for the first time.
-    pub fn advance(&mut self, now: Time) -> Vec<JobId> {
+    pub fn advance(&mut self, now: Time) -> Vec<RequestId> {
         let mut first_sends = Vec::new();
         while let Some(entry) = self.due.first_entry().filter(|e| f64::from_bits(e.key().0) <= now) {
             let (gateway, event) = entry.remove();
@@ -85,7 +87,7 @@
     }
 
     /// Tells one gateway of an event; returns the requests that it sends on for the first time.
-    pub fn handle(&mut self, gateway: usize, now: Time, event: Event) -> Vec<JobId> {
+    pub fn handle(&mut self, gateway: usize, now: Time, event: Event) -> Vec<RequestId> {
         let rig = &mut self.rigs[gateway];
         rig.now = now;
         let actions = rig.event(event);
@@ -93,14 +95,14 @@
         let mut first_sends = Vec::new();
         for action in actions {
             let (at, event) = match action {
-                Action::Send { job, server, .. } => {
-                    if self.sent.insert(job.clone()) {
-                        first_sends.push(job.clone());
+                Action::StartAttempt { request_id, endpoint, .. } => {
+                    if self.sent.insert(request_id.clone()) {
+                        first_sends.push(request_id.clone());
                     }
-                    (now + ANSWER, answered(job, server))
+                    (now + ANSWER, answered(request_id, endpoint))
                 }
-                Action::Count { counter, amount, .. } => self.counter.call(now, counter, amount),
-                Action::Timer { token, at } => (at, Event::Timer { token }),
+                Action::AddToCounter { counter, amount, .. } => self.counter.call(now, counter, amount),
+                Action::SetTimer { token, at } => (at, Event::Timer { token }),
                 _ => continue,
             };
             self.turn += 1;
@@ -110,7 +112,16 @@
     }
 }
 
-fn answered(job: JobId, server: ServerId) -> Event {
-    let (status, load) = (Status::Ok, Load::default());
-    Event::Outcome { job, attempt: 0, server, status, spent: ANSWER, over: true, settled: None, load }
+fn answered(request_id: RequestId, endpoint: EndpointId) -> Event {
+    let (status, load) = (Status::Ok, LoadReport::default());
+    Event::AttemptEnded {
+        request_id,
+        attempt: 0,
+        endpoint,
+        status,
+        elapsed: ANSWER,
+        is_finished: true,
+        actual_units: None,
+        load,
+    }
 }
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -478,8 +478,8 @@
                 return;
             }
             let newer = known.entries.iter().filter(|(v, _)| from.is_none_or(|from| *v > from));
-            let servers: Vec<&Value> = newer.map(|(_, e)| e).collect();
-            let list = json!({"version": known.version, "full": from.is_none(), "servers": servers});
+            let endpoints: Vec<&Value> = newer.map(|(_, e)| e).collect();
+            let list = json!({"version": known.version, "full": from.is_none(), "servers": endpoints});
             let body = if known.garbage { "{\"version\":".to_owned() } else { list.to_string() };
             drop(known);
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,37 +5,37 @@
 use oliverack::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-fn fleet(n: u32, settings: &Settings, servers: &[Server]) -> Vec<Rig> {
+fn fleet(n: u32, settings: &Settings, endpoints: &[Endpoint]) -> Vec<Rig> {
     let rig = |me: u32| {
         let mut s = settings.clone();
-        (s.me, s.gateways) = (me, n);
+        (s.gateway_index, s.gateway_count) = (me, n);
         let gateway = Gateway::new(s, u64::from(me) * 7919 + 1).expect("usable settings");
         let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
-        rig.list(ListKind::Stale, servers.to_vec());
+        rig.list(ListKind::Stale, endpoints.to_vec());
         rig
     };
     (0..n).map(rig).collect()
 }
 
-fn servers(n: u32) -> Vec<Server> {
-    (0..n).map(|i| server(&format!("s{i:03}"), Lifecycle::Running, 0.0)).collect()
+fn endpoints(n: u32) -> Vec<Endpoint> {
+    (0..n).map(|i| endpoint(&format!("s{i:03}"), Lifecycle::Running, 0.0)).collect()
 }
 
-/// One request through `rig`, answered in 50 ms if sent; the server it went to.
-fn one(rig: &mut Rig, job: &str, spread: u32) -> Option<ServerId> {
-    let mut request = request(job, rig.now);
-    request.spread = spread;
+/// One request through `rig`, answered in 50 ms if sent; the endpoint it went to.
+fn one(rig: &mut Rig, request_id: &str, spread: u32) -> Option<EndpointId> {
+    let mut request = request(request_id, rig.now);
+    request.customer_gateway_count = spread;
     let out = rig.event(Event::Request(request));
-    let (job, server) = sends(&out).pop()?;
-    rig.outcome(&job, 0, &server, Status::Ok);
-    Some(server)
+    let (request_id, endpoint) = sends(&out).pop()?;
+    rig.outcome(&request_id, 0, &endpoint, Status::Ok);
+    Some(endpoint)
 }
 
 #[test]
-fn hundreds_told_of_a_cold_server_at_one_instant_do_not_push_it_over() {
+fn hundreds_told_of_a_cold_endpoint_at_one_instant_do_not_push_it_over() {
     let mut s = settings();
     s.plans = vec![Plan::default()];
-    let (n, warm) = (200, servers(9));
+    let (n, warm) = (200, endpoints(9));
     let mut rigs = fleet(n, &s, &warm);
     let mut sent = 0.0;
     let mut to_cold = 0.0;
@@ -44,47 +44,57 @@
         for (i, rig) in rigs.iter_mut().enumerate() {
             rig.now = now;
             if step == 70 {
-                rig.list(ListKind::Changes, vec![server("s000", Lifecycle::Running, now)]);
+                rig.list(ListKind::Changes, vec![endpoint("s000", Lifecycle::Running, now)]);
             }
             if (i + step as usize) % 5 == 0 {
-                let server = one(rig, &format!("{i}-{step}"), n);
-                sent += f64::from(u8::from(server.is_some() && step < 70));
-                to_cold += f64::from(u8::from(server.as_deref() == Some("s000") && step >= 70));
+                let endpoint = one(rig, &format!("{i}-{step}"), n);
+                sent += f64::from(u8::from(endpoint.is_some() && step < 70));
+                to_cold += f64::from(u8::from(endpoint.as_deref() == Some("s000") && step >= 70));
             }
         }
     }
-    let each = sent / 7.0 / 9.0; // What a server carried, a second.
-    let may = s.fall_multiple * s.cold_from * each * s.fall;
-    assert!(to_cold > 0.0, "a cold server is not left idle");
+    let each = sent / 7.0 / 9.0; // What an endpoint carried, a second.
+    let may = s.overload_multiple * s.slow_start_initial_share * each * s.overload_window;
+    assert!(to_cold > 0.0, "a cold endpoint is not left idle");
     assert!(to_cold <= may, "{to_cold} sent in the fall span, {may} would push it over");
 }
 
 #[test]
-fn a_gateway_of_many_keeps_to_few_servers() {
+fn a_gateway_of_many_keeps_to_few_endpoints() {
     let mut s = settings();
     s.plans = vec![Plan::default()];
-    let mut rigs = fleet(100, &s, &servers(60));
-    let all: BTreeSet<ServerId> = (0..200).filter_map(|i| one(&mut rigs[3], &format!("j{i}"), 1)).collect();
-    assert!((2..=12).contains(&all.len()), "{} servers used", all.len());
-    let firsts: BTreeSet<ServerId> = rigs.iter_mut().filter_map(|rig| one(rig, "first", 1)).collect();
+    let mut rigs = fleet(100, &s, &endpoints(60));
+    let all: BTreeSet<EndpointId> = (0..200).filter_map(|i| one(&mut rigs[3], &format!("j{i}"), 1)).collect();
+    assert!((2..=12).contains(&all.len()), "{} endpoints used", all.len());
+    let firsts: BTreeSet<EndpointId> = rigs.iter_mut().filter_map(|rig| one(rig, "first", 1)).collect();
     assert!(firsts.len() >= 30, "together they use the fleet: {}", firsts.len());
 }
 
 /// Of 300 requests at one gateway, how many are turned away at once when `lost` in ten attempts never answer.
 fn refused_when_lost(lost: usize) -> usize {
     let mut s = settings();
-    (s.plans, s.gateways) = (vec![Plan::default()], 20);
+    (s.plans, s.gateway_count) = (vec![Plan::default()], 20);
     let mut rig = Rig::new(s);
     let mut total = 0;
     for i in 0..300 {
         rig.now += 0.1;
         let out = rig.ask(&format!("j{i}"));
         total += refused(&out);
-        for (job, server) in sends(&out) {
-            let (status, spent) = if i * 3 % 10 < lost { (Status::Timeout, 1.0) } else { (Status::Ok, 0.03) };
-            let over = status == Status::Ok;
-            let load = Load::default();
-            rig.event(Event::Outcome { job, attempt: 0, server, status, spent, over, settled: None, load });
+        for (request_id, endpoint) in sends(&out) {
+            let (status, elapsed) =
+                if i * 3 % 10 < lost { (Status::Timeout, 1.0) } else { (Status::Ok, 0.03) };
+            let is_finished = status == Status::Ok;
+            let load = LoadReport::default();
+            rig.event(Event::AttemptEnded {
+                request_id,
+                attempt: 0,
+                endpoint,
+                status,
+                elapsed,
+                is_finished,
+                actual_units: None,
+                load,
+            });
         }
     }
     total
@@ -102,17 +112,17 @@
 /// turns away what would be the 61st.
 fn told(n: u32) -> (f64, usize) {
     let mut s = settings();
-    (s.must_ask, s.must_ask_in) = (true, 10.0);
-    let mut rigs = fleet(n, &s, &servers(9));
+    (s.discovery_is_polled, s.max_poll_interval) = (true, 10.0);
+    let mut rigs = fleet(n, &s, &endpoints(9));
     let (mut due, mut line) = (Vec::new(), VecDeque::new());
     let (mut calls, mut has, mut free) = (0, BTreeSet::new(), 100.0);
     let timers = |i: usize, out: Vec<Action>| {
         out.into_iter().filter_map(move |a| match a {
-            Action::Timer { token, at } => Some((at, i, token)),
+            Action::SetTimer { token, at } => Some((at, i, token)),
             _ => None,
         })
     };
-    let wants = |out: &[Action]| out.contains(&Action::Watch);
+    let wants = |out: &[Action]| out.contains(&Action::PollEndpoints);
     let mut asks: Vec<usize> = Vec::new();
     for (i, rig) in rigs.iter_mut().enumerate() {
         let out = std::mem::take(&mut rig.actions);
@@ -143,14 +153,15 @@
             }
             has.insert(i);
             rigs[i].now = now;
-            rigs[i].list(ListKind::Full, servers(9));
+            rigs[i].list(ListKind::Full, endpoints(9));
         }
         if has.len() == n as usize {
             return (now - 100.0, calls);
         }
         for i in failed {
             rigs[i].now = now;
-            let out = rigs[i].event(Event::List { kind: ListKind::Failed, servers: Vec::new() });
+            let out =
+                rigs[i].event(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
             asks.extend(wants(&out).then_some(i));
             due.extend(timers(i, out));
         }
@@ -170,21 +181,21 @@
 #[test]
 fn a_service_that_is_lost_is_asked_at_growing_times() {
     let mut s = settings();
-    (s.must_ask, s.must_ask_in, s.gateways) = (true, 10.0, 1);
+    (s.discovery_is_polled, s.max_poll_interval, s.gateway_count) = (true, 10.0, 1);
     let mut rig = Rig::new(s);
     let mut calls = 0;
     while rig.now < 160.0 {
         let next = rig.actions.drain(..).filter_map(|a| match a {
-            Action::Timer { token, at } => Some((at, token)),
+            Action::SetTimer { token, at } => Some((at, token)),
             _ => None,
         });
         let mut next: Vec<_> = next.collect();
         next.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (at, token) in next {
             rig.now = rig.now.max(at);
-            if rig.event(Event::Timer { token }).contains(&Action::Watch) {
+            if rig.event(Event::Timer { token }).contains(&Action::PollEndpoints) {
                 calls += 1;
-                rig.event(Event::List { kind: ListKind::Failed, servers: Vec::new() });
+                rig.event(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
             }
         }
     }
@@ -198,55 +209,66 @@
     for n in [1, 3, 12, 30, 100, 350, 1024] {
         for seed in 0..20 {
             let mut s = settings();
-            (s.must_ask, s.must_ask_in, s.gateways) = (true, 10.0, n);
+            (s.discovery_is_polled, s.max_poll_interval, s.gateway_count) = (true, 10.0, n);
             let gateway = Gateway::new(s, seed).expect("usable settings");
             let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
-            rig.list(ListKind::Stale, servers(9));
+            rig.list(ListKind::Stale, endpoints(9));
             for _ in 0..12 {
-                let turn =
-                    |a: &Action| if let Action::Timer { token, at } = a { Some((*token, *at)) } else { None };
+                let turn = |a: &Action| {
+                    if let Action::SetTimer { token, at } = a { Some((*token, *at)) } else { None }
+                };
                 // Beside the one that looks for customers to forget, which is due later.
                 let next = rig.actions.drain(..).filter_map(|a| turn(&a)).min_by(|a, b| a.1.total_cmp(&b.1));
                 let (token, at) = next.expect("a turn");
                 assert!(at - rig.now < most, "{n} gateways: {} s", at - rig.now);
                 rig.now = at;
-                assert!(rig.event(Event::Timer { token }).contains(&Action::Watch));
+                assert!(rig.event(Event::Timer { token }).contains(&Action::PollEndpoints));
                 rig.list(ListKind::Failed, Vec::new());
             }
         }
     }
 }
 
-/// What `n` gateways send a second, after `new` of the `all` servers were replaced by cold ones at one moment: to a
-/// cold server in the mean and at most, and to any server before.
+/// What `n` gateways send a second, after `new` of the `all` endpoints were replaced by cold ones at one moment: to a
+/// cold endpoint in the mean and at most, and to any endpoint before.
 fn sent_to_cold(n: u32, all: u32, new: u32) -> (f64, f64, f64) {
     let mut s = settings();
     s.plans = vec![Plan::default()];
-    let mut rigs = fleet(n, &s, &servers(all));
+    let mut rigs = fleet(n, &s, &endpoints(all));
     let (mut before, mut cold) = (0, BTreeMap::new());
     let mut rng = fastrand::Rng::with_seed(7);
     for step in 0..120 {
         let now = 100.0 + f64::from(step) * 0.1;
         let replaced = (0..new).flat_map(|i| {
-            let gone = server(&format!("s{:03}", i * all / new), Lifecycle::Gone, 0.0);
-            [gone, server(&format!("t{i:03}"), Lifecycle::Running, now)]
+            let gone = endpoint(&format!("s{:03}", i * all / new), Lifecycle::Gone, 0.0);
+            [gone, endpoint(&format!("t{i:03}"), Lifecycle::Running, now)]
         });
-        let changes: Vec<Server> = if step == 60 { replaced.collect() } else { Vec::new() };
+        let changes: Vec<Endpoint> = if step == 60 { replaced.collect() } else { Vec::new() };
         for (i, rig) in rigs.iter_mut().enumerate() {
             rig.now = now;
             if step == 60 {
                 rig.list(ListKind::Changes, changes.clone());
             }
             for turn in 0..(100 / n).max(1) {
-                let job = format!("{i}-{step}-{turn}");
-                let sent = sends(&rig.ask(&job)).pop().map(|(_, server)| server);
+                let request_id = format!("{i}-{step}-{turn}");
+                let sent = sends(&rig.ask(&request_id)).pop().map(|(_, endpoint)| endpoint);
                 before += u32::from(sent.is_some() && (30..60).contains(&step));
                 // Answers take 50 to 140 ms, cold or warm.
-                let spent = 0.05 + 0.09 * rng.f64();
-                if let Some(server) = sent.clone() {
-                    let (job, status, over, load) = (job.into(), Status::Ok, true, Load::default());
-                    let settled = None;
-                    rig.event(Event::Outcome { job, attempt: 0, server, status, spent, over, settled, load });
+                let elapsed = 0.05 + 0.09 * rng.f64();
+                if let Some(endpoint) = sent.clone() {
+                    let (request_id, status, is_finished, load) =
+                        (request_id.into(), Status::Ok, true, LoadReport::default());
+                    let actual_units = None;
+                    rig.event(Event::AttemptEnded {
+                        request_id,
+                        attempt: 0,
+                        endpoint,
+                        status,
+                        elapsed,
+                        is_finished,
+                        actual_units,
+                        load,
+                    });
                 }
                 if let Some(id) = sent.filter(|id| id.starts_with('t') && step >= 90) {
                     *cold.entry(id).or_insert(0) += 1;
@@ -261,22 +283,22 @@
 }
 
 #[test]
-fn cold_servers_carry_their_share_whatever_the_size_of_the_fleet() {
+fn cold_endpoints_carry_their_share_whatever_the_size_of_the_fleet() {
     for (n, all, new) in [(3, 9, 5), (12, 20, 12), (100, 60, 36)] {
         let (mean, most, before) = sent_to_cold(n, all, new);
         // At an age of 3 to 6 s of 10 it surely has 0.44 to 0.68 of its capacity.
-        assert!(mean >= 0.2 * before, "{n} gateways: {mean} to a cold server, {before} to any before");
+        assert!(mean >= 0.2 * before, "{n} gateways: {mean} to a cold endpoint, {before} to any before");
         assert!(most <= 2.0 * 0.44 * before * 2.0, "{n} gateways: {most} to one, {before} to any before");
     }
 }
 
 #[test]
-fn gateways_together_load_servers_evenly() {
+fn gateways_together_load_endpoints_evenly() {
     let mut s = settings();
     s.plans = vec![Plan::default()];
     for (n, all) in [(1, 9), (3, 9), (12, 20), (100, 60)] {
         let mut sent = BTreeMap::new();
-        for (i, rig) in fleet(n, &s, &servers(all)).iter_mut().enumerate() {
+        for (i, rig) in fleet(n, &s, &endpoints(all)).iter_mut().enumerate() {
             for turn in 0..3000 / n {
                 rig.now += 0.5;
                 *sent.entry(one(rig, &format!("{i}-{turn}"), n)).or_insert(0) += 1;
@@ -293,8 +315,8 @@
 /// share answered within the limit, and how many that are.
 fn counted_in_time(n: u32) -> (f64, u32) {
     let mut s = settings();
-    s.count_limit = 0.08;
-    let mut rigs = fleet(n, &s, &servers(9));
+    s.counter_timeout = 0.08;
+    let mut rigs = fleet(n, &s, &endpoints(9));
     let (mut line, mut free): (VecDeque<(f64, usize, u64)>, f64) = (VecDeque::new(), 100.0);
     let (mut calls, mut well, mut number) = (0, 0, 0);
     for step in 0..2000 {
@@ -303,20 +325,20 @@
         while let Some((since, i, counter)) = line.front().copied().filter(|_| free <= now) {
             line.pop_front();
             free = free.max(since) + 1.0 / 250.0;
-            let spent = (now - since).max(0.002);
+            let elapsed = (now - since).max(0.002);
             // What nobody waits for any more has been reported already, and is worked on all the same.
-            if spent <= s.count_limit {
-                reports.push((i, counter, Status::Ok, spent));
+            if elapsed <= s.counter_timeout {
+                reports.push((i, counter, Status::Ok, elapsed));
                 well += u32::from(step >= 1000);
             }
         }
-        let late = |at: f64| (now - at > s.count_limit) && (now - at <= s.count_limit + 0.01);
+        let late = |at: f64| (now - at > s.counter_timeout) && (now - at <= s.counter_timeout + 0.01);
         let lost = line.iter().filter(|(at, ..)| late(*at));
-        reports.extend(lost.map(|(_, i, counter)| (*i, *counter, Status::Timeout, s.count_limit)));
+        reports.extend(lost.map(|(_, i, counter)| (*i, *counter, Status::Timeout, s.counter_timeout)));
         let mut out: Vec<(usize, Action)> = Vec::new();
-        for (i, counter, status, spent) in reports {
+        for (i, counter, status, elapsed) in reports {
             rigs[i].now = now;
-            let event = Event::Counted { counter, status, total: 1.0, spent };
+            let event = Event::CounterReplied { counter, status, total: 1.0, elapsed };
             out.extend(rigs[i].event(event).into_iter().map(|a| (i, a)));
         }
         // 800 requests a second, each of another customer.
@@ -330,11 +352,13 @@
         }
         for (i, action) in out {
             match action {
-                Action::Count { counter, .. } => {
+                Action::AddToCounter { counter, .. } => {
                     calls += u32::from(step >= 1000);
                     line.push_back((now, i, counter));
                 }
-                Action::Send { job, server, .. } => drop(rigs[i].outcome(&job, 0, &server, Status::Ok)),
+                Action::StartAttempt { request_id, endpoint, .. } => {
+                    drop(rigs[i].outcome(&request_id, 0, &endpoint, Status::Ok))
+                }
                 _ => {}
             }
         }
@@ -354,19 +378,19 @@
 #[test]
 fn what_many_gateways_send_off_the_count_is_told_to_it_once() {
     let mut s = settings();
-    s.gateways = 100;
+    s.gateway_count = 100;
     let mut rig = Rig::new(s);
     let ask = |rig: &mut Rig, i: u32| {
         let mut request = request(&format!("j{i}"), rig.now);
-        (request.spread, request.customer) = (100, format!("c{i}").into());
+        (request.customer_gateway_count, request.customer) = (100, format!("c{i}").into());
         rig.event(Event::Request(request))
     };
     // More at once than there are calls for: the rest goes by the even share, off the count.
     let mut off = 0.0;
     for i in 0..30 {
-        for (job, server) in sends(&ask(&mut rig, i)) {
+        for (request_id, endpoint) in sends(&ask(&mut rig, i)) {
             off += 1.0;
-            rig.outcome(&job, 0, &server, Status::Ok);
+            rig.outcome(&request_id, 0, &endpoint, Status::Ok);
         }
     }
     assert!(off >= 20.0, "{off} sent off the count");
@@ -374,10 +398,10 @@
     for i in 30..90 {
         rig.now += 0.5;
         for action in ask(&mut rig, i) {
-            let Action::Count { counter, amount, .. } = action else { continue };
+            let Action::AddToCounter { counter, amount, .. } = action else { continue };
             told += amount - 1.0;
-            for (job, server) in sends(&rig.counted(counter, Status::Ok, amount + 0.5)) {
-                rig.outcome(&job, 0, &server, Status::Ok);
+            for (request_id, endpoint) in sends(&rig.counted(counter, Status::Ok, amount + 0.5)) {
+                rig.outcome(&request_id, 0, &endpoint, Status::Ok);
             }
         }
     }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -9,7 +9,7 @@
     let timers = std::mem::take(&mut rig.actions);
     rig.now = at;
     for timer in timers {
-        if let Action::Timer { token, at: due } = timer
+        if let Action::SetTimer { token, at: due } = timer
             && due <= at
         {
             let out = rig.event(Event::Timer { token });
@@ -31,7 +31,7 @@
     assert_eq!(counter.ask_many(&mut rig, "a", 60), 20, "the burst, to the unit");
     let out = rig.ask("b");
     assert_eq!((refused(&out), counts(&out).len()), (1, 0), "a level known to be nothing needs no call");
-    assert!(matches!(out[0], Action::Refuse { retry_after, .. } if retry_after > 0.0));
+    assert!(matches!(out[0], Action::Reject { retry_after, .. } if retry_after > 0.0));
 }
 
 #[test]
@@ -81,7 +81,7 @@
 
 #[test]
 fn what_a_call_that_was_turned_away_should_have_told_the_next_one_tells() {
-    for status in [Status::Full, Status::ConnectFailed] {
+    for status in [Status::Rejected, Status::ConnectFailed] {
         let mut rig = Rig::new(settings());
         let (mut sent, mut told) = (0, 0.0);
         for i in 0..6 {
@@ -112,9 +112,9 @@
             *counter.0.entry(name).or_default() += step;
             out.extend(rig.counted(name, Status::Error, 0.0));
         }
-        for (job, server) in sends(&out) {
+        for (request_id, endpoint) in sends(&out) {
             sent += 1;
-            rig.outcome(&job, 0, &server, Status::Ok);
+            rig.outcome(&request_id, 0, &endpoint, Status::Ok);
         }
     }
     rig.now += 1.0;
@@ -133,9 +133,9 @@
         for (name, _) in counts(&out) {
             out.extend(rig.counted(name, Status::Timeout, 0.0));
         }
-        for (job, server) in sends(&out) {
+        for (request_id, endpoint) in sends(&out) {
             sent += 1;
-            rig.outcome(&job, 0, &server, Status::Ok);
+            rig.outcome(&request_id, 0, &endpoint, Status::Ok);
         }
     }
     assert!((30..=36).contains(&sent), "{sent} sent in 5 s; half of burst 20 and of 10 a second makes 35");
@@ -153,7 +153,7 @@
 /// Six requests at once where the cap leaves this gateway two slots: the rig and what came of them.
 fn six_for_two_slots() -> (Rig, Counter, Vec<Action>) {
     let mut s = settings();
-    s.plans[0].open = 4;
+    s.plans[0].max_concurrent_attempts = 4;
     let (mut rig, mut counter) = (Rig::new(s), Counter::default());
     let mut out = Vec::new();
     for i in 0..6 {
@@ -169,8 +169,8 @@
     let mut out = sends(&out);
     for left in (0..6).rev() {
         rig.now += 0.05;
-        let (job, server) = out.remove(0);
-        out.extend(sends(&rig.outcome(&job, 0, &server, Status::Ok)));
+        let (request_id, endpoint) = out.remove(0);
+        out.extend(sends(&rig.outcome(&request_id, 0, &endpoint, Status::Ok)));
         assert_eq!(out.len(), left.min(2), "each that ends makes room for one");
     }
     assert_eq!(sends(&counter.ask(&mut rig, "k")).len(), 1, "all have ended");
@@ -181,12 +181,12 @@
     for first in [0, 1] {
         let at_once = |me: u32| {
             let mut s = settings();
-            (s.me, s.plans[0].open) = (me, 3);
+            (s.gateway_index, s.plans[0].max_concurrent_attempts) = (me, 3);
             let (mut rig, mut counter) = (Rig::new(s), Counter::default());
             let mut sent = 0;
             for i in 0..6 {
                 let mut request = request(&format!("j{i}"), rig.now);
-                request.first = first;
+                request.first_gateway = first;
                 let out = rig.event(Event::Request(request));
                 sent += sends(&out).len() + sends(&counter.answer(&mut rig, &out)).len();
             }
@@ -203,21 +203,30 @@
     let running = sends(&out);
     pass(&mut rig, &mut counter, 100.5);
     assert_eq!(refused(&rig.actions), 4, "well before the aim of a second is over");
-    for (job, server) in running {
+    for (request_id, endpoint) in running {
         assert!(
-            sends(&rig.outcome(&job, 0, &server, Status::Ok)).is_empty(),
+            sends(&rig.outcome(&request_id, 0, &endpoint, Status::Ok)).is_empty(),
             "none of them is sent any more"
         );
     }
-    assert!(counts(&rig.ask("k")).is_empty(), "what was not sent was not spent: the lease covers the next");
+    assert!(counts(&rig.ask("k")).is_empty(), "what was not sent was not elapsed: the lease covers the next");
 }
 
 #[test]
 fn who_would_wait_too_long_for_a_slot_is_refused_at_once() {
     let (mut rig, mut counter, out) = six_for_two_slots();
-    let (job, server) = sends(&out).remove(0);
-    let (status, load) = (Status::Ok, Load::default());
-    let end = Event::Outcome { job, attempt: 0, server, status, spent: 0.7, over: true, settled: None, load };
+    let (request_id, endpoint) = sends(&out).remove(0);
+    let (status, load) = (Status::Ok, LoadReport::default());
+    let end = Event::AttemptEnded {
+        request_id,
+        attempt: 0,
+        endpoint,
+        status,
+        elapsed: 0.7,
+        is_finished: true,
+        actual_units: None,
+        load,
+    };
     rig.event(end);
     let out = counter.ask(&mut rig, "late");
     assert_eq!(refused(&out), 1, "two slots, three before it, and answers take most of a second");
@@ -236,8 +245,8 @@
             calls += 1;
             end(rig, name);
         }
-        for (job, server) in sends(&out) {
-            rig.outcome(&job, 0, &server, Status::Ok);
+        for (request_id, endpoint) in sends(&out) {
+            rig.outcome(&request_id, 0, &endpoint, Status::Ok);
         }
     }
     calls
@@ -249,7 +258,7 @@
     let well = |rig: &mut Rig, name: u64| drop(rig.counted(name, Status::Ok, 1.0));
     let silent = |rig: &mut Rig, counter: u64| {
         let (status, total) = (Status::Timeout, 0.0);
-        drop(rig.event(Event::Counted { counter, status, total, spent: 0.05 }));
+        drop(rig.event(Event::CounterReplied { counter, status, total, elapsed: 0.05 }));
     };
     let before = calls_in_a_second(&mut rig, "a", well);
     calls_in_a_second(&mut rig, "b", silent);
@@ -273,19 +282,19 @@
 #[test]
 fn a_long_answer_that_has_begun_frees_its_slot_once() {
     let mut capped = plan(0.0, 0.0);
-    (capped.open, capped.rate, capped.burst) = (2, 1000.0, 1000.0);
+    (capped.max_concurrent_attempts, capped.rate, capped.burst) = (2, 1000.0, 1000.0);
     let mut settings = settings();
-    (settings.plans, settings.has_counter, settings.second_copies) = (vec![capped], false, false);
+    (settings.plans, settings.has_counter, settings.hedging_enabled) = (vec![capped], false, false);
     let mut rig = Rig::new(settings);
     // One slot of two over two gateways.
     let first = sends(&rig.ask("a"));
     assert_eq!((first.len(), sends(&rig.ask("b")).len()), (1, 0));
-    let freed = sends(&rig.event(Event::FirstByte { job: "a".into() }));
-    assert_eq!(freed.first().map(|(job, _)| &**job), Some("b"), "who waits goes");
+    let freed = sends(&rig.event(Event::ResponseStarted { request_id: "a".into() }));
+    assert_eq!(freed.first().map(|(request_id, _)| &**request_id), Some("b"), "who waits goes");
     assert_eq!(sends(&rig.ask("c")).len(), 0, "it is taken again");
     // The end of the long answer frees nothing more.
     assert_eq!(sends(&rig.outcome("a", 0, &first[0].1, Status::Ok)).len(), 0);
     assert_eq!(sends(&rig.ask("d")).len(), 0);
     let next = sends(&rig.outcome("b", 0, &freed[0].1, Status::Ok));
-    assert_eq!(next.first().map(|(job, _)| &**job), Some("c"));
+    assert_eq!(next.first().map(|(request_id, _)| &**request_id), Some("c"));
 }
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -62,7 +62,7 @@
     let refused = events("refused");
     assert_eq!((refused[0].as_str(), refused[refused.len() - 1].as_str()), ("request taken", "final answer"));
     let begun = of("served")[1];
-    assert_eq!((&begun["worker"], &begun["attempt"]), (&Value::from("w0"), &Value::from(0)));
+    assert_eq!((&begun["endpoint"], &begun["attempt"]), (&Value::from("w0"), &Value::from(0)));
     assert_eq!(of("served")[2]["reason"], "Ok");
     assert_eq!(of("served")[0]["customer"], "00000000b4d65521");
     assert!(
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -605,7 +605,7 @@
             }
         }
     });
-    // Servers that are no more in use stay open, as an old address may.
+    // Endpoints that are no more in use stay open, as an old address may.
     let mut kept = Vec::new();
     for _ in 0..12 {
         let (discovery, counter) = (Discovery::start(&entries), Counter::start(Counts::Well));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -293,12 +293,12 @@
     std::fs::write(folder.0.join("oliverack-n0.2.sock"), "").expect("a folder");
     let (old, new) = upgrade(&setup, &socket, &folder);
     assert_eq!(old.call("PUT /workers/w0/maint").status(), 200);
-    new.says("left out by hand worker=w0");
+    new.says("put into maintenance endpoint=w0");
     let ask =
         |tag: &str| (0..20).map(|i| old.ask(&Ask::submit(&format!("{tag}{i}"))).body).collect::<Vec<_>>();
     assert!(ask("a").iter().all(|b| b == b"two"), "whichever takes it");
     assert_eq!(new.call("PUT /workers/w0/ready").status(), 200);
-    old.says("put back by hand worker=w0");
+    old.says("taken out of maintenance endpoint=w0");
     assert_eq!(new.call("PUT /workers/w1/maint").status(), 200);
     std::fs::write(folder.0.join("oliverack-n0.out.json"), "{").expect("a folder");
     let third = setup.start_as(Start { socket: Some(&socket), folder: Some(&folder.0), ..Start::default() });
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -48,7 +48,8 @@
     ];
     let plan = |(rate, burst, pays, cost, excess)| {
         let mut plan = plan(rate, burst);
-        (plan.pays, plan.overrun_cost, plan.excess_worth) = (pays, cost, excess);
+        (plan.priority_weight, plan.over_quota_cost_share, plan.over_quota_weight_share) =
+            (pays, cost, excess);
         plan
     };
     figures.map(plan).to_vec()
@@ -77,18 +78,18 @@
     all
 }
 
-/// All gateways of the settings' fleet, with so many servers.
-fn fleet(s: &Settings, servers: u32) -> Vec<Rig> {
-    let name = |i: u32| server(&format!("s{i:03}"), Lifecycle::Running, 0.0);
+/// All gateways of the settings' fleet, with so many endpoints.
+fn fleet(s: &Settings, endpoints: u32) -> Vec<Rig> {
+    let name = |i: u32| endpoint(&format!("s{i:03}"), Lifecycle::Running, 0.0);
     let rig = |me: u32| {
         let mut s = s.clone();
-        s.me = me;
+        s.gateway_index = me;
         let gateway = Gateway::new(s, u64::from(me) * 7919 + 1).expect("usable settings");
         let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
-        rig.list(ListKind::Stale, (0..servers).map(name).collect());
+        rig.list(ListKind::Stale, (0..endpoints).map(name).collect());
         rig
     };
-    (0..s.gateways).map(rig).collect()
+    (0..s.gateway_count).map(rig).collect()
 }
 
 /// What `n` gateways pay for what they send beyond quotas, as a share of the worth that is asked for inside them, and the
@@ -97,10 +98,10 @@
     let mut rng = fastrand::Rng::with_seed(7);
     let mut customers = customers(n, &mut rng);
     let mut s = settings();
-    (s.plans, s.gateways, s.max_units, s.count_limit) = (plans(), n, 4.0, 0.08);
+    (s.plans, s.gateway_count, s.max_units, s.counter_timeout) = (plans(), n, 4.0, 0.08);
     let rigs = fleet(&s, 9.max(n * 2 / 3));
-    let mut asked: BTreeMap<JobId, (usize, f64)> = BTreeMap::new();
-    let counter = CounterModel::new(CALLS, WAY, LINE, s.count_limit);
+    let mut asked: BTreeMap<RequestId, (usize, f64)> = BTreeMap::new();
+    let counter = CounterModel::new(CALLS, WAY, LINE, s.counter_timeout);
     let mut simulation = Simulation::new(rigs, counter);
     let (mut number, mut paid, mut served, mut offered) = (0, 0.0, 0.0, 0.0);
     let mut now: f64 = 100.0;
@@ -114,24 +115,26 @@
             }
             number += 1;
             let (plan, units) = (&s.plans[customer.plan], f64::from(rng.u32(1..=4)));
-            offered += if take(&mut customer.alone, now, plan, units) { units * plan.pays } else { 0.0 };
+            offered +=
+                if take(&mut customer.alone, now, plan, units) { units * plan.priority_weight } else { 0.0 };
             // Uneven: a third of a customer's tries come in by the first of its gateways.
             let place = if rng.u32(0..3) == 0 { 0 } else { rng.u32(0..customer.spread) };
             let gateway = ((customer.first + place) % n) as usize;
             let mut request = request(&format!("j{number}"), now);
-            (request.units, request.plan, request.spread) = (units, customer.plan, customer.spread);
-            (request.first, request.customer) = (customer.first, customer.id.clone());
-            asked.insert(request.job.clone(), (c, units));
+            (request.units, request.plan, request.customer_gateway_count) =
+                (units, customer.plan, customer.spread);
+            (request.first_gateway, request.customer) = (customer.first, customer.id.clone());
+            asked.insert(request.id.clone(), (c, units));
             sent.extend(simulation.handle(gateway, now, Event::Request(request)));
         }
-        for job in sent {
-            let (c, units) = asked.remove(&job).expect("sent as it was asked");
+        for request_id in sent {
+            let (c, units) = asked.remove(&request_id).expect("sent as it was asked");
             let customer = &mut customers[c];
             let plan = &s.plans[customer.plan];
             if take(&mut customer.fleet, now, plan, units) {
-                served += units * plan.pays;
+                served += units * plan.priority_weight;
             } else {
-                paid += plan.overrun_cost * units * plan.pays;
+                paid += plan.over_quota_cost_share * units * plan.priority_weight;
             }
         }
         now += STEP;
@@ -163,11 +166,11 @@
 /// answer takes 50 ms.
 fn beyond_a_cap(n: u32, rate: f64) -> (f64, f64) {
     let mut s = settings();
-    (s.has_counter, s.gateways, s.plans) = (false, n, vec![Plan::default()]);
-    s.plans[0].open = 3;
+    (s.has_counter, s.gateway_count, s.plans) = (false, n, vec![Plan::default()]);
+    s.plans[0].max_concurrent_attempts = 3;
     let mut rng = fastrand::Rng::with_seed(7);
     let mut rigs = fleet(&s, 9);
-    let mut out: Vec<(Time, usize, JobId, ServerId)> = Vec::new();
+    let mut out: Vec<(Time, usize, RequestId, EndpointId)> = Vec::new();
     let (mut asked, mut sent, mut beyond) = (0, 0, 0);
     for step in 0..60_000 {
         let now = 100.0 + f64::from(step) * 0.001;
@@ -175,15 +178,24 @@
             (asked, sent, beyond) = (0, 0, 0);
         }
         while let Some(place) = out.iter().position(|(at, ..)| *at <= now) {
-            let (_, i, job, server) = out.remove(place);
+            let (_, i, request_id, endpoint) = out.remove(place);
             rigs[i].now = now;
-            let (status, load) = (Status::Ok, Load::default());
-            let (attempt, spent, over, settled) = (0, 0.05, true, None);
-            let event = Event::Outcome { job, attempt, server, status, spent, over, settled, load };
+            let (status, load) = (Status::Ok, LoadReport::default());
+            let (attempt, elapsed, is_finished, actual_units) = (0, 0.05, true, None);
+            let event = Event::AttemptEnded {
+                request_id,
+                attempt,
+                endpoint,
+                status,
+                elapsed,
+                is_finished,
+                actual_units,
+                load,
+            };
             // One that waited for a slot goes out now.
-            for (job, server) in sends(&rigs[i].event(event)) {
+            for (request_id, endpoint) in sends(&rigs[i].event(event)) {
                 (sent, beyond) = (sent + 1, beyond + u32::from(out.len() >= 3));
-                out.push((now + 0.05, i, job, server));
+                out.push((now + 0.05, i, request_id, endpoint));
             }
         }
         if rng.f64() >= rate * 0.001 {
@@ -193,10 +205,10 @@
         let i = rng.usize(0..n as usize);
         rigs[i].now = now;
         let mut request = request(&format!("j{step}"), now);
-        request.spread = n;
-        for (job, server) in sends(&rigs[i].event(Event::Request(request))) {
+        request.customer_gateway_count = n;
+        for (request_id, endpoint) in sends(&rigs[i].event(Event::Request(request))) {
             (sent, beyond) = (sent + 1, beyond + u32::from(out.len() >= 3));
-            out.push((now + 0.05, i, job, server));
+            out.push((now + 0.05, i, request_id, endpoint));
         }
         rigs[i].actions.clear();
     }
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! What the module decides over long random days: every action, and what it tells of the servers, goes into one
+//! What the module decides over long random days: every action, and what it tells of the endpoints, goes into one
 //! number for each fleet. A change of the code that should change no decision leaves the numbers as they are.
 //!
 //! The numbers hold for one C library: another one's exponential function may round in another way. They rest on
@@ -47,43 +47,43 @@
     fn action(&mut self, now: Time, action: &Action) {
         self.text(&format!("{now:.3}"));
         match action {
-            Action::Send { job, server, timeout, dedup_until } => {
+            Action::StartAttempt { request_id, endpoint, timeout, dedup_until } => {
                 self.tag(1);
-                self.text(job);
-                self.text(server);
+                self.text(request_id);
+                self.text(endpoint);
                 self.number(*timeout);
                 self.optional(*dedup_until);
             }
-            Action::Refuse { job, retry_after } => {
+            Action::Reject { request_id, retry_after } => {
                 self.tag(2);
-                self.text(job);
+                self.text(request_id);
                 self.number(*retry_after);
             }
-            Action::Fail { job } => {
+            Action::Fail { request_id } => {
                 self.tag(3);
-                self.text(job);
+                self.text(request_id);
             }
-            Action::Cancel { job, attempt } => {
+            Action::CancelAttempt { request_id, attempt } => {
                 self.tag(4);
-                self.text(job);
+                self.text(request_id);
                 self.integer(u64::from(*attempt));
             }
-            Action::Timer { token, at } => {
+            Action::SetTimer { token, at } => {
                 self.tag(5);
                 self.integer(*token);
                 self.number(*at);
             }
-            Action::Probe { server } => {
+            Action::CheckHealth { endpoint } => {
                 self.tag(6);
-                self.text(server);
+                self.text(endpoint);
             }
-            Action::Count { counter, amount, ttl } => {
+            Action::AddToCounter { counter, amount, ttl } => {
                 self.tag(7);
                 self.integer(*counter);
                 self.number(*amount);
                 self.number(*ttl);
             }
-            Action::Watch => self.tag(8),
+            Action::PollEndpoints => self.tag(8),
             Action::Log(line) => {
                 self.tag(9);
                 self.text(line);
@@ -92,37 +92,38 @@
         }
     }
 
-    fn targets(&mut self, targets: Targets, knows: bool) {
+    fn targets(&mut self, targets: EndpointCounts, knows: bool) {
         self.tag(10);
         self.integer(targets.listed as u64);
         self.integer(targets.avoided as u64);
         self.tag(u8::from(knows));
     }
 
-    fn memory(&mut self, memory: &Memory) {
+    fn memory(&mut self, memory: &HandoverSnapshot) {
         self.tag(11);
-        self.integer(memory.servers.len() as u64);
-        for server in &memory.servers {
-            self.text(&server.id);
-            self.number(server.cold_since);
-            self.number(server.latency);
-            self.number(server.heard);
-            self.number(server.out_until);
-            self.number(server.out_for);
+        self.integer(memory.endpoints.len() as u64);
+        for endpoint in &memory.endpoints {
+            self.text(&endpoint.id);
+            self.number(endpoint.warming_up_since);
+            self.number(endpoint.mean_latency);
+            self.number(endpoint.last_response_at);
+            self.number(endpoint.ejected_until);
+            self.number(endpoint.ejection_time);
         }
-        self.integer(memory.left_out.len() as u64);
-        for server in &memory.left_out {
-            self.text(server);
+        self.integer(memory.in_maintenance.len() as u64);
+        for endpoint in &memory.in_maintenance {
+            self.text(endpoint);
         }
-        self.number(memory.carried);
-        for time in memory.times {
+        self.number(memory.peak_units_per_second);
+        let times = memory.response_times;
+        for time in [times.mean, times.median, times.idle] {
             self.number(time);
         }
-        self.number(memory.call_rate);
+        self.number(memory.counter_calls_per_second);
     }
 }
 
-/// What a day has beside servers.
+/// What a day has beside endpoints.
 #[derive(Clone, Copy, PartialEq)]
 enum Kind {
     /// No counter, no quota.
@@ -144,73 +145,74 @@
     kind: Kind,
     digest: Digest,
     settings: Settings,
-    servers: u32,
-    /// Attempts that are out: job, number and server.
-    out: Vec<(JobId, u32, ServerId)>,
-    attempts: BTreeMap<JobId, u32>,
+    endpoints: u32,
+    /// Attempts that are out: job, number and endpoint.
+    out: Vec<(RequestId, u32, EndpointId)>,
+    attempts: BTreeMap<RequestId, u32>,
     timers: Vec<(Time, u64)>,
     counts: Vec<(u64, f64)>,
     totals: BTreeMap<u64, f64>,
-    jobs: u64,
+    requests: u64,
     sent: usize,
 }
 
 fn rules(gateways: u32, kind: Kind) -> Settings {
     let has_counter = kind != Kind::Plain;
     let mut s = settings();
-    (s.me, s.gateways, s.has_counter) = (gateways / 3, gateways, has_counter);
-    let keyed = |group| Effect::Keyed { group, window: 2.0 };
+    (s.gateway_index, s.gateway_count, s.has_counter) = (gateways / 3, gateways, has_counter);
+    let keyed = |group| Effect::IdempotencyKey { scope: group, window: 2.0 };
     s.classes = vec![
-        class(1.0, Effect::Safe),
-        class(0.5, keyed(Group::Zone)),
-        class(0.5, keyed(Group::Cell)),
-        class(0.3, Effect::Unsafe),
+        class(1.0, Effect::Idempotent),
+        class(0.5, keyed(IdempotencyScope::Zone)),
+        class(0.5, keyed(IdempotencyScope::Cell)),
+        class(0.3, Effect::AtMostOnce),
     ];
     s.plans = vec![Plan::default()];
     if has_counter {
         s.plans.extend([plan(20.0, 40.0), plan(3.0, 6.0)]);
-        s.plans[1].open = 8;
+        s.plans[1].max_concurrent_attempts = 8;
     }
     match kind {
         Kind::Plain | Kind::Quotas => {}
         Kind::Ceilings => {
             (s.plans[1].ceiling_rate, s.plans[1].ceiling_burst) = (24.0, 48.0);
             (s.plans[2].ceiling_rate, s.plans[2].ceiling_burst) = (4.0, 8.0);
-            (s.plans[2].excess_worth, s.plans[2].overrun_cost) = (0.4, 0.1);
+            (s.plans[2].over_quota_weight_share, s.plans[2].over_quota_cost_share) = (0.4, 0.1);
         }
         Kind::FullTable => s.max_customers = 4,
-        Kind::Settled => s.post_paid = true,
+        Kind::Settled => s.units_settle_later = true,
     }
-    (s.cold, s.cold_from, s.fall_multiple, s.fall) = (6.0, 0.25, 3.0, 1.5);
+    (s.slow_start_window, s.slow_start_initial_share, s.overload_multiple, s.overload_window) =
+        (6.0, 0.25, 3.0, 1.5);
     s
 }
 
 fn class(aim: f64, effect: Effect) -> Class {
     let mut class = Class::default();
-    (class.aim, class.effect) = (aim, effect);
+    (class.latency_objective, class.effect) = (aim, effect);
     class
 }
 
 impl Day {
-    fn new(gateways: u32, servers: u32, kind: Kind) -> Self {
+    fn new(gateways: u32, endpoints: u32, kind: Kind) -> Self {
         let settings = rules(gateways, kind);
         let mut day = Self {
             rig: Rig::empty(settings.clone()),
-            dice: fastrand::Rng::with_seed(u64::from(gateways) << 32 | u64::from(servers)),
+            dice: fastrand::Rng::with_seed(u64::from(gateways) << 32 | u64::from(endpoints)),
             kind,
             digest: Digest::default(),
             settings,
-            servers,
+            endpoints,
             out: Vec::new(),
             attempts: BTreeMap::new(),
             timers: Vec::new(),
             counts: Vec::new(),
             totals: BTreeMap::new(),
-            jobs: 0,
+            requests: 0,
             sent: 0,
         };
         let list = day.whole_list();
-        day.post(Event::List { kind: ListKind::Stale, servers: list });
+        day.post(Event::EndpointsUpdated { kind: ListKind::Stale, endpoints: list });
         day
     }
 
@@ -218,37 +220,37 @@
         for action in self.rig.event(event) {
             self.digest.action(self.rig.now, &action);
             match action {
-                Action::Send { job, server, .. } => {
-                    let attempts = self.attempts.entry(job.clone()).or_default();
+                Action::StartAttempt { request_id, endpoint, .. } => {
+                    let attempts = self.attempts.entry(request_id.clone()).or_default();
                     let number = *attempts;
                     *attempts += 1;
-                    self.out.push((job, number, server));
+                    self.out.push((request_id, number, endpoint));
                     self.sent += 1;
                 }
-                Action::Timer { token, at } => self.timers.push((at, token)),
-                Action::Count { counter, amount, .. } => self.counts.push((counter, amount)),
+                Action::SetTimer { token, at } => self.timers.push((at, token)),
+                Action::AddToCounter { counter, amount, .. } => self.counts.push((counter, amount)),
                 _ => {}
             }
         }
         self.rig.actions.clear();
     }
 
-    fn server(&mut self, number: u32) -> Server {
+    fn endpoint(&mut self, number: u32) -> Endpoint {
         let lifecycle = match self.dice.u32(0..20) {
             0 | 1 => Lifecycle::Draining,
             2 => Lifecycle::Gone,
             _ => Lifecycle::Running,
         };
-        let mut server = server(&format!("s{number}"), lifecycle, 0.0);
-        (server.zone, server.cell) = (number % 3, number % 7);
+        let mut endpoint = endpoint(&format!("s{number}"), lifecycle, 0.0);
+        (endpoint.zone, endpoint.cell) = (number % 3, number % 7);
         if self.dice.u32(0..6) == 0 {
-            server.started = self.rig.now - 8.0 * self.dice.f64();
+            endpoint.started = self.rig.now - 8.0 * self.dice.f64();
         }
-        server
+        endpoint
     }
 
-    fn whole_list(&mut self) -> Vec<Server> {
-        let mut list: Vec<Server> = (0..self.servers).map(|number| self.server(number)).collect();
+    fn whole_list(&mut self) -> Vec<Endpoint> {
+        let mut list: Vec<Endpoint> = (0..self.endpoints).map(|number| self.endpoint(number)).collect();
         // In no order, some named twice, some missing.
         self.dice.shuffle(&mut list);
         list.truncate((list.len() * 9).div_ceil(10));
@@ -258,9 +260,9 @@
         list
     }
 
-    fn any_server(&mut self) -> u32 {
+    fn any_endpoint(&mut self) -> u32 {
         // Some that no list names.
-        self.dice.u32(0..self.servers + 2)
+        self.dice.u32(0..self.endpoints + 2)
     }
 
     fn outcome(&mut self) {
@@ -268,28 +270,37 @@
             return;
         }
         let place = self.dice.usize(0..self.out.len());
-        let (job, attempt, server) = self.out.swap_remove(place);
-        let number: u32 = server[1..].parse().expect("its number");
+        let (request_id, attempt, endpoint) = self.out.swap_remove(place);
+        let number: u32 = endpoint[1..].parse().expect("its number");
         // Every fifth fails most of the time, every seventh is slow.
         let status = match self.dice.u32(0..if number % 5 == 0 { 12 } else { 40 }) {
             0..4 => Status::ConnectFailed,
             4 => Status::Error,
             5 => Status::Timeout,
             6 => Status::Reset,
-            7 => Status::Full,
+            7 => Status::Rejected,
             8 => Status::Cancelled,
-            9 => Status::Moot,
+            9 => Status::NotSent,
             _ => Status::Ok,
         };
-        let spent = (0.02 + 0.05 * self.dice.f64()) * if number % 7 == 0 { 4.0 } else { 1.0 };
-        let over = status == Status::Ok;
-        if over && self.dice.u32(0..8) == 0 {
-            self.post(Event::FirstByte { job: job.clone() });
+        let elapsed = (0.02 + 0.05 * self.dice.f64()) * if number % 7 == 0 { 4.0 } else { 1.0 };
+        let is_finished = status == Status::Ok;
+        if is_finished && self.dice.u32(0..8) == 0 {
+            self.post(Event::ResponseStarted { request_id: request_id.clone() });
         }
-        let settles = over && self.kind == Kind::Settled;
-        let settled = settles.then(|| 0.5 + 1.5 * self.dice.f64());
-        let load = Load::default();
-        self.post(Event::Outcome { job, attempt, server, status, spent, over, settled, load });
+        let settles = is_finished && self.kind == Kind::Settled;
+        let actual_units = settles.then(|| 0.5 + 1.5 * self.dice.f64());
+        let load = LoadReport::default();
+        self.post(Event::AttemptEnded {
+            request_id,
+            attempt,
+            endpoint,
+            status,
+            elapsed,
+            is_finished,
+            actual_units,
+            load,
+        });
     }
 
     fn counted(&mut self) {
@@ -306,44 +317,44 @@
         let total = self.totals.entry(counter).or_default();
         *total += amount;
         let total = *total;
-        self.post(Event::Counted { counter, status, total, spent: 0.002 });
+        self.post(Event::CounterReplied { counter, status, total, elapsed: 0.002 });
     }
 
     fn request(&mut self) {
-        self.jobs += 1;
-        let mut request = request(&format!("j{}", self.jobs), self.rig.now);
+        self.requests += 1;
+        let mut request = request(&format!("j{}", self.requests), self.rig.now);
         request.plan = self.dice.usize(0..self.settings.plans.len());
         request.class = self.dice.usize(0..self.settings.classes.len());
         request.customer = format!("c{}", self.dice.u32(0..6)).into();
         if self.kind != Kind::Plain && self.kind != Kind::Quotas {
             request.units = f64::from(self.dice.u32(1..3));
         }
-        request.spread = self.settings.gateways.min(4);
+        request.customer_gateway_count = self.settings.gateway_count.min(4);
         self.post(Event::Request(request));
     }
 
     /// Another process takes over.
     fn upgrade(&mut self) {
-        let memory = self.rig.gateway.memory();
-        self.rig.gateway = Gateway::new(self.settings.clone(), self.jobs).expect("usable settings");
+        let memory = self.rig.gateway.snapshot();
+        self.rig.gateway = Gateway::new(self.settings.clone(), self.requests).expect("usable settings");
         self.out.clear();
         self.timers.clear();
         self.counts.clear();
-        let servers = self.whole_list();
-        self.post(Event::List { kind: ListKind::Stale, servers });
-        self.post(Event::Inherit(memory));
+        let endpoints = self.whole_list();
+        self.post(Event::EndpointsUpdated { kind: ListKind::Stale, endpoints });
+        self.post(Event::SnapshotReceived(memory));
         let of = self.dice.u32(1..3);
-        self.post(Event::Sharing { place: of - 1, of });
+        self.post(Event::ReplicasChanged { index: of - 1, count: of });
     }
 
     fn change(&mut self) {
-        let servers: Vec<Server> = (0..self.dice.u32(0..4))
+        let endpoints: Vec<Endpoint> = (0..self.dice.u32(0..4))
             .map(|_| {
-                let number = self.any_server();
-                self.server(number)
+                let number = self.any_endpoint();
+                self.endpoint(number)
             })
             .collect();
-        self.post(Event::List { kind: ListKind::Changes, servers });
+        self.post(Event::EndpointsUpdated { kind: ListKind::Changes, endpoints });
     }
 
     fn step(&mut self) {
@@ -358,25 +369,25 @@
             900..950 => self.counted(),
             950..980 => self.change(),
             980..984 => {
-                let servers = self.whole_list();
-                self.post(Event::List { kind: ListKind::Full, servers });
+                let endpoints = self.whole_list();
+                self.post(Event::EndpointsUpdated { kind: ListKind::Full, endpoints });
             }
-            984..986 => self.post(Event::List { kind: ListKind::Failed, servers: Vec::new() }),
+            984..986 => self.post(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() }),
             986..992 => {
-                let server: ServerId = format!("s{}", self.any_server()).into();
-                self.post(Event::ByHand { server: server.clone(), out: true });
+                let endpoint: EndpointId = format!("s{}", self.any_endpoint()).into();
+                self.post(Event::MaintenanceChanged { endpoint: endpoint.clone(), in_maintenance: true });
             }
             992..997 => {
-                let first = self.rig.gateway.left_out().next().cloned();
-                if let Some(server) = first {
-                    self.post(Event::ByHand { server, out: false });
+                let first = self.rig.gateway.in_maintenance().next().cloned();
+                if let Some(endpoint) = first {
+                    self.post(Event::MaintenanceChanged { endpoint, in_maintenance: false });
                 }
             }
             997 if self.dice.bool() => self.upgrade(),
             998 => self.rig.now += 9.0 * self.dice.f64(),
             _ => {
-                if let Some((job, ..)) = self.out.first().cloned() {
-                    self.post(Event::Left { job });
+                if let Some((request_id, ..)) = self.out.first().cloned() {
+                    self.post(Event::ClientDisconnected { request_id });
                 }
             }
         }
@@ -387,31 +398,31 @@
         for event in 0..EVENTS {
             self.step();
             if event % 50 == 0 {
-                let targets = self.rig.gateway.targets(self.rig.now);
-                let knows = self.rig.gateway.knows(&"s1".into());
+                let targets = self.rig.gateway.endpoint_counts(self.rig.now);
+                let knows = self.rig.gateway.knows_endpoint(&"s1".into());
                 self.digest.targets(targets, knows);
             }
             if event % 500 == 0 {
-                let memory = self.rig.gateway.memory();
+                let memory = self.rig.gateway.snapshot();
                 self.digest.memory(&memory);
             }
         }
-        assert!(self.servers == 0 || self.sent > EVENTS / 10, "a day with {} attempts only", self.sent);
+        assert!(self.endpoints == 0 || self.sent > EVENTS / 10, "a day with {} attempts only", self.sent);
         self.digest.0.finish()
     }
 }
 
-/// Gateways, servers and the day's number.
+/// Gateways, endpoints and the day's number.
 fn check(days: &[(u32, u32, u64)], kind: Kind) {
     let played: Vec<(u32, u32, u64)> = days
         .iter()
-        .map(|&(gateways, servers, _)| (gateways, servers, Day::new(gateways, servers, kind).play()))
+        .map(|&(gateways, endpoints, _)| (gateways, endpoints, Day::new(gateways, endpoints, kind).play()))
         .collect();
     assert_eq!(played, days);
 }
 
 #[test]
-fn the_choice_of_servers_is_as_recorded() {
+fn the_choice_of_endpoints_is_as_recorded() {
     let days = [
         (1, 0, 0x6493_9a6b_4a52_c7da),
         (1, 1, 0x940b_91cf_16f9_1ac2),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -13,12 +13,12 @@
 
 #[test]
 fn a_request_ends_once_whatever_comes_later() {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    let (_, server) = sends(&rig.ask("j")).remove(0);
+    let mut rig = Rig::new(plain(Effect::Idempotent));
+    let (_, endpoint) = sends(&rig.ask("j")).remove(0);
     assert!(rig.ask("j").is_empty(), "an id is taken once");
-    rig.outcome("j", 0, &server, Status::Ok);
-    assert!(rig.outcome("j", 0, &server, Status::Error).is_empty(), "a late outcome leads to nothing");
-    assert!(rig.event(Event::Left { job: "j".into() }).is_empty());
+    rig.outcome("j", 0, &endpoint, Status::Ok);
+    assert!(rig.outcome("j", 0, &endpoint, Status::Error).is_empty(), "a late outcome leads to nothing");
+    assert!(rig.event(Event::ClientDisconnected { request_id: "j".into() }).is_empty());
 }
 
 #[test]
@@ -29,7 +29,7 @@
     let out = rig.ask("j");
     assert!(sends(&out).is_empty() && refused(&out) == 0, "held for the counter");
     let timer = out.iter().find_map(|a| match a {
-        Action::Timer { token, at } => Some((*token, *at)),
+        Action::SetTimer { token, at } => Some((*token, *at)),
         _ => None,
     });
     let (token, at) = timer.expect("a hold has its timer");
@@ -43,31 +43,31 @@
 fn a_deadline_nearer_than_the_holds_is_refused_at_once() {
     let mut rig = Rig::new(settings());
     let mut near = request("j", rig.now);
-    near.expires = rig.now + 0.003;
+    near.deadline = rig.now + 0.003;
     assert_eq!(refused(&rig.event(Event::Request(near))), 1);
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
-    let mut rig = Rig::new(plain(Effect::Unsafe));
-    let (_, server) = sends(&rig.ask("j")).remove(0);
-    let out = rig.outcome("j", 0, &server, Status::Reset);
+    let mut rig = Rig::new(plain(Effect::AtMostOnce));
+    let (_, endpoint) = sends(&rig.ask("j")).remove(0);
+    let out = rig.outcome("j", 0, &endpoint, Status::Reset);
     assert_eq!((sends(&out).len(), refused(&out), failed(&out)), (0, 0, 1));
-    let (_, server) = sends(&rig.ask("k")).remove(0);
-    let out = rig.outcome("k", 0, &server, Status::Full);
+    let (_, endpoint) = sends(&rig.ask("k")).remove(0);
+    let out = rig.outcome("k", 0, &endpoint, Status::Rejected);
     assert_eq!(sends(&out).len(), 1, "one that surely never ran goes out again");
 }
 
 #[test]
 fn a_keyed_request_stays_in_its_group_and_window() {
-    let mut s = plain(Effect::Keyed { group: Group::Zone, window: 1.0 });
+    let mut s = plain(Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: 1.0 });
     s.max_attempts = 9;
     let mut rig = Rig::empty(s);
-    let mut list: Vec<Server> =
-        ["a", "b", "c", "d"].map(|n| server(n, Lifecycle::Running, 0.0)).into_iter().collect();
+    let mut list: Vec<Endpoint> =
+        ["a", "b", "c", "d"].map(|n| endpoint(n, Lifecycle::Running, 0.0)).into_iter().collect();
     (list[2].zone, list[3].zone) = (1, 1);
     rig.list(ListKind::Stale, list);
-    let zone = |id: &ServerId| usize::from(id.as_ref() >= "c");
+    let zone = |id: &EndpointId| usize::from(id.as_ref() >= "c");
     let (_, first) = sends(&rig.ask("j")).remove(0);
     let (_, second) = sends(&rig.outcome("j", 0, &first, Status::Error)).remove(0);
     assert_eq!(zone(&first), zone(&second), "only the group discards the repeat");
@@ -77,14 +77,15 @@
 }
 
 #[test]
-fn no_attempt_of_a_keyed_request_is_written_past_what_the_servers_remember() {
+fn no_attempt_of_a_keyed_request_is_written_past_what_the_endpoints_remember() {
     let until = |actions: &[Action]| {
-        let until =
-            |a: &Action| if let Action::Send { dedup_until, .. } = a { Some(*dedup_until) } else { None };
+        let until = |a: &Action| {
+            if let Action::StartAttempt { dedup_until, .. } = a { Some(*dedup_until) } else { None }
+        };
         actions.iter().find_map(until).expect("an attempt")
     };
-    for group in [Group::All, Group::Zone, Group::Cell] {
-        let mut rig = Rig::new(plain(Effect::Keyed { group, window: 1.0 }));
+    for group in [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Cell] {
+        let mut rig = Rig::new(plain(Effect::IdempotencyKey { scope: group, window: 1.0 }));
         let out = rig.ask("j");
         assert_eq!(until(&out), None, "the first repeats nothing");
         let (_, first) = sends(&out).remove(0);
@@ -97,7 +98,7 @@
         assert_eq!(until(&rig.outcome("j", 1, &second, Status::Error)), Some(101.0));
     }
     // The one before never ran: there is nothing to be remembered yet.
-    let mut rig = Rig::new(plain(Effect::Keyed { group: Group::Zone, window: 1.0 }));
+    let mut rig = Rig::new(plain(Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: 1.0 }));
     let (_, first) = sends(&rig.ask("j")).remove(0);
     rig.now += 0.4;
     let out = rig.outcome("j", 0, &first, Status::ConnectFailed);
@@ -106,19 +107,20 @@
     rig.now += 0.4;
     assert_eq!(until(&rig.outcome("j", 1, &second, Status::Reset)), Some(101.4));
     // A repeat of a safe one does no harm, whenever it goes out.
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     let (_, first) = sends(&rig.ask("j")).remove(0);
     assert_eq!(until(&rig.outcome("j", 0, &first, Status::Reset)), None);
 }
 
 #[test]
 fn nothing_goes_out_for_a_client_that_has_left_whatever_it_waited_for() {
-    let left = |rig: &mut Rig, job: &str| {
-        let out = rig.event(Event::Left { job: job.into() });
+    let left = |rig: &mut Rig, request_id: &str| {
+        let out = rig.event(Event::ClientDisconnected { request_id: request_id.into() });
         assert!(sends(&out).is_empty() && refused(&out) + failed(&out) == 0, "nothing is owed");
     };
     let timers = |out: &[Action]| -> Vec<(u64, Time)> {
-        let timer = |a: &Action| if let Action::Timer { token, at } = a { Some((*token, *at)) } else { None };
+        let timer =
+            |a: &Action| if let Action::SetTimer { token, at } = a { Some((*token, *at)) } else { None };
         out.iter().filter_map(timer).collect()
     };
     // The counter's answer, or the end of the wait for it, in either order.
@@ -137,147 +139,147 @@
         assert!(sends(&rig.counted(counter, Status::Ok, amount)).is_empty());
     }
     // A slot under the cap.
-    let mut s = plain(Effect::Safe);
+    let mut s = plain(Effect::Idempotent);
     s.plans = vec![plan(10.0, 20.0)];
-    (s.plans[0].open, s.gateways, s.has_counter) = (1, 1, false);
+    (s.plans[0].max_concurrent_attempts, s.gateway_count, s.has_counter) = (1, 1, false);
     let mut rig = Rig::new(s);
-    let (_, server) = sends(&rig.ask("first")).remove(0);
+    let (_, endpoint) = sends(&rig.ask("first")).remove(0);
     let out = rig.ask("waits");
     assert!(sends(&out).is_empty() && refused(&out) == 0, "it waits for the slot");
     left(&mut rig, "waits");
-    assert!(sends(&rig.outcome("first", 0, &server, Status::Ok)).is_empty());
+    assert!(sends(&rig.outcome("first", 0, &endpoint, Status::Ok)).is_empty());
     for (token, at) in timers(&out) {
         rig.now = at;
         assert!(sends(&rig.event(Event::Timer { token })).is_empty());
     }
     // A second copy, and a further attempt.
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     let out = rig.ask("j");
-    let (_, server) = sends(&out).remove(0);
+    let (_, endpoint) = sends(&out).remove(0);
     left(&mut rig, "j");
     for (token, at) in timers(&out) {
         rig.now = at;
         assert!(sends(&rig.event(Event::Timer { token })).is_empty());
     }
-    assert!(sends(&rig.outcome("j", 0, &server, Status::Reset)).is_empty());
+    assert!(sends(&rig.outcome("j", 0, &endpoint, Status::Reset)).is_empty());
 }
 
 #[test]
 fn no_second_copy_where_none_is_allowed() {
-    let mut s = plain(Effect::Safe);
-    s.second_copies = false;
+    let mut s = plain(Effect::Idempotent);
+    s.hedging_enabled = false;
     let mut rig = Rig::new(s);
     let out = rig.ask("j");
     assert_eq!(sends(&out).len(), 1);
-    assert!(!out.iter().any(|a| matches!(a, Action::Timer { .. })), "no hedge is even planned");
+    assert!(!out.iter().any(|a| matches!(a, Action::SetTimer { .. })), "no hedge is even planned");
 }
 
 #[test]
-fn a_draining_or_missing_server_gets_nothing_new() {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    rig.list(ListKind::Changes, vec![server("a", Lifecycle::Draining, 0.0)]);
+fn a_draining_or_missing_endpoint_gets_nothing_new() {
+    let mut rig = Rig::new(plain(Effect::Idempotent));
+    rig.list(ListKind::Changes, vec![endpoint("a", Lifecycle::Draining, 0.0)]);
     rig.list(
         ListKind::Full,
-        vec![server("a", Lifecycle::Draining, 0.0), server("b", Lifecycle::Running, 0.0)],
+        vec![endpoint("a", Lifecycle::Draining, 0.0), endpoint("b", Lifecycle::Running, 0.0)],
     );
     for i in 0..20 {
-        for (job, to) in sends(&rig.ask(&format!("j{i}"))) {
+        for (request_id, to) in sends(&rig.ask(&format!("j{i}"))) {
             assert_eq!(to.as_ref(), "b");
-            rig.outcome(&job, 0, &to, Status::Ok);
+            rig.outcome(&request_id, 0, &to, Status::Ok);
         }
     }
     rig.list(ListKind::Full, vec![]);
-    assert_eq!(refused(&rig.ask("last")), 1, "with all servers gone it is refused, not held");
+    assert_eq!(refused(&rig.ask("last")), 1, "with all endpoints gone it is refused, not held");
 }
 
 #[test]
-fn a_cold_server_gets_a_small_part() {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    rig.list(ListKind::Changes, vec![server("a", Lifecycle::Running, 99.9)]);
+fn a_cold_endpoint_gets_a_small_part() {
+    let mut rig = Rig::new(plain(Effect::Idempotent));
+    rig.list(ListKind::Changes, vec![endpoint("a", Lifecycle::Running, 99.9)]);
     let mut cold = 0;
     for i in 0..90 {
         rig.now += 0.01;
-        for (job, to) in sends(&rig.ask(&format!("j{i}"))) {
+        for (request_id, to) in sends(&rig.ask(&format!("j{i}"))) {
             cold += usize::from(to.as_ref() == "a");
-            rig.outcome(&job, 0, &to, Status::Ok);
+            rig.outcome(&request_id, 0, &to, Status::Ok);
         }
     }
-    assert!(cold <= 12, "{cold} of 90 went to the cold one of three servers");
+    assert!(cold <= 12, "{cold} of 90 went to the cold one of three endpoints");
 }
 
 #[test]
-fn a_server_that_comes_back_untold_is_suspected_cold() {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    rig.list(ListKind::Full, vec![server("a", Lifecycle::Running, 0.0)]);
+fn an_endpoint_that_comes_back_untold_is_suspected_cold() {
+    let mut rig = Rig::new(plain(Effect::Idempotent));
+    rig.list(ListKind::Full, vec![endpoint("a", Lifecycle::Running, 0.0)]);
     // Out of reach for a second and more: before it is put out, and after.
-    for job in ["j0", "j00", "j000"] {
-        rig.ask(job);
-        rig.outcome(job, 0, &"a".into(), Status::ConnectFailed);
+    for request_id in ["j0", "j00", "j000"] {
+        rig.ask(request_id);
+        rig.outcome(request_id, 0, &"a".into(), Status::ConnectFailed);
         rig.now += 1.5;
     }
     rig.now += 2.0;
     rig.ask("j1");
     rig.outcome("j1", 0, &"a".into(), Status::Ok);
     let sent = (2..20).map(|i| sends(&rig.ask(&format!("j{i}"))).len()).sum::<usize>();
-    assert!(sent <= 1, "{sent} sent at once to a server that may be cold");
+    assert!(sent <= 1, "{sent} sent at once to an endpoint that may be cold");
 }
 
 #[test]
-fn connections_that_fail_by_chance_make_no_server_cold() {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    rig.list(ListKind::Full, vec![server("a", Lifecycle::Running, 0.0)]);
+fn connections_that_fail_by_chance_make_no_endpoint_cold() {
+    let mut rig = Rig::new(plain(Effect::Idempotent));
+    rig.list(ListKind::Full, vec![endpoint("a", Lifecycle::Running, 0.0)]);
     for round in 0..5 {
-        for job in ["x", "y"] {
-            let job = format!("{job}{round}");
-            rig.ask(&job);
-            rig.outcome(&job, 0, &"a".into(), Status::ConnectFailed);
+        for request_id in ["x", "y"] {
+            let request_id = format!("{request_id}{round}");
+            rig.ask(&request_id);
+            rig.outcome(&request_id, 0, &"a".into(), Status::ConnectFailed);
         }
         rig.now += 2.0;
-        let job = format!("z{round}");
-        rig.ask(&job);
-        rig.outcome(&job, 0, &"a".into(), Status::Ok);
+        let request_id = format!("z{round}");
+        rig.ask(&request_id);
+        rig.outcome(&request_id, 0, &"a".into(), Status::Ok);
     }
     let sent = (2..20).map(|i| sends(&rig.ask(&format!("j{i}"))).len()).sum::<usize>();
-    assert!(sent >= 4, "{sent} sent at once to a server that answered after each pair of failures");
+    assert!(sent >= 4, "{sent} sent at once to an endpoint that answered after each pair of failures");
 }
 
 #[test]
-fn one_connection_that_breaks_puts_no_server_out_and_two_in_a_row_do() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+fn one_connection_that_breaks_puts_no_endpoint_out_and_two_in_a_row_do() {
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(
         ListKind::Full,
-        vec![server("a", Lifecycle::Running, 0.0), server("b", Lifecycle::Running, 0.0)],
+        vec![endpoint("a", Lifecycle::Running, 0.0), endpoint("b", Lifecycle::Running, 0.0)],
     );
     rig.ask("j0");
-    let (first, other): (ServerId, ServerId) = match &*sends(&rig.actions)[0].1 {
+    let (first, other): (EndpointId, EndpointId) = match &*sends(&rig.actions)[0].1 {
         "a" => ("a".into(), "b".into()),
         _ => ("b".into(), "a".into()),
     };
     let tried = |rig: &mut Rig, from: usize| {
-        let jobs: Vec<_> = (from..from + 12).flat_map(|i| sends(&rig.ask(&format!("j{i}")))).collect();
-        jobs.iter().for_each(|(job, to)| drop(rig.outcome(job, 0, to, Status::Ok)));
-        jobs.iter().filter(|(_, to)| *to == first).count()
+        let requests: Vec<_> = (from..from + 12).flat_map(|i| sends(&rig.ask(&format!("j{i}")))).collect();
+        requests.iter().for_each(|(request_id, to)| drop(rig.outcome(request_id, 0, to, Status::Ok)));
+        requests.iter().filter(|(_, to)| *to == first).count()
     };
     rig.outcome("j0", 0, &first, Status::ConnectFailed);
     rig.outcome("j0", 1, &other, Status::Ok);
     assert!(tried(&mut rig, 1) > 0, "it is still sent to");
     for i in 100.. {
-        let job = format!("j{i}");
-        if sends(&rig.ask(&job)).first().is_some_and(|(_, to)| *to == first) {
-            rig.outcome(&job, 0, &first, Status::ConnectFailed);
-            rig.outcome(&job, 1, &other, Status::ConnectFailed);
+        let request_id = format!("j{i}");
+        if sends(&rig.ask(&request_id)).first().is_some_and(|(_, to)| *to == first) {
+            rig.outcome(&request_id, 0, &first, Status::ConnectFailed);
+            rig.outcome(&request_id, 1, &other, Status::ConnectFailed);
             break;
         }
-        rig.outcome(&job, 0, &other, Status::Ok);
+        rig.outcome(&request_id, 0, &other, Status::Ok);
     }
     for i in 200.. {
-        let job = format!("j{i}");
-        if sends(&rig.ask(&job)).first().is_some_and(|(_, to)| *to == first) {
-            rig.outcome(&job, 0, &first, Status::ConnectFailed);
-            rig.outcome(&job, 1, &other, Status::Ok);
+        let request_id = format!("j{i}");
+        if sends(&rig.ask(&request_id)).first().is_some_and(|(_, to)| *to == first) {
+            rig.outcome(&request_id, 0, &first, Status::ConnectFailed);
+            rig.outcome(&request_id, 1, &other, Status::Ok);
             break;
         }
-        rig.outcome(&job, 0, &other, Status::Ok);
+        rig.outcome(&request_id, 0, &other, Status::Ok);
     }
     assert_eq!(tried(&mut rig, 300), 0, "it is out");
 }
@@ -297,7 +299,7 @@
         assert_eq!(
             counter.ask_many(&mut rig, "a", 30),
             0,
-            "its process before may have spent all of its share"
+            "its process before may have elapsed all of its share"
         );
         rig.now += 100.0;
         let later = counter.ask_many(&mut rig, "b", 60);
@@ -321,18 +323,18 @@
     let (mut rig, mut counter) = under_a_ceiling(true);
     rig.now += 100.0;
     let before = counter.ask_many(&mut rig, "a", 60);
-    rig.event(Event::Sharing { place: 0, of: 2 });
-    rig.event(Event::Sharing { place: 0, of: 1 });
+    rig.event(Event::ReplicasChanged { index: 0, count: 2 });
+    rig.event(Event::ReplicasChanged { index: 0, count: 1 });
     let after = counter.ask_many(&mut rig, "b", 60);
     assert!(before + after <= 17, "{before} before the other process came and went, {after} after");
 }
 
 #[test]
 fn time_outs_in_overload_do_not_put_the_fleet_out() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     for i in 0..12 {
-        for (job, to) in sends(&rig.ask(&format!("j{i}"))) {
-            rig.outcome(&job, 0, &to, Status::Timeout);
+        for (request_id, to) in sends(&rig.ask(&format!("j{i}"))) {
+            rig.outcome(&request_id, 0, &to, Status::Timeout);
         }
     }
     rig.now += 0.1;
@@ -346,19 +348,19 @@
 
 #[test]
 fn workers_that_are_gone_are_forgotten_once_nothing_is_out_to_them() {
-    let mut rig = Rig::new(plain(Effect::Safe));
+    let mut rig = Rig::new(plain(Effect::Idempotent));
     let before = held(&rig);
     let names: Vec<String> = (0..500).map(|i| format!("new-{i}")).collect();
     for name in &names {
-        rig.list(ListKind::Changes, vec![server(name, Lifecycle::Running, 0.0)]);
-        rig.list(ListKind::Changes, vec![server(name, Lifecycle::Gone, 0.0)]);
+        rig.list(ListKind::Changes, vec![endpoint(name, Lifecycle::Running, 0.0)]);
+        rig.list(ListKind::Changes, vec![endpoint(name, Lifecycle::Gone, 0.0)]);
     }
     assert!(held(&rig) < before + 2000, "{} after {before}", held(&rig));
     // The whole list may drop one too; it is kept until its attempt has ended, and then goes.
     let (_, last) = sends(&rig.ask("j")).remove(0);
-    rig.list(ListKind::Full, vec![server("d", Lifecycle::Running, 0.0)]);
+    rig.list(ListKind::Full, vec![endpoint("d", Lifecycle::Running, 0.0)]);
     rig.outcome("j", 0, &last, Status::Ok);
-    assert!(!rig.gateway.knows(&last), "{last} is kept");
+    assert!(!rig.gateway.knows_endpoint(&last), "{last} is kept");
     assert_eq!(&*sends(&rig.ask("k"))[0].1, "d");
 }
 
@@ -369,17 +371,19 @@
     let (mut rig, mut counter) = (Rig::new(s), Counter::default());
     let before = held(&rig);
     for i in 0..5000 {
-        let job = format!("j{i}");
+        let request_id = format!("j{i}");
         rig.now += 0.001;
-        let mut request = request(&job, rig.now);
+        let mut request = request(&request_id, rig.now);
         request.customer = format!("once-{i}").into();
         let mut out = rig.event(Event::Request(request));
         out.extend(counter.answer(&mut rig, &out.clone()));
         for action in out {
             match action {
-                Action::Send { job, server, .. } => drop(rig.outcome(&job, 0, &server, Status::Ok)),
+                Action::StartAttempt { request_id, endpoint, .. } => {
+                    drop(rig.outcome(&request_id, 0, &endpoint, Status::Ok))
+                }
                 // Early, but they find nothing left to do.
-                Action::Timer { token, .. } => drop(rig.event(Event::Timer { token })),
+                Action::SetTimer { token, .. } => drop(rig.event(Event::Timer { token })),
                 _ => {}
             }
         }
@@ -390,10 +394,10 @@
 }
 
 #[test]
-fn a_server_that_errs_on_one_class_gets_little_of_it_and_its_part_of_the_others() {
-    let mut s = plain(Effect::Safe);
+fn an_endpoint_that_errs_on_one_class_gets_little_of_it_and_its_part_of_the_others() {
+    let mut s = plain(Effect::Idempotent);
     let mut unsafe_class = Class::default();
-    unsafe_class.effect = Effect::Unsafe;
+    unsafe_class.effect = Effect::AtMostOnce;
     s.classes.push(unsafe_class);
     let mut rig = Rig::new(s);
     let (mut erred, mut good) = (0, 0);
@@ -401,14 +405,14 @@
         rig.now += 0.01;
         let mut request = request(&format!("j{i}"), rig.now);
         request.class = i % 2;
-        for (job, to) in sends(&rig.event(Event::Request(request))) {
+        for (request_id, to) in sends(&rig.event(Event::Request(request))) {
             let errs = &*to == "a" && i % 2 == 1;
             erred += usize::from(errs);
             good += usize::from(&*to == "a" && !errs);
-            rig.outcome(&job, 0, &to, if errs { Status::Error } else { Status::Ok });
+            rig.outcome(&request_id, 0, &to, if errs { Status::Error } else { Status::Ok });
         }
     }
-    assert!(erred <= 20, "{erred} of 200 went to the one of three servers that errs on them");
+    assert!(erred <= 20, "{erred} of 200 went to the one of three endpoints that errs on them");
     assert!(good >= 40, "{good} of 200 of the other class went to it");
     rig.now += 20.0;
     let back = (0..60).filter(|i| {
@@ -416,7 +420,7 @@
         let mut request = request(&format!("k{i}"), rig.now);
         request.class = 1;
         let sent = sends(&rig.event(Event::Request(request)));
-        sent.iter().for_each(|(job, to)| drop(rig.outcome(job, 0, to, Status::Ok)));
+        sent.iter().for_each(|(request_id, to)| drop(rig.outcome(request_id, 0, to, Status::Ok)));
         sent.iter().any(|(_, to)| &**to == "a")
     });
     assert!(back.count() >= 10, "what is mended is used again");
@@ -424,14 +428,23 @@
 
 /// How many of `n` requests at once are sent, in a fleet whose answers take `idle` seconds and then `now`.
 fn sent_at_once(idle: f64, now: f64, n: usize) -> usize {
-    let mut rig = Rig::new(plain(Effect::Safe));
-    for (tag, spent) in [("i", idle), ("n", now)] {
+    let mut rig = Rig::new(plain(Effect::Idempotent));
+    for (tag, elapsed) in [("i", idle), ("n", now)] {
         for i in 0..60 {
             rig.now += 0.1;
-            for (job, server) in sends(&rig.ask(&format!("{tag}{i}"))) {
-                let (status, load) = (Status::Ok, Load::default());
-                let (attempt, over, settled) = (0, true, None);
-                rig.event(Event::Outcome { job, attempt, server, status, spent, over, settled, load });
+            for (request_id, endpoint) in sends(&rig.ask(&format!("{tag}{i}"))) {
+                let (status, load) = (Status::Ok, LoadReport::default());
+                let (attempt, is_finished, actual_units) = (0, true, None);
+                rig.event(Event::AttemptEnded {
+                    request_id,
+                    attempt,
+                    endpoint,
+                    status,
+                    elapsed,
+                    is_finished,
+                    actual_units,
+                    load,
+                });
             }
         }
     }
@@ -441,6 +454,9 @@
 #[test]
 fn the_time_of_an_idle_fleets_answers_is_no_pressure() {
     let (slow, pressed) = (sent_at_once(0.15, 0.15, 40), sent_at_once(0.15, 0.9, 40));
-    assert!(slow >= 6, "{slow} sent at once to three idle servers with an answer's time of 0.15 of the aim");
+    assert!(
+        slow >= 6,
+        "{slow} sent at once to three idle endpoints with an answer's time of 0.15 of the aim"
+    );
     assert!(pressed * 3 <= slow * 2, "{pressed} sent where answers take six times as long, {slow} before");
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -143,9 +143,9 @@
 fn indented(workers: usize, version: u64, last: &Worker) -> String {
     let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let id = |i: usize| format!("worker-hall-a-{i:05}");
-    let mut servers: Vec<_> = (0..workers - 1).map(|i| entry(&id(i), nobody, "DRAINING")).collect();
-    servers.push(entry(&id(workers - 1), last.addr, "SERVING"));
-    let list = json!({"version": version, "full": true, "servers": servers});
+    let mut endpoints: Vec<_> = (0..workers - 1).map(|i| entry(&id(i), nobody, "DRAINING")).collect();
+    endpoints.push(entry(&id(workers - 1), last.addr, "SERVING"));
+    let list = json!({"version": version, "full": true, "servers": endpoints});
     serde_json::to_string_pretty(&list).expect("JSON").replace('\n', "\r\n        ")
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -12,11 +12,14 @@
 
 #[test]
 fn impossible_settings_are_a_typed_error() {
-    assert_eq!(refused_settings(|s| s.gateways = 0), SettingsError::NoGateways);
-    assert_eq!(refused_settings(|s| s.me = 2), SettingsError::MeOutOfRange);
+    assert_eq!(refused_settings(|s| s.gateway_count = 0), SettingsError::NoGateways);
+    assert_eq!(refused_settings(|s| s.gateway_index = 2), SettingsError::GatewayIndexOutOfRange);
     assert_eq!(refused_settings(|s| s.plans[0].rate = -1.0), SettingsError::BadNumber("rate"));
-    assert_eq!(refused_settings(|s| s.count_limit = f64::NAN), SettingsError::BadNumber("count_limit"));
-    assert_eq!(refused_settings(|s| s.classes[0].aim = f64::INFINITY), SettingsError::BadNumber("aim"));
+    assert_eq!(refused_settings(|s| s.counter_timeout = f64::NAN), SettingsError::BadNumber("count_limit"));
+    assert_eq!(
+        refused_settings(|s| s.classes[0].latency_objective = f64::INFINITY),
+        SettingsError::BadNumber("aim")
+    );
 }
 
 #[test]
@@ -26,7 +29,7 @@
         (|r: &mut Request| r.class = 9) as fn(&mut Request),
         |r| r.plan = 9,
         |r| r.units = f64::NAN,
-        |r| r.expires = 1.0,
+        |r| r.deadline = 1.0,
     ]
     .iter()
     .enumerate()
@@ -39,7 +42,7 @@
     assert!(rig.event(Event::Timer { token: 999 }).is_empty());
     assert!(rig.counted(5, Status::Ok, 1.0).is_empty());
     assert!(rig.outcome("never", 0, &"nowhere".into(), Status::Reset).is_empty());
-    assert!(rig.event(Event::Left { job: "never".into() }).is_empty());
+    assert!(rig.event(Event::ClientDisconnected { request_id: "never".into() }).is_empty());
 }
 
 #[test]
@@ -49,14 +52,14 @@
         options.settings.classes[0].effect
     };
     let class = |group: &str| serde_json::json!({"Effect": "deduplicated", "Group": group, "Window": 1.5});
-    let keyed = |group| Effect::Keyed { group, window: 1.5 };
-    assert_eq!(effect(class("all")), keyed(Group::All));
-    assert_eq!(effect(class("zone")), keyed(Group::Zone));
-    assert_eq!(effect(class("cell")), keyed(Group::Cell));
-    assert_eq!(effect(class("hall")), keyed(Group::Cell));
+    let keyed = |group| Effect::IdempotencyKey { scope: group, window: 1.5 };
+    assert_eq!(effect(class("all")), keyed(IdempotencyScope::All));
+    assert_eq!(effect(class("zone")), keyed(IdempotencyScope::Zone));
+    assert_eq!(effect(class("cell")), keyed(IdempotencyScope::Cell));
+    assert_eq!(effect(class("hall")), keyed(IdempotencyScope::Cell));
     // Without a window nothing is remembered.
     assert_eq!(
         effect(serde_json::json!({"Effect": "deduplicated"})),
-        Effect::Keyed { group: Group::Cell, window: 0.0 }
+        Effect::IdempotencyKey { scope: IdempotencyScope::Cell, window: 0.0 }
     );
 }
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -34,7 +34,7 @@
         assert_eq!(wide, None, "{}", path.display());
     }
     let module = fs::read_to_string(root.join("src/policy/mod.rs")).expect("the policy's own page");
-    assert!(module.lines().next().is_some_and(|line| line.contains("src/interface.rs")));
+    assert!(module.lines().next().is_some_and(|line| line.contains("src/interface/")));
 }
 
 #[test]
@@ -47,7 +47,7 @@
 
 /// The layers of the node, each using only those before it; a name stands for the file or the folder.
 const LAYERS: [&[&str]; 4] = [
-    &["config", "config_check", "left_out_file", "metrics", "processes", "wire"],
+    &["config", "config_check", "maintenance_file", "metrics", "processes", "wire"],
     &["connection"],
     &["runtime"],
     &["descriptors", "drain", "listener", "reload", "start"],
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -12,7 +12,7 @@
 }
 
 fn share(rig: &mut Rig, place: u32, of: u32) {
-    rig.event(Event::Sharing { place, of });
+    rig.event(Event::ReplicasChanged { index: place, count: of });
 }
 
 /// How many of `n` requests, each answered at once, are sent.
@@ -28,7 +28,7 @@
     let mut old = quiet(plan(10.0, 20.0));
     share(&mut old, 0, 2);
     let mut new = quiet(plan(10.0, 20.0));
-    new.event(Event::Inherit(old.gateway.memory()));
+    new.event(Event::SnapshotReceived(old.gateway.snapshot()));
     share(&mut new, 1, 2);
     let both = |old: &mut Rig, new: &mut Rig, tag: &str| sent(old, tag, 30) + sent(new, tag, 30);
     assert!(both(&mut old, &mut new, "b") <= whole);
@@ -44,7 +44,7 @@
 fn a_cap_on_what_is_out_is_dealt_out_among_processes() {
     let open = |place, of| {
         let mut plan = plan(1000.0, 1000.0);
-        plan.open = 8;
+        plan.max_concurrent_attempts = 8;
         let mut rig = quiet(plan);
         share(&mut rig, place, of);
         (0..8).map(|i| sends(&rig.ask(&format!("j{i}"))).len()).sum::<usize>()
@@ -58,24 +58,24 @@
     let mut settings = settings();
     settings.plans = vec![plan(0.0, 0.0)];
     let mut old = Rig::new(settings.clone());
-    old.event(Event::ByHand { server: "a".into(), out: true });
-    old.event(Event::ByHand { server: "b".into(), out: true });
-    old.event(Event::ByHand { server: "b".into(), out: false });
-    let memory = old.gateway.memory();
-    let cold = memory.servers.iter().find(|s| &*s.id == "b").expect("it is listed");
-    assert_eq!(cold.cold_since, old.now);
+    old.event(Event::MaintenanceChanged { endpoint: "a".into(), in_maintenance: true });
+    old.event(Event::MaintenanceChanged { endpoint: "b".into(), in_maintenance: true });
+    old.event(Event::MaintenanceChanged { endpoint: "b".into(), in_maintenance: false });
+    let memory = old.gateway.snapshot();
+    let cold = memory.endpoints.iter().find(|s| &*s.id == "b").expect("it is listed");
+    assert_eq!(cold.warming_up_since, old.now);
     // Also where the new process hears of the workers only later.
     for known in [true, false] {
         let mut new = if known { Rig::new(settings.clone()) } else { Rig::empty(settings.clone()) };
-        new.event(Event::Inherit(memory.clone()));
-        let servers = ["a", "b", "c"].map(|n| server(n, Lifecycle::Running, 0.0)).to_vec();
-        new.list(ListKind::Full, servers);
+        new.event(Event::SnapshotReceived(memory.clone()));
+        let endpoints = ["a", "b", "c"].map(|n| endpoint(n, Lifecycle::Running, 0.0)).to_vec();
+        new.list(ListKind::Full, endpoints);
         let to = |id: &str, rig: &mut Rig, tag: &str| {
             let went: Vec<_> = (0..9).flat_map(|i| sends(&rig.ask(&format!("{tag}{i}")))).collect();
             went.iter().filter(|(_, s)| &**s == id).count()
         };
         assert_eq!(to("a", &mut new, "x"), 0, "left out");
         assert!(to("b", &mut new, "y") <= 1, "cold");
-        assert_eq!(new.gateway.memory().left_out, memory.left_out);
+        assert_eq!(new.gateway.snapshot().in_maintenance, memory.in_maintenance);
     }
 }
--- a/tests/unit/config.rs
+++ b/tests/unit/config.rs
@@ -1,7 +1,7 @@
 //! One complete configuration file, as the platform writes it.
 
 use super::*;
-use oliverack::{Class, Effect, Group, Lifecycle, Plan};
+use oliverack::{Class, Effect, IdempotencyScope, Lifecycle, Plan};
 
 const FILE: &str = r#"{
     "name": "n2",
@@ -60,9 +60,9 @@
     assert_eq!((config.sockets, config.memory), (512, 32 << 20));
     assert_eq!(config.version, 17);
     let [listed] = &config.known[..] else { panic!("one worker: {:?}", config.known) };
-    let server = &listed.server;
-    assert_eq!((&*server.id, server.zone, server.cell), ("s-00000001", 1, 4));
-    assert_eq!((server.started, server.lifecycle), (12.5, Lifecycle::Running));
+    let endpoint = &listed.endpoint;
+    assert_eq!((&*endpoint.id, endpoint.zone, endpoint.cell), ("s-00000001", 1, 4));
+    assert_eq!((endpoint.started, endpoint.lifecycle), (12.5, Lifecycle::Running));
     assert_eq!(listed.addr.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9100"));
 }
 
@@ -70,39 +70,42 @@
 fn complete_file_gives_the_policy_each_of_its_settings() {
     let options = read().options;
     let settings = &options.settings;
-    assert_eq!((settings.me, settings.gateways, settings.zone), (2, 5, 1));
-    assert_eq!((settings.has_counter, settings.count_limit), (true, 0.06));
-    assert_eq!((settings.max_units, settings.post_paid), (3.0, true));
-    assert_eq!((settings.may_probe, settings.may_cancel, settings.second_copies), (true, true, true));
-    assert_eq!((settings.max_attempts, settings.max_open), (4, 700));
-    assert_eq!((settings.retry_after, settings.max_retry_after), (true, 2.0));
-    assert_eq!((settings.must_ask, settings.must_ask_in), (true, 8.0));
-    assert_eq!((settings.cold_from, settings.cold), (0.3, 7.0));
-    assert_eq!((settings.fall_multiple, settings.fall), (2.5, 1.2));
-    assert_eq!((settings.step, settings.max_customers), (0.002, (32 << 20) / 4 / 512));
+    assert_eq!((settings.gateway_index, settings.gateway_count, settings.zone), (2, 5, 1));
+    assert_eq!((settings.has_counter, settings.counter_timeout), (true, 0.06));
+    assert_eq!((settings.max_units, settings.units_settle_later), (3.0, true));
+    assert_eq!(
+        (settings.health_checks_enabled, settings.cancellation_enabled, settings.hedging_enabled),
+        (true, true, true)
+    );
+    assert_eq!((settings.max_attempts, settings.max_open_requests), (4, 700));
+    assert_eq!((settings.retry_after_enabled, settings.max_retry_after), (true, 2.0));
+    assert_eq!((settings.discovery_is_polled, settings.max_poll_interval), (true, 8.0));
+    assert_eq!((settings.slow_start_initial_share, settings.slow_start_window), (0.3, 7.0));
+    assert_eq!((settings.overload_multiple, settings.overload_window), (2.5, 1.2));
+    assert_eq!((settings.event_interval, settings.max_customers), (0.002, (32 << 20) / 4 / 512));
 }
 
 #[test]
 fn complete_file_gives_the_policy_its_classes_and_plans() {
     let options = read().options;
     let mut lookup = Class::default();
-    lookup.aim = 0.4;
-    lookup.late_worth = 0.25;
+    lookup.latency_objective = 0.4;
+    lookup.late_weight_share = 0.25;
     lookup.streamed = true;
     let mut submit = Class::default();
-    submit.aim = 0.8;
-    submit.effect = Effect::Keyed { group: Group::Zone, window: 1.5 };
+    submit.latency_objective = 0.8;
+    submit.effect = Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: 1.5 };
     let mut order = Class::default();
-    order.aim = 0.6;
-    order.effect = Effect::Unsafe;
+    order.latency_objective = 0.6;
+    order.effect = Effect::AtMostOnce;
     assert_eq!(options.settings.classes, [lookup, submit, order]);
     let mut small = Plan::default();
     small.rate = 2.0;
     small.burst = 6.0;
-    small.open = 3;
-    small.pays = 1.5;
-    small.excess_worth = 0.2;
-    small.overrun_cost = 0.1;
+    small.max_concurrent_attempts = 3;
+    small.priority_weight = 1.5;
+    small.over_quota_weight_share = 0.2;
+    small.over_quota_cost_share = 0.1;
     small.ceiling_rate = 4.0;
     small.ceiling_burst = 12.0;
     assert_eq!(options.settings.plans, [small]);
--- a/tests/unit/server_table.rs
+++ b/tests/unit/endpoint_table.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::collections::BTreeMap;
 
-/// What the table should know of a server, kept in the plainest way.
+/// What the table should know of an endpoint, kept in the plainest way.
 #[derive(Default)]
 struct Model {
     running: bool,
@@ -13,13 +13,13 @@
 /// A table and its model, to which the same is done.
 #[derive(Default)]
 struct Pair {
-    table: ServerTable,
-    model: BTreeMap<ServerId, Model>,
-    left_out: BTreeSet<ServerId>,
+    table: EndpointTable,
+    model: BTreeMap<EndpointId, Model>,
+    in_maintenance: BTreeSet<EndpointId>,
 }
 
 impl Pair {
-    fn update(&mut self, is_whole: bool, entries: Vec<Server>) {
+    fn update(&mut self, is_whole: bool, entries: Vec<Endpoint>) {
         if is_whole {
             self.model.values_mut().for_each(|m| (m.running, m.listed) = (false, false));
         }
@@ -32,7 +32,7 @@
         self.table.update(is_whole, entries, |_, _| {});
     }
 
-    fn attempt(&mut self, id: &ServerId, inflight: f64, out_until: Time) {
+    fn attempt(&mut self, id: &EndpointId, inflight: f64, out_until: Time) {
         let Some(place) = self.table.find(id) else { return };
         let health = self.table[place].health_mut();
         (health.inflight, health.out_until) = (inflight, out_until);
@@ -41,26 +41,26 @@
         (model.inflight, model.out_until) = (inflight, out_until);
     }
 
-    fn leave_out(&mut self, id: &ServerId, is_out: bool) {
-        let was_out = self.left_out.contains(id);
+    fn set_maintenance(&mut self, id: &EndpointId, is_out: bool) {
+        let was_out = self.in_maintenance.contains(id);
         if is_out {
-            self.left_out.insert(id.clone())
+            self.in_maintenance.insert(id.clone())
         } else {
-            self.left_out.remove(id)
+            self.in_maintenance.remove(id)
         };
-        assert_eq!(self.table.leave_out(id, is_out), was_out);
+        assert_eq!(self.table.set_maintenance(id, is_out), was_out);
     }
 
     fn check(&mut self, now: Time) {
         assert!(self.table.iter().map(|(id, _)| id).eq(self.model.keys()));
-        let usable = |(id, m): &(&ServerId, &Model)| m.running && !self.left_out.contains(*id);
+        let usable = |(id, m): &(&EndpointId, &Model)| m.running && !self.in_maintenance.contains(*id);
         let known = self.model.iter().filter(usable).map(|(id, _)| id);
         assert!(self.table.usable().iter().map(|place| self.table.id(*place)).eq(known));
         let ejected = self.model.iter().filter(usable).filter(|(_, m)| now < m.out_until).count();
         assert_eq!(self.table.count_ejected(now), ejected);
         let listed = || self.model.iter().filter(|(_, m)| m.listed);
         let avoided = listed().filter(|entry| !usable(entry) || now < entry.1.out_until).count();
-        assert_eq!(self.table.targets(now), Targets { listed: listed().count(), avoided });
+        assert_eq!(self.table.targets(now), EndpointCounts { listed: listed().count(), avoided });
     }
 }
 
@@ -70,10 +70,10 @@
     let mut pair = Pair::default();
     for step in 0..5_000 {
         let now = f64::from(step);
-        let id: ServerId = format!("s{}", dice.u32(0..40)).into();
-        let entries = |dice: &mut fastrand::Rng, most: usize| -> Vec<Server> {
+        let id: EndpointId = format!("s{}", dice.u32(0..40)).into();
+        let entries = |dice: &mut fastrand::Rng, most: usize| -> Vec<Endpoint> {
             let lifecycles = [Lifecycle::Running, Lifecycle::Running, Lifecycle::Draining, Lifecycle::Gone];
-            let entry = |dice: &mut fastrand::Rng| Server {
+            let entry = |dice: &mut fastrand::Rng| Endpoint {
                 id: format!("s{}", dice.u32(0..40)).into(),
                 zone: 0,
                 cell: 0,
@@ -86,11 +86,12 @@
             0 => pair.update(true, entries(&mut dice, 60)),
             1..8 => pair.update(false, entries(&mut dice, 4)),
             8..14 => pair.attempt(&id, f64::from(dice.u32(0..3)), now + f64::from(dice.u32(0..20))),
-            14..17 => pair.leave_out(&id, dice.bool()),
+            14..17 => pair.set_maintenance(&id, dice.bool()),
             17 => {
-                let left_out: Vec<ServerId> = entries(&mut dice, 5).into_iter().map(|e| e.id).collect();
-                pair.left_out = left_out.iter().cloned().collect();
-                pair.table.replace_left_out(left_out);
+                let in_maintenance: Vec<EndpointId> =
+                    entries(&mut dice, 5).into_iter().map(|e| e.id).collect();
+                pair.in_maintenance = in_maintenance.iter().cloned().collect();
+                pair.table.replace_maintenance(in_maintenance);
             }
             _ => {}
         }
@@ -99,13 +100,13 @@
 }
 
 #[test]
-fn the_usable_servers_stand_in_a_ring() {
+fn the_usable_endpoints_stand_in_a_ring() {
     let mut pair = Pair::default();
-    let server = |name: &str| {
+    let endpoint = |name: &str| {
         let (id, lifecycle) = (name.into(), Lifecycle::Running);
-        Server { id, zone: 0, cell: 0, started: 0.0, lifecycle }
+        Endpoint { id, zone: 0, cell: 0, started: 0.0, lifecycle }
     };
-    pair.update(true, ["c", "a", "d", "b"].map(server).to_vec());
+    pair.update(true, ["c", "a", "d", "b"].map(endpoint).to_vec());
     let ring: Vec<&str> = (0..4).map(|i| &**pair.table.id(pair.table.usable_from(0.6, i))).collect();
     assert_eq!(ring, ["c", "d", "a", "b"]);
 }
--- a/tests/unit/load_report.rs
+++ b/tests/unit/load_report.rs
@@ -6,10 +6,10 @@
 #[test]
 fn a_report_is_read_under_either_name_and_garbage_is_left_out() {
     let load = parse("TEXT inflight=7, queue=2, util=0.61");
-    assert_eq!((load.inflight, load.util), (Some(7.0), Some(0.61)));
+    assert_eq!((load.inflight, load.utilization), (Some(7.0), Some(0.61)));
     let load = parse("busy_reqs=3,cpu_share=NaN");
-    assert_eq!((load.inflight, load.util), (Some(3.0), None));
+    assert_eq!((load.inflight, load.utilization), (Some(3.0), None));
     let wild = "inflight=-1, util=1e300";
-    assert_eq!(parse(wild), Load::default());
-    assert_eq!(parse("util=much = more"), Load::default());
+    assert_eq!(parse(wild), LoadReport::default());
+    assert_eq!(parse("util=much = more"), LoadReport::default());
 }
--- a/tests/unit/left_out_file.rs
+++ b/tests/unit/maintenance_file.rs
@@ -5,7 +5,7 @@
 const STORED: &str = r#"{"form":1,"node":"n0","out":["10.1.0.18:8443","s-00000007"]}"#;
 
 /// The file of node `n0` in a folder of its own, which is removed with it.
-struct Scratch(LeftOutFile);
+struct Scratch(MaintenanceFile);
 
 impl Scratch {
     fn new(name: &str) -> Self {
@@ -13,7 +13,7 @@
         fs::create_dir_all(&folder).expect("a folder");
         let path = folder.join("oliverack-n0.out.json");
         let folder = SharedFolder { folder, node: "n0".to_owned() };
-        Self(LeftOutFile { node: "n0".to_owned(), path, folder })
+        Self(MaintenanceFile { node: "n0".to_owned(), path, folder })
     }
 }
 
@@ -26,7 +26,7 @@
 #[test]
 fn stored_file_has_the_bytes_that_earlier_versions_wrote() {
     let scratch = Scratch::new("stored");
-    let workers: [ServerId; 2] = ["s-00000007".into(), "10.1.0.18:8443".into()];
+    let workers: [EndpointId; 2] = ["s-00000007".into(), "10.1.0.18:8443".into()];
     scratch.0.store(workers.iter()).expect("a folder to write to");
     assert_eq!(fs::read_to_string(&scratch.0.path).expect("a file"), STORED);
     scratch.0.store([].iter()).expect("a folder to write to");
--- a/tests/unit/metrics.rs
+++ b/tests/unit/metrics.rs
@@ -5,7 +5,7 @@
 #[test]
 fn every_class_stands_there_from_the_start_and_each_request_is_counted_once() {
     let metrics = Metrics::new(2);
-    let render = || metrics.render(&["a".into(), "b\"\\".into()], Targets { listed: 3, avoided: 1 });
+    let render = || metrics.render(&["a".into(), "b\"\\".into()], EndpointCounts { listed: 3, avoided: 1 });
     for line in ["svc_success{type=\"a\"} 0", "svc_error{type=\"b\\\"\\\\\"} 0", "svc_dispatches 0"] {
         assert!(render().lines().any(|l| l == line), "{line}");
     }
@@ -53,7 +53,7 @@
 # TYPE svc_targets_disabled gauge
 svc_targets_disabled 1
 "#;
-    let text = metrics.render(&["lookup".into(), "submit".into()], Targets { listed: 3, avoided: 1 });
+    let text = metrics.render(&["lookup".into(), "submit".into()], EndpointCounts { listed: 3, avoided: 1 });
     drop(waiting);
     assert_eq!(text, expected);
 }
--- a/tests/unit/siblings.rs
+++ b/tests/unit/siblings.rs
@@ -1,7 +1,7 @@
 //! The form of the messages between processes: the bytes that earlier versions sent, read and written.
 
 use super::*;
-use oliverack::Known;
+use oliverack::EndpointSnapshot;
 
 const HELLO: &str = r#"{"Hello":{"form":1,"node":"n0"}}"#;
 const KNOWS: &str = concat!(
@@ -13,25 +13,25 @@
 
 /// Every message with every field, beside the bytes that an earlier version sent for it.
 fn messages() -> [(Message, &'static str); 3] {
-    let known = Known {
+    let known = EndpointSnapshot {
         id: "10.1.0.18:8443".into(),
-        cold_since: 1_764_748_800.25,
-        latency: 0.0125,
-        heard: 1_764_748_810.5,
-        out_until: 1_764_748_812.75,
-        out_for: 2.0,
+        warming_up_since: 1_764_748_800.25,
+        mean_latency: 0.0125,
+        last_response_at: 1_764_748_810.5,
+        ejected_until: 1_764_748_812.75,
+        ejection_time: 2.0,
     };
-    let memory = Memory {
-        servers: vec![known],
-        left_out: vec!["s-00000007".into()],
-        carried: 12.5,
-        times: [0.03, 0.02, 0.01],
-        call_rate: 4.0,
+    let memory = HandoverSnapshot {
+        endpoints: vec![known],
+        in_maintenance: vec!["s-00000007".into()],
+        peak_units_per_second: 12.5,
+        response_times: [0.03, 0.02, 0.01].into(),
+        counter_calls_per_second: 4.0,
     };
     [
         (Message::Hello { form: FORM, node: "n0".to_owned() }, HELLO),
         (Message::Knows(memory), KNOWS),
-        (Message::ByHand { server: "s-00000007".into(), out: true }, BY_HAND),
+        (Message::ByHand { endpoint: "s-00000007".into(), out: true }, BY_HAND),
     ]
 }
 
--- a/tests/unit/subset.rs
+++ b/tests/unit/subset.rs
@@ -1,33 +1,42 @@
-//! Long lists: which servers a gateway keeps to, and how many entries of the table an event looks at.
+//! Long lists: which endpoints a gateway keeps to, and how many entries of the table an event looks at.
 
-use super::servers::{MIN_SUBSET, SUBSET_FACTOR};
+use super::endpoints::{MIN_SUBSET, SUBSET_FACTOR};
 use super::*;
 use crate::ordered_table::tests::reads;
+use crate::settings::Class;
 use std::collections::BTreeSet;
 
-/// The design: so many gateways before so many servers.
+/// The design: so many gateways before so many endpoints.
 const GATEWAYS: u32 = 680;
-const SERVERS: u32 = 9200;
+const ENDPOINTS: u32 = 9200;
 
 fn settings(me: u32, gateways: u32) -> Settings {
     let classes = vec![Class::default()];
     let plans = vec![Plan::default()];
-    Settings { me, gateways, classes, plans, max_attempts: 3, cold: 10.0, ..Settings::default() }
+    Settings {
+        gateway_index: me,
+        gateway_count: gateways,
+        classes,
+        plans,
+        max_attempts: 3,
+        slow_start_window: 10.0,
+        ..Settings::default()
+    }
 }
 
 fn gateway(me: u32, gateways: u32, seed: u64) -> Gateway {
     Gateway::new(settings(me, gateways), seed).expect("usable settings")
 }
 
-/// The names of a zone's servers stand together in the order, as those of a site do.
-fn server(number: u32) -> Server {
+/// The names of a zone's endpoints stand together in the order, as those of a site do.
+fn endpoint(number: u32) -> Endpoint {
     let zone = number % 4;
     let id = format!("zone-{zone}-{number:05}").into();
-    Server { id, zone, cell: number % 40, started: 0.0, lifecycle: Lifecycle::Running }
+    Endpoint { id, zone, cell: number % 40, started: 0.0, lifecycle: Lifecycle::Running }
 }
 
-fn servers(count: u32) -> Vec<Server> {
-    (0..count).map(server).collect()
+fn endpoints(count: u32) -> Vec<Endpoint> {
+    (0..count).map(endpoint).collect()
 }
 
 fn tell(gateway: &mut Gateway, now: Time, event: Event) -> Vec<Action> {
@@ -36,64 +45,64 @@
     actions
 }
 
-fn list(gateway: &mut Gateway, kind: ListKind, servers: Vec<Server>) {
-    tell(gateway, 1.0, Event::List { kind, servers });
+fn list(gateway: &mut Gateway, kind: ListKind, endpoints: Vec<Endpoint>) {
+    tell(gateway, 1.0, Event::EndpointsUpdated { kind, endpoints });
 }
 
 fn change(gateway: &mut Gateway, number: u32, lifecycle: Lifecycle) {
-    list(gateway, ListKind::Changes, vec![Server { lifecycle, ..server(number) }]);
+    list(gateway, ListKind::Changes, vec![Endpoint { lifecycle, ..endpoint(number) }]);
 }
 
-/// The addresses of the servers that a gateway keeps to.
-fn subset(gateway: &Gateway) -> BTreeSet<ServerId> {
-    let place = |i| gateway.servers.usable_from(gateway.subset_start, i);
-    (0..gateway.subset_size()).map(|i| gateway.servers.id(place(i)).clone()).collect()
+/// The addresses of the endpoints that a gateway keeps to.
+fn subset(gateway: &Gateway) -> BTreeSet<EndpointId> {
+    let place = |i| gateway.endpoints.usable_from(gateway.subset_start, i);
+    (0..gateway.subset_size()).map(|i| gateway.endpoints.id(place(i)).clone()).collect()
 }
 
 /// The subsets of all gateways, which have heard the same list as `teller`.
-fn subsets(teller: &mut Gateway) -> Vec<BTreeSet<ServerId>> {
+fn subsets(teller: &mut Gateway) -> Vec<BTreeSet<EndpointId>> {
     let of = |me| {
         let mut gateway = gateway(me, GATEWAYS, u64::from(me));
-        std::mem::swap(&mut gateway.servers, &mut teller.servers);
+        std::mem::swap(&mut gateway.endpoints, &mut teller.endpoints);
         let subset = subset(&gateway);
-        std::mem::swap(&mut gateway.servers, &mut teller.servers);
+        std::mem::swap(&mut gateway.endpoints, &mut teller.endpoints);
         subset
     };
     (0..GATEWAYS).map(of).collect()
 }
 
-/// The fewest and the most gateways that a server is met by.
-fn spread(subsets: &[BTreeSet<ServerId>], usable: &Gateway) -> (usize, usize) {
-    let mut met: BTreeMap<&ServerId, usize> = BTreeMap::new();
-    met.extend(usable.servers.usable().iter().map(|place| (usable.servers.id(*place), 0)));
+/// The fewest and the most gateways that an endpoint is met by.
+fn spread(subsets: &[BTreeSet<EndpointId>], usable: &Gateway) -> (usize, usize) {
+    let mut met: BTreeMap<&EndpointId, usize> = BTreeMap::new();
+    met.extend(usable.endpoints.usable().iter().map(|place| (usable.endpoints.id(*place), 0)));
     subsets.iter().flatten().for_each(|id| *met.get_mut(id).expect("usable") += 1);
     (*met.values().min().expect("some"), *met.values().max().expect("some"))
 }
 
 #[test]
-fn each_server_is_met_by_about_as_many_gateways_also_after_a_zone_is_lost() {
+fn each_endpoint_is_met_by_about_as_many_gateways_also_after_a_zone_is_lost() {
     let mut teller = gateway(0, GATEWAYS, 1);
-    list(&mut teller, ListKind::Stale, servers(SERVERS));
+    list(&mut teller, ListKind::Stale, endpoints(ENDPOINTS));
     let all = subsets(&mut teller);
     let (fewest, most) = spread(&all, &teller);
     assert!(fewest >= 18 && most <= 22, "met by {fewest} to {most}");
     // The second zone is gone.
-    list(&mut teller, ListKind::Full, servers(SERVERS).into_iter().filter(|s| s.zone != 1).collect());
+    list(&mut teller, ListKind::Full, endpoints(ENDPOINTS).into_iter().filter(|s| s.zone != 1).collect());
     let (fewest, most) = spread(&subsets(&mut teller), &teller);
     assert!(fewest >= 18 && most <= 22, "met by {fewest} to {most} without a zone");
     // It is back, and so is each gateway's choice.
-    list(&mut teller, ListKind::Full, servers(SERVERS));
+    list(&mut teller, ListKind::Full, endpoints(ENDPOINTS));
     assert!(subsets(&mut teller) == all, "the same as before");
 }
 
 #[test]
-fn a_restarted_gateway_keeps_to_the_same_servers() {
+fn a_restarted_gateway_keeps_to_the_same_endpoints() {
     for me in [0, 1, 339, 679] {
         let mut before = gateway(me, GATEWAYS, 1);
-        list(&mut before, ListKind::Stale, servers(SERVERS));
+        list(&mut before, ListKind::Stale, endpoints(ENDPOINTS));
         // Told in another order, in parts, and with another seed.
         let mut after = gateway(me, GATEWAYS, 2);
-        let mut told = servers(SERVERS);
+        let mut told = endpoints(ENDPOINTS);
         fastrand::Rng::with_seed(3).shuffle(&mut told);
         let rest = told.split_off(5000);
         list(&mut after, ListKind::Stale, told);
@@ -104,9 +113,9 @@
 }
 
 #[test]
-fn one_server_that_goes_or_comes_moves_few_connections() {
+fn one_endpoint_that_goes_or_comes_moves_few_connections() {
     let mut teller = gateway(0, GATEWAYS, 1);
-    list(&mut teller, ListKind::Stale, servers(SERVERS));
+    list(&mut teller, ListKind::Stale, endpoints(ENDPOINTS));
     let mut before = subsets(&mut teller);
     for (number, lifecycle) in [
         (0, Lifecycle::Draining),
@@ -126,19 +135,19 @@
 
 #[test]
 fn lists_of_any_length_are_taken_in_whole_and_in_changes() {
-    for count in [0, 1, 2, 100, 1024, SERVERS, 10_000] {
+    for count in [0, 1, 2, 100, 1024, ENDPOINTS, 10_000] {
         let mut gateway = gateway(7, GATEWAYS, 1);
         for kind in [ListKind::Stale, ListKind::Full] {
-            list(&mut gateway, kind, servers(count));
-            let all = Targets { listed: count as usize, avoided: 0 };
-            assert_eq!(gateway.targets(1.0), all, "{kind:?} of {count}");
+            list(&mut gateway, kind, endpoints(count));
+            let all = EndpointCounts { listed: count as usize, avoided: 0 };
+            assert_eq!(gateway.endpoint_counts(1.0), all, "{kind:?} of {count}");
         }
         assert!(subset(&gateway).len() <= count as usize);
         assert_eq!(serves(&mut gateway, "before"), count > 0, "of {count}");
         // The last goes, one more comes, and the rest go.
         change(&mut gateway, count.saturating_sub(1), Lifecycle::Gone);
         change(&mut gateway, count, Lifecycle::Running);
-        let usable = gateway.servers.usable().len();
+        let usable = gateway.endpoints.usable().len();
         assert_eq!(usable, count.max(1) as usize, "of {count}");
         assert!(serves(&mut gateway, "between"));
         list(&mut gateway, ListKind::Full, vec![]);
@@ -146,51 +155,61 @@
     }
 }
 
-fn request(job: &str) -> Event {
+fn request(request_id: &str) -> Event {
     Event::Request(Request {
-        job: job.into(),
+        id: request_id.into(),
         units: 1.0,
-        expires: 100.0,
+        deadline: 100.0,
         plan: 0,
-        spread: 1,
-        first: 0,
+        customer_gateway_count: 1,
+        first_gateway: 0,
         class: 0,
         customer: "c".into(),
-        repeat: false,
+        is_retry: false,
     })
 }
 
 /// An answer to each attempt among these actions.
 fn answers(actions: Vec<Action>, status: Status) -> Vec<Event> {
     let answer = |action| {
-        let Action::Send { job, server, .. } = action else { return None };
-        let (attempt, spent, over, settled, load) = (0, 0.02, true, None, Load::default());
-        Some(Event::Outcome { job, attempt, server, status, spent, over, settled, load })
+        let Action::StartAttempt { request_id, endpoint, .. } = action else { return None };
+        let (attempt, elapsed, is_finished, actual_units, load) =
+            (0, 0.02, true, None, LoadReport::default());
+        Some(Event::AttemptEnded {
+            request_id,
+            attempt,
+            endpoint,
+            status,
+            elapsed,
+            is_finished,
+            actual_units,
+            load,
+        })
     };
     actions.into_iter().filter_map(answer).collect()
 }
 
-/// Whether a request is sent to a server, which answers it.
-fn serves(gateway: &mut Gateway, job: &str) -> bool {
-    let sent = tell(gateway, 1.0, request(job));
+/// Whether a request is sent to an endpoint, which answers it.
+fn serves(gateway: &mut Gateway, request_id: &str) -> bool {
+    let sent = tell(gateway, 1.0, request(request_id));
     let answers = answers(sent, Status::Ok);
     let served = !answers.is_empty();
     answers.into_iter().for_each(|event| drop(tell(gateway, 1.0, event)));
     served
 }
 
-/// So many gateways that each keeps to the least number of servers.
-fn thin(servers: u32) -> Gateway {
-    gateway(0, SUBSET_FACTOR as u32 * servers, 1)
+/// So many gateways that each keeps to the least number of endpoints.
+fn thin(endpoints: u32) -> Gateway {
+    gateway(0, SUBSET_FACTOR as u32 * endpoints, 1)
 }
 
 #[test]
-fn an_event_looks_at_a_few_servers_however_many_are_listed() {
+fn an_event_looks_at_a_few_endpoints_however_many_are_listed() {
     // The choice looks at each of six a few times; whatever is found by its name, at one in each halving.
     const FEW: usize = 150;
     for count in [100, 1024, 10_000] {
         let mut gateway = thin(count);
-        list(&mut gateway, ListKind::Stale, servers(count));
+        list(&mut gateway, ListKind::Stale, endpoints(count));
         assert_eq!(gateway.subset_size(), MIN_SUBSET);
         for step in 0..300_u32 {
             let now = 2.0 + f64::from(step) * 0.01;
@@ -206,7 +225,8 @@
             let looked = reads(|| change(&mut gateway, step / 3 * 7 % count, lifecycle));
             assert!(looked <= FEW, "a change: {looked} of {count}");
             let out = step % 2 == 0;
-            let event = Event::ByHand { server: server(step % count).id, out };
+            let event =
+                Event::MaintenanceChanged { endpoint: endpoint(step % count).id, in_maintenance: out };
             let looked = reads(|| drop(tell(&mut gateway, now, event)));
             assert!(looked <= FEW, "a call by hand: {looked} of {count}");
         }
@@ -214,9 +234,9 @@
 }
 
 #[test]
-fn where_all_servers_are_cold_the_list_is_walked_once() {
+fn where_all_endpoints_are_cold_the_list_is_walked_once() {
     let mut gateway = thin(10_000);
-    let cold = servers(10_000).into_iter().map(|s| Server { started: 1.0, ..s }).collect();
+    let cold = endpoints(10_000).into_iter().map(|s| Endpoint { started: 1.0, ..s }).collect();
     list(&mut gateway, ListKind::Stale, cold);
     let mut walks = 0;
     for step in 0..200_u32 {
@@ -227,5 +247,5 @@
     assert_eq!(walks, 1);
     // Once they are warm, the others are looked at again.
     let warm = tell(&mut gateway, 20.0, request("warm"));
-    assert!(warm.iter().any(|action| matches!(action, Action::Send { .. })));
+    assert!(warm.iter().any(|action| matches!(action, Action::StartAttempt { .. })));
 }
