--- a/lab/src/fleet/simulation/actions.rs
+++ b/lab/src/fleet/simulation/actions.rs
@@ -4,7 +4,7 @@
 use crate::fleet::gatekeepers::Address;
 use crate::fleet::requests::{Attempt, AttemptKey, number_of};
 use crate::fleet::wire_size;
-use oliverack::{Action, EndpointId, Event, LoadReport, Status};
+use oliverack::{Action, EndpointId, Status};
 
 impl Simulation {
     pub(super) fn carry_out(&mut self, from: Address, action: Action) {
@@ -14,24 +14,10 @@
             }
             Action::Reject { request_id, retry_after } => self.refuse(number_of(&request_id), retry_after),
             Action::Fail { request_id } => self.fail(number_of(&request_id)),
-            Action::CancelAttempt { request_id, attempt } => {
-                let attempt = AttemptKey { request: number_of(&request_id), attempt };
-                let ends = Occurrence::AttemptEnds { attempt, status: Status::Cancelled };
-                self.queue.schedule(self.queue.now(), ends);
-            }
             Action::SetTimer { token, at } => self.queue.schedule(at, Occurrence::Timer { to: from, token }),
             Action::AddToCounter { counter, amount, ttl } => self.count(from, counter, amount, ttl),
             Action::PollEndpoints => self.ask_list(from),
-            Action::CheckHealth { endpoint } => {
-                // Workers of the model answer no probes.
-                let event = Event::HealthCheckEnded {
-                    endpoint,
-                    status: Status::ConnectFailed,
-                    load: LoadReport::default(),
-                };
-                self.tell_later(from, event);
-            }
-            // Lines of the log are no figures, and an action that is new to the model has no effect in it.
+            // An action that is new to the model has no effect in it.
             _ => {}
         }
     }
--- a/src/bin/oliverack-sim/events.rs
+++ b/src/bin/oliverack-sim/events.rs
@@ -66,7 +66,10 @@
         "DONE" => outcome(row("DONE"))?,
         "LEFT" => Event::ClientDisconnected { request_id: row("LEFT").text(0, "Job")?.into() },
         "ELAPSED" => Event::Timer { token: row("ELAPSED").whole_number(0, "Name")? },
-        "HEALTH_RESULT" => probed(row("HEALTH_RESULT"))?,
+        "HEALTH_RESULT" => {
+            check_health_result(row("HEALTH_RESULT"))?;
+            return Ok(None);
+        }
         "TALLIED" => counted(row("TALLIED"))?,
         "NOTE_FROM" => return Ok(None),
         _ => return Err(EventError::Unknown(name.to_owned())),
@@ -119,9 +122,11 @@
     })
 }
 
-fn probed(row: Row) -> Result<Event, RowError> {
-    let (endpoint, status) = (row.text(0, "Worker")?.into(), row.status(1)?);
-    Ok(Event::HealthCheckEnded { endpoint, status, load: row.load(3) })
+/// The policy asks for no health checks, so a well-formed result is ignored.
+fn check_health_result(row: Row) -> Result<(), RowError> {
+    row.text(0, "Worker")?;
+    row.status(1)?;
+    Ok(())
 }
 
 fn counted(row: Row) -> Result<Event, RowError> {
--- a/src/bin/oliverack-sim/main.rs
+++ b/src/bin/oliverack-sim/main.rs
@@ -168,12 +168,9 @@
         }
         Action::Reject { request_id, retry_after } => json!(["PUSH_BACK", &*request_id, retry_after]),
         Action::Fail { request_id } => json!(["SURRENDER", &*request_id]),
-        Action::CancelAttempt { request_id, attempt } => json!(["REVOKE", &*request_id, attempt]),
         Action::SetTimer { token, at } => json!(["DEFER", token, at]),
-        Action::CheckHealth { endpoint } => json!(["POLL", &*endpoint]),
         Action::AddToCounter { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
         Action::PollEndpoints => json!(["SUBSCRIBE", true]),
-        Action::Log(text) => json!(["DEBUG", text]),
         other => json!(["PANIC", format!("no wire form for {other:?}")]),
     }
 }
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -30,20 +30,6 @@
         /// The request.
         request_id: RequestId,
     },
-    /// Cancel an attempt.
-    CancelAttempt {
-        /// The request.
-        request_id: RequestId,
-        /// Index of the attempt.
-        attempt: u32,
-    },
-    /// Check an endpoint's health.
-    CheckHealth {
-        /// The endpoint.
-        endpoint: EndpointId,
-    },
-    /// Write a line to the operators' log.
-    Log(String),
     /// Deliver [`crate::Event::Timer`] at a given time.
     SetTimer {
         /// The timer's token.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -68,15 +68,6 @@
         /// The timer's token.
         token: u64,
     },
-    /// A health check has ended.
-    HealthCheckEnded {
-        /// The endpoint.
-        endpoint: EndpointId,
-        /// How it ended.
-        status: Status,
-        /// The endpoint's load report, where it sent one.
-        load: LoadReport,
-    },
     /// A counter call has ended.
     CounterReplied {
         /// The count's name.
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -15,7 +15,7 @@
     },
 };
 use bytes::Bytes;
-use hyper::{HeaderMap, Request, StatusCode, Uri, header, http::response::Parts};
+use hyper::{HeaderMap, Request, StatusCode, http::response::Parts};
 use oliverack::{LoadReport, Status};
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::{sync::mpsc, time::sleep};
@@ -23,7 +23,7 @@
 /// An answer that is larger, or of no told length and takes longer, passes through in pieces.
 const BOUNDS: Bounds = Bounds { most: MAX_WHOLE, patience: Duration::from_millis(50) };
 
-/// How an attempt or probe ended.
+/// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd {
     pub status: Status,
@@ -124,24 +124,6 @@
         let (status, load) = judge(status, &headers);
         AttemptEnd { status, body, load }
     }
-
-    /// Asks the endpoint how it is.
-    pub async fn probe(&self, target: &Target) -> AttemptEnd {
-        let build = || {
-            let mut request = Request::new(Outgoing::Whole(None));
-            *request.uri_mut() = Uri::from_static("/metrics/load");
-            request.headers_mut().insert(header::HOST, header::HeaderValue::from_static("backend.local"));
-            Ok(request)
-        };
-        match self.exchange(target, &Trace::default(), build, None, &|_, _| None, None).await {
-            Ok((StatusCode::OK, _, body)) => {
-                let load = std::str::from_utf8(&body).map(load_report::parse).unwrap_or_default();
-                AttemptEnd { status: Status::Ok, body, load }
-            }
-            Ok(_) => AttemptEnd::without_answer(Status::Error),
-            Err(status) => AttemptEnd::without_answer(status),
-        }
-    }
 }
 
 /// What an answer's head says of the attempt, and of the endpoint.
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -1,4 +1,4 @@
-//! Carries out attempts and probes, and tells how they ended.
+//! Carries out attempts, and tells the policy how they ended.
 
 use crate::node::{
     connection::{
@@ -18,7 +18,7 @@
     },
 };
 use oliverack::{EndpointId, Event, LoadReport, RequestId, Status, Time};
-use std::{rc::Rc, time::Duration};
+use std::rc::Rc;
 use tokio::{sync::mpsc, task::AbortHandle};
 use tracing::debug;
 
@@ -146,22 +146,6 @@
             self.ended(request_id, number, AttemptEnd::without_answer(status));
         }
     }
-
-    /// Asks an endpoint how it is.
-    pub(super) fn probe(self: &Rc<Self>, endpoint: EndpointId) {
-        let target = self.endpoints.target(&endpoint);
-        let limit = Duration::from_secs_f64(self.config.options.connect_timeout);
-        let driver = self.clone();
-        tokio::task::spawn_local(async move {
-            let end = match target {
-                Some(target) => tokio::time::timeout(limit, driver.endpoints.probe(&target)).await,
-                None => Ok(AttemptEnd::without_answer(Status::NotSent)),
-            };
-            let AttemptEnd { status, load, .. } =
-                end.unwrap_or_else(|_| AttemptEnd::without_answer(Status::Timeout));
-            driver.post(Event::HealthCheckEnded { endpoint, status, load });
-        });
-    }
 }
 
 /// The outcome of an attempt that was not begun.
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -30,7 +30,7 @@
     time::Duration,
 };
 use tokio::sync::Notify;
-use tracing::{error, info};
+use tracing::error;
 
 /// Events are being handed to the policy.
 struct Working<'a>(&'a Cell<bool>);
@@ -160,15 +160,10 @@
             }
             Action::Reject { request_id, retry_after } => self.refuse(&request_id, retry_after),
             Action::Fail { request_id } => self.fail(&request_id),
-            Action::CancelAttempt { request_id, attempt } => {
-                self.stop(&request_id, attempt, Status::Cancelled)
-            }
             Action::SetTimer { token, at } => {
                 self.timers.set(at, TimerPurpose::Policy(token));
             }
-            Action::CheckHealth { endpoint } => self.probe(endpoint),
             Action::AddToCounter { counter, amount, ttl } => self.count(now, counter, amount, ttl),
-            Action::Log(text) => info!("{text}"),
             Action::PollEndpoints => self.asked.notify_one(),
             other => error!(action = ?other, "unknown action of the policy"),
         }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,5 +1,4 @@
-//! Decides when the endpoint list is polled, which endpoints a gateway keeps to, and which are ejected as they
-//! fail.
+//! Decides when the endpoint list is polled, which endpoints form the subset, and which are ejected.
 
 use super::*;
 
@@ -71,7 +70,7 @@
         self.set_timer(at, TimerPurpose::WatchList);
     }
 
-    /// Operators restart an endpoint in maintenance, so it comes back cold, and what was learned of it is void.
+    /// Operators restart an endpoint in maintenance: it comes back cold, and what was learned of it is void.
     pub(super) fn set_maintenance(&mut self, endpoint: &EndpointId, out: bool) {
         self.none_beyond_until = 0.0;
         let was_out = self.endpoints.set_maintenance(endpoint, out);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -136,7 +136,6 @@
             Event::SnapshotReceived(memory) => self.inherit(memory),
             Event::ClientDisconnected { request_id } => self.finish(&request_id),
             Event::Timer { token } => self.timer(token),
-            Event::HealthCheckEnded { .. } => {} // None is asked for: attempts tell enough, and probes cost.
             Event::CounterReplied { counter, status, total, elapsed } => {
                 self.counted(counter, status, total, elapsed)
             }
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -63,20 +63,11 @@
                 self.tag(3);
                 self.text(request_id);
             }
-            Action::CancelAttempt { request_id, attempt } => {
-                self.tag(4);
-                self.text(request_id);
-                self.integer(u64::from(*attempt));
-            }
             Action::SetTimer { token, at } => {
                 self.tag(5);
                 self.integer(*token);
                 self.number(*at);
             }
-            Action::CheckHealth { endpoint } => {
-                self.tag(6);
-                self.text(endpoint);
-            }
             Action::AddToCounter { counter, amount, ttl } => {
                 self.tag(7);
                 self.integer(*counter);
@@ -84,10 +75,6 @@
                 self.number(*ttl);
             }
             Action::PollEndpoints => self.tag(8),
-            Action::Log(line) => {
-                self.tag(9);
-                self.text(line);
-            }
             other => panic!("no encoding for {other:?}"),
         }
     }
--- a/tests/unit/load_report.rs
+++ b/tests/unit/load_report.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The module asks for no probe today, so no test of the whole program reads a report.
+/// The policy uses no report today, so no test of the whole program reads one.
 #[test]
 fn a_report_is_read_under_either_name_and_garbage_is_left_out() {
     let load = parse("TEXT inflight=7, queue=2, util=0.61");
