--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -14,8 +14,9 @@
         endpoint: EndpointId,
         /// How long to wait for the response.
         timeout: Seconds,
-        /// From this moment on endpoints may have forgotten the request and would run a retry again, so no attempt may
-        /// be written any more, not even one that waits for its connection. `None` if there is no such moment.
+        /// From this moment on endpoints may have forgotten the request and would run a retry again, so no
+        /// attempt may be written any more, not even one that waits for its connection. `None` if there is no
+        /// such moment.
         dedup_until: Option<Time>,
     },
     /// Give the final response: rejected. The client may retry safely.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -41,8 +41,8 @@
         /// The endpoint's load report, where it sent one.
         load: LoadReport,
     },
-    /// Operators have put an endpoint into maintenance or taken it out. In maintenance it receives nothing, whatever
-    /// the endpoint list says.
+    /// Operators have put an endpoint into maintenance or taken it out. In maintenance it receives nothing,
+    /// whatever the endpoint list says.
     MaintenanceChanged {
         /// The endpoint.
         endpoint: EndpointId,
--- a/src/interface/snapshot.rs
+++ b/src/interface/snapshot.rs
@@ -1,7 +1,7 @@
 //! What a process hands over to its successor in a hot restart.
 //!
-//! Processes of different versions exchange these messages, so their serialized names are fixed; the fields map them
-//! to the terms that the code uses.
+//! Processes of different versions exchange these messages, so their serialized names are fixed; the fields
+//! map them to the terms that the code uses.
 
 use crate::interface::{EndpointId, Seconds, Time};
 use serde::{Deserialize, Serialize};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,24 +6,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod allotment;
-mod counter_call;
-mod customer;
-mod customer_table;
-mod decaying_sum;
-mod endpoint_state;
-mod endpoint_table;
-mod hash;
 mod interface;
-mod latency_estimate;
-mod ordered_table;
 mod policy;
-mod quota_window;
-mod request_state;
+mod primitives;
 mod settings;
-mod thin_flow;
-mod timer_table;
-mod token_bucket;
 
 pub use interface::{
     Action, CustomerId, Endpoint, EndpointCounts, EndpointId, EndpointSnapshot, Event, HandoverSnapshot,
--- /dev/null
+++ b/src/policy/admission/leasing.rs
@@ -0,0 +1,192 @@
+//! Leases blocks of customers' quotas from the counter, and settles what the counter replies.
+
+use crate::{
+    interface::{Request, RequestId, Seconds, Status, Time},
+    policy::{
+        admission::{
+            concurrency::ARRIVALS_TIME_CONSTANT,
+            customer::Customer,
+            customer_table::CustomerTable,
+            leased_quota::{LeaseReply, PendingLease},
+            unreported_units::UnreportedUnitsEstimator,
+        },
+        context::Context,
+        counter::{
+            Counter, CounterReply,
+            call::{CallPurpose, CountKey, CounterCall},
+            window::QuotaWindow,
+        },
+        timers::TimerPurpose,
+    },
+    settings::{Plan, Settings},
+};
+
+/// Share of the counter's timeout that a request may wait for a reply; a few milliseconds.
+const MAX_WAIT_SHARE: f64 = 0.4;
+/// Units below which a count counts as unused.
+const ROUNDING: f64 = 1e-6;
+
+/// See the [module](self).
+#[derive(Debug, Default)]
+pub struct Leasing {
+    counter: Counter,
+    /// By plan.
+    unreported: Vec<UnreportedUnitsEstimator>,
+}
+
+impl Leasing {
+    /// Leasing for one of `gateway_count` gateways.
+    pub fn new(gateway_count: u32, plan_count: usize) -> Self {
+        let unreported = vec![UnreportedUnitsEstimator::default(); plan_count];
+        Self { counter: Counter::new(gateway_count), unreported }
+    }
+
+    /// How long a request may wait for the counter.
+    pub fn max_wait(settings: &Settings) -> Seconds {
+        MAX_WAIT_SHARE * settings.counter_timeout
+    }
+
+    /// The calls a second that may be made at present.
+    pub fn calls_per_second(&self) -> f64 {
+        self.counter.calls_per_second()
+    }
+
+    /// Starts from the call rate of a predecessor.
+    pub fn restore_rate(&mut self, calls_per_second: f64) {
+        self.counter.restore_rate(calls_per_second);
+    }
+
+    /// Whether a lease call on behalf of a request of this weight may be made now.
+    pub fn may_call(&mut self, weight: f64, context: &Context) -> bool {
+        self.counter.may_call(weight, context)
+    }
+
+    /// Records units spent without the counter that are too few at each gateway to be reported customer by
+    /// customer.
+    pub fn record_unreported(&mut self, plan: usize, units: f64, now: Time) {
+        self.unreported[plan].record_spent(now, units, ARRIVALS_TIME_CONSTANT);
+    }
+
+    /// Calls the counter for a block that covers a request and recent demand. The request waits for the
+    /// reply.
+    pub fn request(
+        &mut self,
+        request: &Request,
+        customer: &mut Customer,
+        plan: &Plan,
+        window: QuotaWindow,
+        context: &mut Context,
+    ) {
+        let now = context.now;
+        let wanted = customer.quota.wanted_units(now, plan, request.units, customer.gateway_count);
+        let estimator = &mut self.unreported[customer.plan];
+        estimator.record_requested(now, request.units, ARRIVALS_TIME_CONSTANT);
+        let estimated = if customer.share_holds(request.units, plan) {
+            0.0
+        } else {
+            estimator.take_report(request.units, plan.burst)
+        };
+        let unreported = customer.quota.begin_lease_call(window.number) + estimated;
+        let key = CountKey { customer: request.customer.clone(), plan: customer.plan, window: window.number };
+        let purpose = CallPurpose::Lease { wanted, unreported };
+        let call = CounterCall { key, amount: wanted + unreported, purpose };
+        self.counter.call(call, window.length, context);
+        let purpose = TimerPurpose::EndLeaseWait(request.customer.clone());
+        let timer = context.set_timer(now + Self::max_wait(&context.settings), purpose);
+        let waiting = vec![request.id.clone()];
+        customer.quota.pending = Some(PendingLease { timer, is_overdue: false, waiting });
+    }
+
+    /// Settles a reply. Returns the requests that waited for it.
+    pub fn settle(
+        &mut self,
+        reply: &CounterReply,
+        customers: &mut CustomerTable,
+        context: &mut Context,
+    ) -> Vec<RequestId> {
+        let Some(call) = self.counter.take_answered(reply, context) else { return Vec::new() };
+        let Some(customer) = customers.get_mut(&call.key.customer) else { return Vec::new() };
+        let plan = context.plan(customer.plan);
+        let total = reply.total;
+        match (reply.status, call.purpose) {
+            (Status::Ok, CallPurpose::ReadPrevious) => {
+                self.settle_previous(&call, total, customer, &plan, context);
+            }
+            (Status::Ok, CallPurpose::Lease { wanted, unreported }) => {
+                let reply = LeaseReply { window: call.key.window, wanted, unreported, total };
+                self.settle_lease(&call, reply, customer, &plan, context);
+            }
+            // Nothing was added, so the units still have to be reported.
+            (Status::Rejected | Status::ConnectFailed, CallPurpose::Lease { unreported, .. }) => {
+                customer.quota.report_later(unreported, &plan);
+            }
+            (Status::Rejected | Status::ConnectFailed, CallPurpose::Correct) => {
+                customer.quota.report_later(call.amount, &plan);
+            }
+            // The reply was garbled but the amount was added. Nobody got the block, so the count has too
+            // much.
+            (Status::Error, CallPurpose::Lease { wanted, .. }) => {
+                customer.quota.report_later(-wanted, &plan);
+            }
+            // The amount may have been added. The count is left as it is, so that the quota is not exceeded.
+            _ => {}
+        }
+        if !matches!(call.purpose, CallPurpose::Lease { .. }) {
+            return Vec::new();
+        }
+        customer.quota.pending.take().map(|pending| pending.waiting).unwrap_or_default()
+    }
+
+    fn settle_lease(
+        &mut self,
+        call: &CounterCall,
+        reply: LeaseReply,
+        customer: &mut Customer,
+        plan: &Plan,
+        context: &mut Context,
+    ) {
+        let current = QuotaWindow::current(plan, &call.key.customer, context.now);
+        let settlement = customer.quota.settle_lease(reply, current, plan, context.now);
+        let plan_index = customer.plan;
+        if let Some(correction) = settlement.correction {
+            let key = CountKey { plan: plan_index, ..call.key.clone() };
+            self.follow_up(key, correction, CallPurpose::Correct, current, context);
+        }
+        if settlement.must_read_previous {
+            let window = call.key.window - 1;
+            let key = CountKey { plan: plan_index, window, ..call.key.clone() };
+            self.follow_up(key, 0.0, CallPurpose::ReadPrevious, current, context);
+        }
+    }
+
+    fn settle_previous(
+        &mut self,
+        call: &CounterCall,
+        total: f64,
+        customer: &mut Customer,
+        plan: &Plan,
+        context: &mut Context,
+    ) {
+        let current = QuotaWindow::current(plan, &call.key.customer, context.now);
+        let is_previous = call.key.window + 1 == current.number;
+        let was_used = total - call.amount > ROUNDING;
+        if !is_previous || !was_used {
+            return;
+        }
+        if let Some(missing) = customer.quota.settle_previous(total, current, plan) {
+            let key = CountKey { plan: customer.plan, window: current.number, ..call.key.clone() };
+            self.follow_up(key, missing, CallPurpose::Correct, current, context);
+        }
+    }
+
+    fn follow_up(
+        &mut self,
+        key: CountKey,
+        amount: f64,
+        purpose: CallPurpose,
+        current: QuotaWindow,
+        context: &mut Context,
+    ) {
+        self.counter.call(CounterCall { key, amount, purpose }, current.length, context);
+    }
+}
--- /dev/null
+++ b/src/policy/requests/lifecycle.rs
@@ -0,0 +1,250 @@
+//! Retries, hedged requests, and the one final response of each request.
+
+use crate::{
+    interface::{Action, CustomerId, Request, RequestId, Seconds, Status},
+    policy::{
+        admission::{Admission, AdmissionControl},
+        backends::Backends,
+        context::Context,
+        counter::CounterReply,
+        load_shedder::SPARE_CAPACITY_SHARE,
+        requests::{
+            attempt_end::AttemptEnd,
+            hedging::hedge_delay,
+            request_state::RequestState,
+            retry_budget::{RetryBudget, RetryReason},
+        },
+        routing::AttemptOutcome,
+        timers::TimerPurpose,
+    },
+};
+use std::collections::BTreeMap;
+
+/// The open requests, and what is decided about them.
+#[derive(Debug, Default)]
+pub struct RequestLifecycle {
+    requests: BTreeMap<RequestId, RequestState>,
+    retry_budget: RetryBudget,
+    admission: AdmissionControl,
+}
+
+impl RequestLifecycle {
+    /// A lifecycle of no requests yet.
+    pub fn new(gateway_count: u32, plan_count: usize) -> Self {
+        Self { admission: AdmissionControl::new(gateway_count, plan_count), ..Self::default() }
+    }
+
+    /// Decides whether requests are admitted.
+    pub fn admission(&mut self) -> &mut AdmissionControl {
+        &mut self.admission
+    }
+
+    /// The calls a second that the counter may be sent at present.
+    pub fn counter_calls_per_second(&self) -> f64 {
+        self.admission.counter_calls_per_second()
+    }
+
+    /// Decides about a request that has arrived. One that is open already is ignored.
+    pub fn request_arrived(&mut self, request: Request, backends: &mut Backends, context: &mut Context) {
+        if self.requests.contains_key(&request.id) {
+            return;
+        }
+        let is_full = self.requests.len() >= context.settings.max_open_requests as usize;
+        self.requests.insert(request.id.clone(), RequestState::new(request.clone(), context.now));
+        let admission = if !AdmissionControl::is_servable(&request, context) {
+            Admission::Reject { retry_after: 0.0 }
+        } else if is_full {
+            Admission::Reject { retry_after: context.settings.max_retry_after }
+        } else {
+            self.admission.admit(&request, backends, context)
+        };
+        self.carry_out(&request.id, admission, backends, context);
+    }
+
+    fn carry_out(
+        &mut self,
+        id: &RequestId,
+        admission: Admission,
+        backends: &mut Backends,
+        context: &mut Context,
+    ) {
+        match admission {
+            Admission::Admit => self.start_first_attempt(id, backends, context),
+            Admission::Reject { retry_after } => self.respond(id, retry_after, context),
+            Admission::AwaitLease | Admission::AwaitSlot => {}
+        }
+    }
+
+    /// Takes a reply of the counter, and decides about the requests that waited for it.
+    pub fn counter_replied(&mut self, reply: &CounterReply, backends: &mut Backends, context: &mut Context) {
+        let released = self.admission.counter_replied(reply, context);
+        self.admit_released(released, reply.status == Status::Ok, backends, context);
+    }
+
+    /// Decides about the requests that wait for a counter call that takes too long.
+    pub fn end_lease_wait(
+        &mut self,
+        customer: &CustomerId,
+        timer: u64,
+        backends: &mut Backends,
+        context: &mut Context,
+    ) {
+        let released = self.admission.customers().end_lease_wait(customer, timer);
+        self.admit_released(released, false, backends, context);
+    }
+
+    fn admit_released(
+        &mut self,
+        released: Vec<RequestId>,
+        has_reply: bool,
+        backends: &mut Backends,
+        context: &mut Context,
+    ) {
+        for id in released {
+            let Some(state) = self.requests.get(&id).filter(|state| !state.is_finished()) else {
+                continue;
+            };
+            let admission = self.admission.admit_after_wait(&state.request, has_reply, backends, context);
+            self.carry_out(&id, admission, backends, context);
+        }
+    }
+
+    /// Sends an admitted request for the first time, or rejects it if no endpoint may be sent it.
+    fn start_first_attempt(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
+        self.retry_budget.record_request();
+        if !self.start_attempt(id, backends, context) {
+            self.respond(id, context.settings.max_retry_after, context);
+        }
+    }
+
+    /// Starts an attempt if the rules and the endpoints' limits allow one. Returns whether it did.
+    fn start_attempt(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) -> bool {
+        let Some(state) = self.requests.get_mut(id) else { return false };
+        let Some(timeout) = state.next_timeout(context.now, &context.settings) else { return false };
+        let Some(endpoint) = backends.start_attempt(state, context) else { return false };
+        if let Some(customer) = self.admission.customers().get_mut(&state.request.customer) {
+            customer.concurrency.record_start();
+        }
+        let class = &context.settings.classes[state.request.class];
+        let dedup_until = state.dedup_until(class);
+        let hedge_delay = hedge_delay(class, backends.mean_latency());
+        state.record_attempt(endpoint.clone(), context.now);
+        context.act(Action::StartAttempt { request_id: id.clone(), endpoint, timeout, dedup_until });
+        if context.settings.hedging_enabled && hedge_delay < timeout {
+            context.set_timer(context.now + hedge_delay, TimerPurpose::Hedge(id.clone()));
+        }
+        true
+    }
+
+    /// A long response has started: its endpoint has done the work, and its customer's concurrency slot is
+    /// free.
+    pub fn response_started(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
+        let Some(state) = self.requests.get_mut(id) else { return };
+        let Some(endpoint) = state.record_response_start() else { return };
+        let customer_id = state.request.customer.clone();
+        backends.end_attempt(&endpoint);
+        if let Some(customer) = self.admission.customers().get_mut(&customer_id) {
+            customer.concurrency.record_end();
+        }
+        self.start_queued_attempts(&customer_id, backends, context);
+    }
+
+    /// An attempt has ended: learns from it, and retries or responds.
+    pub fn attempt_ended(&mut self, end: &AttemptEnd, backends: &mut Backends, context: &mut Context) {
+        let state = self.requests.get(&end.request_id);
+        let customer = state.map(|state| state.request.customer.clone());
+        let class = state.map(|state| state.request.class);
+        if !state.is_some_and(|state| state.has_response_started(end.attempt)) {
+            backends.end_attempt(&end.endpoint);
+        }
+        let AttemptEnd { ref endpoint, status, elapsed, .. } = *end;
+        backends.record_outcome(AttemptOutcome { endpoint, class, status, elapsed }, context);
+        self.retry_or_respond(end, backends, context);
+        if let Some(customer) = customer {
+            self.start_queued_attempts(&customer, backends, context);
+        }
+    }
+
+    fn retry_or_respond(&mut self, end: &AttemptEnd, backends: &mut Backends, context: &mut Context) {
+        let Some(state) = self.requests.get_mut(&end.request_id) else { return };
+        if !state.has_attempt(end.attempt) {
+            return;
+        }
+        if let Some(ended) = state.record_end(end.attempt, !end.status.never_ran()) {
+            if let Some(customer) = self.admission.customers().get_mut(&state.request.customer) {
+                if !ended.response_started {
+                    customer.concurrency.record_end();
+                }
+                if let Some(actual_units) = end.actual_units {
+                    customer.quota.record_actual_units(actual_units - state.request.units);
+                }
+            }
+        }
+        if end.is_finished || state.is_finished() {
+            return self.finish(&end.request_id);
+        }
+        if state.awaits_attempts() {
+            return;
+        }
+        let may_retry = self.retry_budget.allows_retry()
+            && end.status != Status::Timeout
+            && backends.has_capacity(1.0, context);
+        if may_retry && self.start_attempt(&end.request_id, backends, context) {
+            return self.retry_budget.record_retry(RetryReason::after(end.status));
+        }
+        self.respond(&end.request_id, backends.mean_latency(), context);
+    }
+
+    /// Sends a hedged request if the first attempt is still in flight.
+    pub fn hedge(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
+        let may_hedge = self.requests.get(id).is_some_and(RequestState::may_be_hedged)
+            && self.retry_budget.allows_retry()
+            && backends.has_capacity(SPARE_CAPACITY_SHARE, context);
+        if may_hedge && self.start_attempt(id, backends, context) {
+            self.retry_budget.record_retry(RetryReason::Other);
+        }
+    }
+
+    /// Starts the attempts of requests that waited for a concurrency slot, as far as slots are free.
+    fn start_queued_attempts(
+        &mut self,
+        customer_id: &CustomerId,
+        backends: &mut Backends,
+        context: &mut Context,
+    ) {
+        while let Some(queued) = self.admission.customers().next_in_slot(customer_id, context) {
+            if self.requests.contains_key(&queued.id) {
+                self.start_first_attempt(&queued.id, backends, context);
+            } else {
+                // Its client has disconnected.
+                self.admission.customers().refund(customer_id, queued.units);
+            }
+        }
+    }
+
+    /// Rejects a request if it still waits for a concurrency slot.
+    pub fn end_slot_wait(&mut self, id: &RequestId, backends: &Backends, context: &mut Context) {
+        let Some(state) = self.requests.get(id) else { return };
+        if self.admission.customers().end_slot_wait(&state.request) {
+            self.respond(id, backends.mean_latency(), context);
+        }
+    }
+
+    /// Sends the one final response: a rejection where a retry by the client certainly does no harm, else a
+    /// failure.
+    fn respond(&mut self, id: &RequestId, retry_after: Seconds, context: &mut Context) {
+        let Some(state) = self.requests.get(id).filter(|state| !state.is_finished()) else { return };
+        let response = state.final_response(retry_after, &context.settings);
+        context.act(response);
+        self.finish(id);
+    }
+
+    /// Owes a request no response any more. It is kept only while attempts are in flight.
+    pub fn finish(&mut self, id: &RequestId) {
+        if let Some(state) = self.requests.get_mut(id) {
+            if !state.finish() {
+                self.requests.remove(id);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/routing/router.rs
@@ -0,0 +1,205 @@
+//! Keeps the endpoints, and picks one of them for each attempt.
+
+use crate::{
+    interface::{Endpoint, EndpointCounts, EndpointId, EndpointSnapshot, ListKind, Seconds, Status, Time},
+    policy::{
+        context::Context,
+        load_shedder::LoadShedder,
+        requests::{AttemptTargets, RequestState},
+        routing::{
+            endpoint_table::EndpointTable,
+            slow_start::SlowStart,
+            subset::{ScopeFilter, Search, Subset},
+        },
+    },
+    primitives::token_bucket::TokenBucket,
+};
+
+/// Share of the endpoints that may be ejected at once: if more fail together, no single one is at fault.
+const MAX_EJECTED_SHARE: f64 = 0.5;
+/// How an attempt ended.
+#[derive(Debug, Clone, Copy)]
+pub struct AttemptOutcome<'a> {
+    /// The endpoint that it was sent to.
+    pub endpoint: &'a EndpointId,
+    /// The class of its request, if the request is still known.
+    pub class: Option<usize>,
+    /// How it ended.
+    pub status: Status,
+    /// Time since it was sent.
+    pub elapsed: Seconds,
+}
+
+/// See the [module](self).
+#[derive(Debug, Default)]
+pub struct Router {
+    pub(super) endpoints: EndpointTable,
+    pub(super) subset: Subset,
+    slow_start: SlowStart,
+}
+
+impl Router {
+    /// The router of one gateway, which knows no endpoint yet.
+    pub fn new(gateway_index: u32) -> Self {
+        Self { subset: Subset::new(gateway_index), ..Self::default() }
+    }
+
+    /// All endpoints that the gateway knows.
+    pub fn endpoints(&self) -> &EndpointTable {
+        &self.endpoints
+    }
+
+    /// How many endpoints may be used.
+    pub fn usable_count(&self) -> usize {
+        self.endpoints.usable().len()
+    }
+
+    /// How many endpoints are listed, and how many of them are avoided.
+    pub fn counts(&self, now: Time) -> EndpointCounts {
+        self.endpoints.counts(now)
+    }
+
+    /// The highest recent rate of units to one endpoint, in units a second.
+    pub fn peak_units_per_second(&self) -> f64 {
+        self.slow_start.peak_rate()
+    }
+
+    /// Applies an update of the endpoint list.
+    pub fn update(
+        &mut self,
+        kind: ListKind,
+        entries: Vec<Endpoint>,
+        mean_latency: Seconds,
+        context: &mut Context,
+    ) {
+        self.subset.endpoints_changed();
+        let now = context.now;
+        self.endpoints.update(kind == ListKind::Full, entries, |endpoint, entry| {
+            let allowance = TokenBucket { level: context.rng.f64(), at: now };
+            if !endpoint.is_observed || entry.started > endpoint.warming_up_since {
+                endpoint.restart(entry.started, allowance, mean_latency);
+            }
+        });
+    }
+
+    /// Puts an endpoint into maintenance or takes it out. Operators restart it meanwhile, so it comes back
+    /// warming up.
+    pub fn set_maintenance(
+        &mut self,
+        id: &EndpointId,
+        in_maintenance: bool,
+        mean_latency: Seconds,
+        context: &mut Context,
+    ) {
+        self.subset.endpoints_changed();
+        let was_in_maintenance = self.endpoints.set_maintenance(id, in_maintenance);
+        if !was_in_maintenance || in_maintenance {
+            return;
+        }
+        let allowance = TokenBucket { level: context.rng.f64(), at: context.now };
+        if let Some(place) = self.endpoints.find(id) {
+            self.endpoints[place].restart(context.now, allowance, mean_latency);
+        }
+    }
+
+    /// Takes over what a predecessor knew. Its endpoints are used once the list names them.
+    pub fn restore(
+        &mut self,
+        endpoints: &[EndpointSnapshot],
+        in_maintenance: Vec<EndpointId>,
+        peak_units_per_second: f64,
+        context: &mut Context,
+    ) {
+        for snapshot in endpoints.iter().filter(|snapshot| snapshot.ejection_time > 0.0) {
+            let allowance = TokenBucket { level: context.rng.f64(), at: context.now };
+            let place = self.endpoints.find_or_add(snapshot.id.clone());
+            if self.endpoints[place].restore(snapshot, context.now, allowance) {
+                self.endpoints.record_ejection(place);
+            }
+        }
+        self.endpoints.replace_maintenance(in_maintenance);
+        self.subset.endpoints_changed();
+        self.slow_start.restore_peak_rate(context.now, peak_units_per_second);
+    }
+
+    /// Picks the endpoint that should respond first and counts an attempt to it; `None` if no endpoint may be
+    /// sent one.
+    pub fn start_attempt(
+        &mut self,
+        request: &RequestState,
+        mean_latency: Seconds,
+        context: &mut Context,
+    ) -> Option<EndpointId> {
+        let filter = self.scope_filter(request.attempt_targets(context)?)?;
+        let search = Search { request, filter, mean_latency };
+        let (endpoints, slow_start) = (&mut self.endpoints, &mut self.slow_start);
+        let place = self.subset.select(&search, endpoints, slow_start, context)?;
+        let units = request.request.units;
+        let endpoint = &mut self.endpoints[place];
+        endpoint.health_mut().in_flight += 1.0;
+        endpoint.slow_start_allowance.level -= units.max(1.0);
+        self.slow_start.record_sent(context.now, units);
+        Some(self.endpoints.id(place).clone())
+    }
+
+    /// Resolves the endpoints that an attempt may go to; `None` if the endpoint that they are defined by is
+    /// unknown.
+    fn scope_filter(&self, targets: AttemptTargets) -> Option<ScopeFilter> {
+        match targets {
+            AttemptTargets::Any => Some(ScopeFilter::ANY),
+            AttemptTargets::InScopeOf { endpoint, scope } => {
+                let endpoint = &self.endpoints[self.endpoints.find(endpoint)?];
+                Some(ScopeFilter { scope, zone: endpoint.zone, cell: endpoint.cell })
+            }
+        }
+    }
+
+    /// Counts an attempt as ended. Returns whether the endpoint is still known.
+    pub fn end_attempt(&mut self, endpoint: &EndpointId) -> bool {
+        let Some(place) = self.endpoints.find(endpoint) else { return false };
+        let health = self.endpoints[place].health_mut();
+        health.in_flight = (health.in_flight - 1.0).max(0.0);
+        true
+    }
+
+    /// Learns from an attempt's end. Slow, failing and vanished endpoints all show here, whatever the cause.
+    pub fn record_outcome(
+        &mut self,
+        outcome: AttemptOutcome,
+        load_shedder: &mut LoadShedder,
+        context: &Context,
+    ) {
+        let now = context.now;
+        let max_ejected = self.usable_count() as f64 * MAX_EJECTED_SHARE;
+        let may_eject = (self.endpoints.count_ejected(now) as f64) < max_ejected;
+        let Some(place) = self.endpoints.find(outcome.endpoint) else { return };
+        let endpoint = &mut self.endpoints[place];
+        if !endpoint.is_listed && endpoint.health().in_flight == 0.0 {
+            return self.endpoints.remove(place);
+        }
+        if let (Some(class), Status::Ok | Status::Error) = (outcome.class, outcome.status) {
+            let class_count = context.settings.classes.len();
+            let is_error = outcome.status == Status::Error;
+            endpoint.health_mut().record_response(now, class, class_count, is_error);
+        }
+        if matches!(outcome.status, Status::NotSent | Status::Cancelled) {
+            return;
+        }
+        endpoint.record_outcome(now, outcome.status, load_shedder.fleet_times_out());
+        if outcome.status == Status::Rejected {
+            load_shedder.record_rejection();
+        }
+        if may_eject && endpoint.health().is_outlier(now) {
+            endpoint.health_mut().eject(now);
+            self.endpoints.record_ejection(place);
+        }
+        if matches!(outcome.status, Status::Ok | Status::Timeout) {
+            let endpoint = &mut self.endpoints[place];
+            endpoint.record_latency(now, outcome.elapsed);
+            let age = now - endpoint.warming_up_since;
+            let is_warm = endpoint.warming_up_since <= 0.0 || age >= context.settings.slow_start_window;
+            let timed_out = outcome.status == Status::Timeout;
+            load_shedder.record_response(now, outcome.elapsed, timed_out, is_warm);
+        }
+    }
+}
--- a/src/timer_table.rs
+++ b/src/policy/timers.rs
@@ -1,21 +1,21 @@
-//! The timers that a gateway has asked for, by their tokens.
+//! The timers that the policy has asked for, by token.
 
 use crate::interface::{CustomerId, RequestId};
 use std::collections::BTreeMap;
 
-/// What a timer is for.
+/// What to do when a timer is due.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TimerPurpose {
-    /// Requests of this customer no longer wait for the counter.
-    StopHolding(CustomerId),
-    /// A second attempt of this request may go out.
+    /// Stop making this customer's requests wait for the counter.
+    EndLeaseWait(CustomerId),
+    /// Send a hedged request, if the first attempt is still in flight.
     Hedge(RequestId),
-    /// This request no longer waits for a slot under its plan's cap.
-    StopQueueing(RequestId),
-    /// Idle customers are forgotten.
-    Sweep,
-    /// The list of endpoints is asked for.
-    WatchList,
+    /// Reject this request if it still waits for one of its customer's concurrency slots.
+    EndSlotWait(RequestId),
+    /// Forget idle customers.
+    ForgetIdleCustomers,
+    /// Poll the endpoint list.
+    PollEndpoints,
 }
 
 /// See the [module](self).
@@ -26,14 +26,14 @@
 }
 
 impl TimerTable {
-    /// Notes a timer; returns its token.
+    /// Adds a timer and returns its token.
     pub fn add(&mut self, purpose: TimerPurpose) -> u64 {
         self.last_token += 1;
         self.pending.insert(self.last_token, purpose);
         self.last_token
     }
 
-    /// What the timer that is due is for, once; `None`: it was due before.
+    /// Removes a timer that is due; `None` if it was due before.
     pub fn take(&mut self, token: u64) -> Option<TimerPurpose> {
         self.pending.remove(&token)
     }
--- a/src/ordered_table.rs
+++ b/src/primitives/ordered_table.rs
@@ -1,8 +1,9 @@
-//! A table whose entries keep their place in memory, are found by their key, and stand in the order of the keys.
+//! A table whose entries keep their place in memory, are found by key, and are listed in the order of the
+//! keys.
 //!
-//! A part of the entries is selected; the selected ones form a list of their own in the same order, which gives any
-//! of them by its index at once. Adding, removing or selecting one entry moves some bytes for each entry behind it
-//! and compares a few keys, whatever the length; it copies no key.
+//! Some of the entries are selected. The selected entries form a list of their own in the same order and can
+//! be looked up in it by index. Adding, removing or selecting an entry compares a few keys and moves some
+//! bytes for each entry behind it, whatever the length of the table; it copies no key.
 
 use std::{
     borrow::Borrow,
@@ -22,12 +23,12 @@
 /// See the [module](self).
 #[derive(Debug)]
 pub struct OrderedTable<K, V> {
-    /// By place; `None`: free for the next entry.
+    /// Entries by place; `None` where the place is free.
     entries: Vec<Option<Entry<K, V>>>,
     free: Vec<Place>,
     /// All entries in the order of their keys.
     order: Vec<Place>,
-    /// Those of them that are selected.
+    /// The selected entries in the order of their keys.
     selected: Vec<Place>,
 }
 
@@ -38,7 +39,7 @@
 }
 
 impl<K: Ord, V> OrderedTable<K, V> {
-    /// Makes room for `count` entries in all, and for no more.
+    /// Reserves memory for exactly `count` entries in all.
     pub fn reserve(&mut self, count: usize) {
         self.entries.reserve_exact(count.saturating_sub(self.entries.len()));
         self.order.reserve_exact(count.saturating_sub(self.order.len()));
@@ -53,7 +54,7 @@
         self.rank(&self.order, key).ok().map(|rank| self.order[rank])
     }
 
-    /// The place of the entry with this key; one that is missing is added with the default value.
+    /// The place of the entry with this key, which is added with the default value if it is missing.
     pub fn find_or_add(&mut self, key: K) -> Place
     where
         V: Default,
@@ -78,7 +79,7 @@
         self.free.push(place);
     }
 
-    /// Puts an entry into the selection or takes it out.
+    /// Selects an entry or removes it from the selection.
     pub fn select(&mut self, place: Place, is_selected: bool) {
         match (self.rank(&self.selected, self.key(place)), is_selected) {
             (Err(rank), true) => self.selected.insert(rank, place),
@@ -102,7 +103,7 @@
         self.order.iter().map(|place| (self.key(*place), &self[*place]))
     }
 
-    /// All entries' values, in no order.
+    /// All entries' values, in no particular order.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut V> {
         self.entries.iter_mut().flatten().map(|entry| &mut entry.value)
     }
@@ -121,12 +122,12 @@
         self.entries[place.0 as usize].as_ref().expect("a place is valid until its entry is removed")
     }
 
-    /// Where in a list in the order of the keys this key stands, or where it would.
+    /// The position of a key in a list that is in the order of the keys, or the position to insert it at.
     fn rank<Q: Ord + ?Sized>(&self, list: &[Place], key: &Q) -> Result<usize, usize>
     where
         K: Borrow<Q>,
     {
-        // Most whole lists come in order: each entry is the new last one.
+        // Complete endpoint lists mostly arrive in order, so each entry is the new last one.
         if list.last().is_none_or(|last| self.key(*last).borrow() < key) {
             return Err(list.len());
         }
@@ -162,5 +163,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/ordered_table.rs"]
+#[path = "../../tests/unit/ordered_table.rs"]
 pub(crate) mod tests;
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,5 +1,5 @@
-//! The settings object as the operators write it, typed. Keys that are missing or null have their defaults; unknown
-//! keys are passed over. All times are in seconds.
+//! The settings object as the operators write it, typed. Keys that are missing or null have their defaults;
+//! unknown keys are passed over. All times are in seconds.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -57,7 +57,7 @@
 }
 
 /// A customer's plan. Its limits hold for each customer over all gateways together.
-#[derive(Debug, Clone, Default, PartialEq)]
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[non_exhaustive]
 pub struct Plan {
     /// Units a second that refill the quota; 0 if there is no quota.
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -1,5 +1,5 @@
-//! The policy's settings, and the names and limits that whoever carries out the actions needs beside them, as the
-//! settings object tells them.
+//! The policy's settings, and the names and limits that whoever carries out the actions needs beside them, as
+//! the settings object tells them.
 
 use crate::settings::document::{
     ClassDocument, Count, DiscoveryMode, DomainDocument, EffectName, GroupName, LimitsDocument, PlanDocument,
--- a/tests/ceiling.rs
+++ b/tests/ceiling.rs
@@ -103,7 +103,7 @@
     let rigs = (0..n).map(|me| gateway(s, me, START)).collect();
     let mut simulation = Simulation::new(rigs, CounterModel::new(1000.0, 0.003, 0.2, s.counter_timeout));
     let mut asked: BTreeMap<RequestId, (usize, f64)> = BTreeMap::new();
-    let plan = s.plans[0].clone();
+    let plan = s.plans[0];
     let (mut number, mut troubled) = (0, false);
     let steps = (SECONDS / STEP) as u32;
     for step in 0..steps {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -15,7 +15,10 @@
     assert_eq!(refused_settings(|s| s.gateway_count = 0), SettingsError::NoGateways);
     assert_eq!(refused_settings(|s| s.gateway_index = 2), SettingsError::GatewayIndexOutOfRange);
     assert_eq!(refused_settings(|s| s.plans[0].rate = -1.0), SettingsError::BadNumber("rate"));
-    assert_eq!(refused_settings(|s| s.counter_timeout = f64::NAN), SettingsError::BadNumber("counter_timeout"));
+    assert_eq!(
+        refused_settings(|s| s.counter_timeout = f64::NAN),
+        SettingsError::BadNumber("counter_timeout")
+    );
     assert_eq!(
         refused_settings(|s| s.classes[0].latency_objective = f64::INFINITY),
         SettingsError::BadNumber("latency_objective")
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -37,6 +37,44 @@
     assert!(module.lines().next().is_some_and(|line| line.contains("src/interface/")));
 }
 
+/// The type that each `impl` of a file is for, without its generics.
+fn implemented_types(text: &str) -> BTreeSet<String> {
+    let type_of = |line: &str| {
+        let rest = line.strip_prefix("impl")?;
+        // Without the parameters of the `impl` itself.
+        let rest = if rest.starts_with('<') { rest.split_once("> ")?.1 } else { rest };
+        let implemented = rest.split_once(" for ").map_or(rest, |(_, implemented)| implemented);
+        let name = implemented.trim().split(['<', ' ', '{']).next()?;
+        Some(name.to_owned())
+    };
+    text.lines().filter_map(type_of).collect()
+}
+
+#[test]
+fn each_type_of_the_policy_is_implemented_in_one_file() {
+    let text = "impl A {\nimpl<'a> fmt::Display for B<'a> {\nimpl<T: Ord> C<T> {\n    impl D {\n";
+    assert_eq!(implemented_types(text), ["A", "B", "C"].map(str::to_owned).into());
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut owners: BTreeMap<String, PathBuf> = BTreeMap::new();
+    for path in policy_files(root) {
+        for name in implemented_types(&fs::read_to_string(&path).expect("text")) {
+            let other = owners.insert(name.clone(), path.clone());
+            assert_eq!(other, None, "{name} is implemented in {}, too", path.display());
+        }
+    }
+    assert!(owners.contains_key("Gateway"));
+}
+
+#[test]
+fn policy_imports_by_name() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    for path in policy_files(root) {
+        let text = fs::read_to_string(&path).expect("text");
+        let glob = text.lines().find(|line| line.contains("::*"));
+        assert_eq!(glob, None, "{}", path.display());
+    }
+}
+
 #[test]
 fn every_file_of_the_policy_is_named_in_the_deploy_file() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/unit/decaying_sum.rs
+++ b/tests/unit/decaying_sum.rs
@@ -1,7 +1,7 @@
 use super::DecayingSum;
 
 #[test]
-fn what_was_added_decays_over_the_memory() {
+fn amount_decays_over_the_time_constant() {
     let mut sum = DecayingSum::default();
     sum.add(0.0, 8.0, 2.0);
     assert_eq!(sum.level, 8.0);
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_steady_flow_over_the_memory_is_its_rate() {
+fn steady_flow_divided_by_the_time_constant_is_its_rate() {
     let mut sum = DecayingSum::default();
     for step in 0..10_000 {
         sum.add(f64::from(step) * 0.01, 0.05, 3.0);
--- a/tests/unit/endpoint_state.rs
+++ b/tests/unit/endpoint_state.rs
@@ -1,12 +1,15 @@
 use super::{EndpointState, Health};
-use crate::{interface::EndpointId, ordered_table::Place, token_bucket::TokenBucket};
+use crate::{
+    interface::EndpointId,
+    primitives::{ordered_table::Place, token_bucket::TokenBucket},
+};
 use std::mem::size_of;
 
 /// Most bytes that an endpoint takes to which nothing is sent.
 const MOST: usize = 150;
 
 #[test]
-fn an_endpoint_that_is_sent_nothing_takes_little() {
+fn endpoint_without_attempts_takes_little_memory() {
     // Its entry, its places in the order and the selection, and its name with two counts of references, as the
     // allocator rounds it up.
     let name =
@@ -16,16 +19,21 @@
 }
 
 #[test]
-fn a_new_life_keeps_only_what_is_out() {
+fn restart_keeps_only_the_attempts_in_flight() {
     let mut endpoint = EndpointState::default();
-    assert_eq!((endpoint.health().inflight, endpoint.health().out_until), (0.0, 0.0));
-    let cold = TokenBucket { level: 0.5, at: 3.0 };
-    *endpoint.health_mut() = Health { failures: 2, out_until: 9.0, gone: true, ..Health::default() };
-    endpoint.renew(3.0, cold, 0.25);
-    assert!(endpoint.health.is_none() && endpoint.known);
-    assert_eq!((endpoint.cold_since, endpoint.latency, endpoint.cold.level), (3.0, 0.25, 0.5));
-    *endpoint.health_mut() = Health { inflight: 2.0, failures: 2, out_until: 9.0, ..Health::default() };
-    endpoint.renew(4.0, cold, 0.5);
+    assert_eq!((endpoint.health().in_flight, endpoint.health().ejected_until), (0.0, 0.0));
+    let allowance = TokenBucket { level: 0.5, at: 3.0 };
+    *endpoint.health_mut() =
+        Health { consecutive_failures: 2, ejected_until: 9.0, may_have_restarted: true, ..Health::default() };
+    endpoint.restart(3.0, allowance, 0.25);
+    assert!(endpoint.health.is_none() && endpoint.is_observed);
+    assert_eq!(
+        (endpoint.warming_up_since, endpoint.mean_latency, endpoint.slow_start_allowance.level),
+        (3.0, 0.25, 0.5)
+    );
+    *endpoint.health_mut() =
+        Health { in_flight: 2.0, consecutive_failures: 2, ejected_until: 9.0, ..Health::default() };
+    endpoint.restart(4.0, allowance, 0.5);
     let health = endpoint.health();
-    assert_eq!((health.inflight, health.failures, health.out_until), (2.0, 0, 0.0));
+    assert_eq!((health.in_flight, health.consecutive_failures, health.ejected_until), (2.0, 0, 0.0));
 }
--- a/tests/unit/endpoint_table.rs
+++ b/tests/unit/endpoint_table.rs
@@ -6,8 +6,8 @@
 struct Model {
     running: bool,
     listed: bool,
-    inflight: f64,
-    out_until: Time,
+    in_flight: f64,
+    ejected_until: Time,
 }
 
 /// A table and its model, to which the same is done.
@@ -19,36 +19,41 @@
 }
 
 impl Pair {
-    fn update(&mut self, is_whole: bool, entries: Vec<Endpoint>) {
-        if is_whole {
-            self.model.values_mut().for_each(|m| (m.running, m.listed) = (false, false));
+    fn update(&mut self, is_complete: bool, entries: Vec<Endpoint>) {
+        if is_complete {
+            for model in self.model.values_mut() {
+                model.running = false;
+                model.listed = false;
+            }
         }
         for entry in &entries {
             let model = self.model.entry(entry.id.clone()).or_default();
             model.running = entry.lifecycle == Lifecycle::Running;
             model.listed = entry.lifecycle != Lifecycle::Gone;
         }
-        self.model.retain(|_, m| m.listed || m.inflight > 0.0);
-        self.table.update(is_whole, entries, |_, _| {});
+        self.model.retain(|_, m| m.listed || m.in_flight > 0.0);
+        self.table.update(is_complete, entries, |_, _| {});
     }
 
-    fn attempt(&mut self, id: &EndpointId, inflight: f64, out_until: Time) {
+    fn attempt(&mut self, id: &EndpointId, in_flight: f64, ejected_until: Time) {
         let Some(place) = self.table.find(id) else { return };
         let health = self.table[place].health_mut();
-        (health.inflight, health.out_until) = (inflight, out_until);
-        self.table.note_ejected(place);
+        health.in_flight = in_flight;
+        health.ejected_until = ejected_until;
+        self.table.record_ejection(place);
         let model = self.model.get_mut(id).expect("known to both");
-        (model.inflight, model.out_until) = (inflight, out_until);
+        model.in_flight = in_flight;
+        model.ejected_until = ejected_until;
     }
 
-    fn set_maintenance(&mut self, id: &EndpointId, is_out: bool) {
-        let was_out = self.in_maintenance.contains(id);
-        if is_out {
+    fn set_maintenance(&mut self, id: &EndpointId, in_maintenance: bool) {
+        let was_in_maintenance = self.in_maintenance.contains(id);
+        if in_maintenance {
             self.in_maintenance.insert(id.clone())
         } else {
             self.in_maintenance.remove(id)
         };
-        assert_eq!(self.table.set_maintenance(id, is_out), was_out);
+        assert_eq!(self.table.set_maintenance(id, in_maintenance), was_in_maintenance);
     }
 
     fn check(&mut self, now: Time) {
@@ -56,16 +61,16 @@
         let usable = |(id, m): &(&EndpointId, &Model)| m.running && !self.in_maintenance.contains(*id);
         let known = self.model.iter().filter(usable).map(|(id, _)| id);
         assert!(self.table.usable().iter().map(|place| self.table.id(*place)).eq(known));
-        let ejected = self.model.iter().filter(usable).filter(|(_, m)| now < m.out_until).count();
+        let ejected = self.model.iter().filter(usable).filter(|(_, m)| now < m.ejected_until).count();
         assert_eq!(self.table.count_ejected(now), ejected);
         let listed = || self.model.iter().filter(|(_, m)| m.listed);
-        let avoided = listed().filter(|entry| !usable(entry) || now < entry.1.out_until).count();
-        assert_eq!(self.table.targets(now), EndpointCounts { listed: listed().count(), avoided });
+        let avoided = listed().filter(|entry| !usable(entry) || now < entry.1.ejected_until).count();
+        assert_eq!(self.table.counts(now), EndpointCounts { listed: listed().count(), avoided });
     }
 }
 
 #[test]
-fn it_knows_what_a_walk_over_all_would_find() {
+fn random_updates_match_a_plain_model() {
     let mut dice = fastrand::Rng::with_seed(11);
     let mut pair = Pair::default();
     for step in 0..5_000 {
@@ -100,7 +105,7 @@
 }
 
 #[test]
-fn the_usable_endpoints_stand_in_a_ring() {
+fn usable_endpoints_form_a_ring() {
     let mut pair = Pair::default();
     let endpoint = |name: &str| {
         let (id, lifecycle) = (name.into(), Lifecycle::Running);
--- a/tests/unit/ordered_table.rs
+++ b/tests/unit/ordered_table.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn it_does_as_an_ordered_map_and_an_ordered_set_do() {
+fn random_operations_match_an_ordered_map_and_an_ordered_set() {
     let mut dice = fastrand::Rng::with_seed(5);
     let mut table: OrderedTable<u32, u32> = OrderedTable::default();
     let (mut entries, mut selected) = (BTreeMap::new(), BTreeSet::new());
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_change_of_one_among_ten_thousand_compares_a_few_keys() {
+fn change_of_one_entry_among_ten_thousand_compares_a_few_keys() {
     let compared = Rc::new(Cell::new(0));
     let mut table: OrderedTable<Counted, ()> = OrderedTable::default();
     let key = |number| Counted(number, compared.clone());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_removed_entrys_place_is_used_again_for_the_next() {
+fn place_of_a_removed_entry_is_used_for_the_next() {
     let mut table: OrderedTable<u32, String> = OrderedTable::default();
     table.reserve(2);
     let first = table.find_or_add(1);
--- a/tests/unit/quota_window.rs
+++ b/tests/unit/quota_window.rs
@@ -8,6 +8,6 @@
 }
 
 #[test]
-fn there_is_none_before_the_first() {
+fn time_before_the_first_window_belongs_to_it() {
     assert_eq!(QuotaWindow::at(-9.0, 4.0, 0.5), QuotaWindow { number: 0, age: 0.0, length: 4.0 });
 }
--- /dev/null
+++ b/tests/unit/staggered_share.rs
@@ -0,0 +1,44 @@
+use super::StaggeredShare;
+
+fn share(position: u32, holder_count: u32) -> StaggeredShare {
+    StaggeredShare {
+        rate: 6.0,
+        burst: 30.0,
+        quantum: 4.0,
+        position: f64::from(position) + 0.3,
+        holder_count: f64::from(holder_count),
+    }
+}
+
+#[test]
+fn all_holders_together_are_granted_the_rate_and_may_save_the_burst() {
+    for holders in [1, 3, 19, 300] {
+        for now in [1e9, 1e9 + 0.7, 1e9 + 77.7] {
+            let sum = |part: &dyn Fn(StaggeredShare) -> f64| -> f64 {
+                (0..holders).map(|position| part(share(position, holders))).sum()
+            };
+            let granted = sum(&|a| a.granted_between(now - 60.0, now));
+            assert!((granted - 360.0).abs() <= 4.0, "{holders} holders: {granted} in a minute");
+            let most = sum(&|a| a.max_level(now));
+            assert!((most - 30.0).abs() <= 4.0, "{holders} holders: {most} may be held");
+        }
+    }
+}
+
+#[test]
+fn holder_is_granted_whole_requests_in_turn() {
+    let first = share(0, 3);
+    let grants: Vec<f64> =
+        (0..60).map(|i| first.granted_between(f64::from(i) / 3.0, f64::from(i + 1) / 3.0)).collect();
+    assert!(grants.iter().all(|units| *units == 0.0 || *units == 4.0), "{grants:?}");
+    assert_eq!(grants.iter().sum::<f64>(), 40.0, "a third of 6 a second for 20 s");
+}
+
+#[test]
+fn consecutive_intervals_grant_nothing_twice() {
+    let one = share(2, 5);
+    let whole = one.granted_between(100.0, 200.0);
+    let parts: f64 = (0..100).map(|i| one.granted_between(100.0 + f64::from(i), 101.0 + f64::from(i))).sum();
+    assert_eq!(parts, whole);
+    assert_eq!(one.granted_between(150.0, 150.0), 0.0);
+}
--- a/tests/unit/subset.rs
+++ b/tests/unit/subset.rs
@@ -1,10 +1,16 @@
 //! Long lists: which endpoints a gateway keeps to, and how many entries of the table an event looks at.
 
-use super::endpoints::{MIN_SUBSET, SUBSET_FACTOR};
-use super::*;
-use crate::ordered_table::tests::reads;
-use crate::settings::Class;
-use std::collections::BTreeSet;
+use super::{GATEWAYS_PER_ENDPOINT, MIN_SUBSET, Subset};
+use crate::{
+    interface::{
+        Action, Endpoint, EndpointCounts, EndpointId, Event, Lifecycle, ListKind, LoadReport, Request,
+        Status, Time,
+    },
+    policy::Gateway,
+    primitives::ordered_table::tests::reads,
+    settings::{Class, Plan, Settings},
+};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// The design: so many gateways before so many endpoints.
 const GATEWAYS: u32 = 680;
@@ -53,19 +59,36 @@
     list(gateway, ListKind::Changes, vec![Endpoint { lifecycle, ..endpoint(number) }]);
 }
 
-/// The addresses of the endpoints that a gateway keeps to.
+fn usable_count(gateway: &Gateway) -> usize {
+    gateway.backends.router.usable_count()
+}
+
+fn subset_size(gateway: &Gateway, gateway_count: u32) -> usize {
+    Subset::size(usable_count(gateway), gateway_count)
+}
+
+/// The usable endpoint at an index; a gateway's subset comes first.
+fn id_at(gateway: &Gateway, index: usize) -> EndpointId {
+    let router = &gateway.backends.router;
+    router.endpoints.id(router.subset.place(index, &router.endpoints)).clone()
+}
+
+/// The endpoints of a gateway's subset.
 fn subset(gateway: &Gateway) -> BTreeSet<EndpointId> {
-    let place = |i| gateway.endpoints.usable_from(gateway.subset_start, i);
-    (0..gateway.subset_size()).map(|i| gateway.endpoints.id(place(i)).clone()).collect()
+    (0..subset_size(gateway, GATEWAYS)).map(|index| id_at(gateway, index)).collect()
+}
+
+fn swap_endpoints(one: &mut Gateway, other: &mut Gateway) {
+    std::mem::swap(&mut one.backends.router.endpoints, &mut other.backends.router.endpoints);
 }
 
 /// The subsets of all gateways, which have heard the same list as `teller`.
 fn subsets(teller: &mut Gateway) -> Vec<BTreeSet<EndpointId>> {
     let of = |me| {
         let mut gateway = gateway(me, GATEWAYS, u64::from(me));
-        std::mem::swap(&mut gateway.endpoints, &mut teller.endpoints);
+        swap_endpoints(&mut gateway, teller);
         let subset = subset(&gateway);
-        std::mem::swap(&mut gateway.endpoints, &mut teller.endpoints);
+        swap_endpoints(&mut gateway, teller);
         subset
     };
     (0..GATEWAYS).map(of).collect()
@@ -74,13 +97,14 @@
 /// The fewest and the most gateways that an endpoint is met by.
 fn spread(subsets: &[BTreeSet<EndpointId>], usable: &Gateway) -> (usize, usize) {
     let mut met: BTreeMap<&EndpointId, usize> = BTreeMap::new();
-    met.extend(usable.endpoints.usable().iter().map(|place| (usable.endpoints.id(*place), 0)));
+    let endpoints = &usable.backends.router.endpoints;
+    met.extend(endpoints.usable().iter().map(|place| (endpoints.id(*place), 0)));
     subsets.iter().flatten().for_each(|id| *met.get_mut(id).expect("usable") += 1);
     (*met.values().min().expect("some"), *met.values().max().expect("some"))
 }
 
 #[test]
-fn each_endpoint_is_met_by_about_as_many_gateways_also_after_a_zone_is_lost() {
+fn each_endpoint_is_used_by_about_as_many_gateways_even_without_a_zone() {
     let mut teller = gateway(0, GATEWAYS, 1);
     list(&mut teller, ListKind::Stale, endpoints(ENDPOINTS));
     let all = subsets(&mut teller);
@@ -96,7 +120,7 @@
 }
 
 #[test]
-fn a_restarted_gateway_keeps_to_the_same_endpoints() {
+fn restarted_gateway_uses_the_same_subset() {
     for me in [0, 1, 339, 679] {
         let mut before = gateway(me, GATEWAYS, 1);
         list(&mut before, ListKind::Stale, endpoints(ENDPOINTS));
@@ -108,12 +132,12 @@
         list(&mut after, ListKind::Stale, told);
         list(&mut after, ListKind::Changes, rest);
         assert_eq!(subset(&before), subset(&after));
-        assert_eq!(before.subset_size(), 270);
+        assert_eq!(subset_size(&before, GATEWAYS), 270);
     }
 }
 
 #[test]
-fn one_endpoint_that_goes_or_comes_moves_few_connections() {
+fn one_endpoint_that_leaves_or_joins_moves_few_connections() {
     let mut teller = gateway(0, GATEWAYS, 1);
     list(&mut teller, ListKind::Stale, endpoints(ENDPOINTS));
     let mut before = subsets(&mut teller);
@@ -134,7 +158,7 @@
 }
 
 #[test]
-fn lists_of_any_length_are_taken_in_whole_and_in_changes() {
+fn lists_of_any_length_are_applied_completely_and_in_changes() {
     for count in [0, 1, 2, 100, 1024, ENDPOINTS, 10_000] {
         let mut gateway = gateway(7, GATEWAYS, 1);
         for kind in [ListKind::Stale, ListKind::Full] {
@@ -147,7 +171,7 @@
         // The last goes, one more comes, and the rest go.
         change(&mut gateway, count.saturating_sub(1), Lifecycle::Gone);
         change(&mut gateway, count, Lifecycle::Running);
-        let usable = gateway.endpoints.usable().len();
+        let usable = usable_count(&gateway);
         assert_eq!(usable, count.max(1) as usize, "of {count}");
         assert!(serves(&mut gateway, "between"));
         list(&mut gateway, ListKind::Full, vec![]);
@@ -198,19 +222,20 @@
     served
 }
 
-/// So many gateways that each keeps to the least number of endpoints.
+/// So many gateways that each has the smallest subset.
 fn thin(endpoints: u32) -> Gateway {
-    gateway(0, SUBSET_FACTOR as u32 * endpoints, 1)
+    gateway(0, GATEWAYS_PER_ENDPOINT as u32 * endpoints, 1)
 }
 
 #[test]
-fn an_event_looks_at_a_few_endpoints_however_many_are_listed() {
+fn event_reads_few_endpoints_however_many_are_listed() {
     // The choice looks at each of six a few times; whatever is found by its name, at one in each halving.
     const FEW: usize = 150;
     for count in [100, 1024, 10_000] {
         let mut gateway = thin(count);
         list(&mut gateway, ListKind::Stale, endpoints(count));
-        assert_eq!(gateway.subset_size(), MIN_SUBSET);
+        let gateways = GATEWAYS_PER_ENDPOINT as u32 * count;
+        assert_eq!(subset_size(&gateway, gateways), MIN_SUBSET);
         for step in 0..300_u32 {
             let now = 2.0 + f64::from(step) * 0.01;
             let mut actions = Vec::new();
@@ -234,7 +259,7 @@
 }
 
 #[test]
-fn where_all_endpoints_are_cold_the_list_is_walked_once() {
+fn list_is_scanned_once_while_all_endpoints_are_warming_up() {
     let mut gateway = thin(10_000);
     let cold = endpoints(10_000).into_iter().map(|s| Endpoint { started: 1.0, ..s }).collect();
     list(&mut gateway, ListKind::Stale, cold);
--- a/tests/unit/token_bucket.rs
+++ b/tests/unit/token_bucket.rs
@@ -1,7 +1,7 @@
 use super::TokenBucket;
 
 #[test]
-fn a_bucket_fills_at_its_rate_up_to_its_burst() {
+fn bucket_fills_at_its_rate_up_to_its_burst() {
     let mut bucket = TokenBucket { level: 1.0, at: 10.0 };
     assert_eq!(bucket.refill(11.5, 2.0, 5.0), 4.0);
     assert_eq!((bucket.level, bucket.at), (4.0, 11.5));
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_debt_is_paid_off_first() {
+fn negative_level_is_refilled_first() {
     let mut bucket = TokenBucket { level: -3.0, at: 0.0 };
     assert_eq!(bucket.refill(2.0, 1.0, 5.0), -1.0);
     assert_eq!(bucket.refill(4.0, 1.0, 5.0), 1.0);
