--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -15,9 +15,6 @@
     },
 };
 
-/// Batches of events that have to fit between a request's arrival and its deadline.
-const MIN_EVENT_INTERVALS: f64 = 4.0;
-
 /// What pays for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Source {
@@ -56,16 +53,6 @@
         self.customers.restored(now);
     }
 
-    /// Whether the settings know what a request names, and there is time to serve it.
-    pub fn is_servable(request: &Request, context: &Context) -> bool {
-        let settings = &context.settings;
-        let waits = 2.0 * Leasing::max_wait(settings);
-        let has_time = request.deadline > context.now + waits + MIN_EVENT_INTERVALS * settings.event_interval;
-        let is_known = request.class < settings.classes.len() && request.plan < settings.plans.len();
-        let has_units = request.units.is_finite() && request.units >= 0.0;
-        is_known && has_units && has_time
-    }
-
     /// Decides about a request that has just arrived.
     pub fn admit(&mut self, request: &Request, backends: &Backends, context: &mut Context) -> Admission {
         let overloaded = Admission::Reject { retry_after: context.settings.max_retry_after };
@@ -184,35 +171,57 @@
         let request = candidate.request;
         let context = &mut *candidate.context;
         // The request may have waited, and its customer may have changed its plan meanwhile.
-        let plan = context.plan(request.plan);
+        candidate.plan = context.plan(request.plan);
+        let plan = &candidate.plan;
         let mean_latency = candidate.backends.mean_latency();
         let customer = self.customers.known(&request.customer);
-        if customer.exceeds_scarce_limit(&plan, mean_latency, &mut context.rng) {
+        if customer.exceeds_scarce_limit(plan, mean_latency, &mut context.rng) {
             return Admission::Reject { retry_after: mean_latency };
         }
         // Checked again: other requests may have spent the share while this one waited.
-        if !self.customers.ceiling_covers(request, units, &plan, context) {
-            candidate.plan = plan;
+        if !self.customers.ceiling_covers(request, units, plan, context) {
             return self.reject_above_ceiling(candidate);
         }
         let customer = self.customers.known(&request.customer);
         customer.ceiling.spend(units);
         match source {
-            Source::Lease => customer.quota.spend_lease(units),
-            Source::EvenShare if customer.share_holds(units, &plan) => {
-                let most = (plan.burst / f64::from(customer.gateway_count)).max(units);
-                customer.quota.spend_unreported(units, most);
+            Source::Lease => {
+                customer.quota.spend_lease(units);
+                customer.even_share.take_down_to_zero(0.0);
             }
-            Source::EvenShare => self.leasing.record_unreported(customer.plan, units, context.now),
+            Source::EvenShare => {
+                customer.even_share.take_down_to_zero(units);
+                self.record_unreported(candidate, units);
+            }
+        }
+        self.await_slot(candidate, units)
+    }
+
+    /// Records units that were spent without the counter: at their customer where its even share holds the
+    /// request, else at its plan, as each gateway has too few of them then.
+    fn record_unreported(&mut self, candidate: &Candidate, units: f64) {
+        let plan = candidate.plan;
+        let customer = self.customers.known(&candidate.request.customer);
+        if customer.share_holds(units, &plan) {
+            let most = (plan.burst / f64::from(customer.gateway_count)).max(units);
+            customer.quota.spend_unreported(units, most);
+        } else {
+            self.leasing.record_unreported(customer.plan, units, candidate.context.now);
         }
-        let drawn = if source == Source::EvenShare { units } else { 0.0 };
-        customer.even_share.take_down_to_zero(drawn);
+    }
+
+    /// Admits a covered request as soon as its customer has a free concurrency slot. Where the requests
+    /// before it would take too long, it is rejected at once.
+    fn await_slot(&mut self, candidate: &mut Candidate, units: f64) -> Admission {
+        let Candidate { request, plan, backends, .. } = *candidate;
+        let context = &mut *candidate.context;
+        let customer = self.customers.known(&request.customer);
         let slots = customer.slots(&plan, context);
         if customer.concurrency.has_free_slot(slots) {
             return Admission::Admit;
         }
         let max_wait = MAX_WAIT_SHARE * context.settings.classes[request.class].latency_objective;
-        let wait = customer.concurrency.expected_wait(slots, mean_latency);
+        let wait = customer.concurrency.expected_wait(slots, backends.mean_latency());
         if wait > max_wait {
             customer.refund(units);
             return Admission::Reject { retry_after: wait };
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -21,6 +21,10 @@
     policy::{backends::Backends, context::Context},
     settings::Plan,
 };
+use leasing::Leasing;
+
+/// Batches of events that have to fit between a request's arrival and its deadline.
+const MIN_EVENT_INTERVALS: f64 = 4.0;
 
 /// What becomes of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -49,3 +53,13 @@
     /// The context of the event.
     pub context: &'a mut Context,
 }
+
+/// Whether the settings know what a request names, and there is time to serve it.
+pub fn is_servable(request: &Request, context: &Context) -> bool {
+    let settings = &context.settings;
+    let waits = 2.0 * Leasing::max_wait(settings);
+    let has_time = request.deadline > context.now + waits + MIN_EVENT_INTERVALS * settings.event_interval;
+    let is_known = request.class < settings.classes.len() && request.plan < settings.plans.len();
+    let has_units = request.units.is_finite() && request.units >= 0.0;
+    is_known && has_units && has_time
+}
--- a/src/policy/requests/lifecycle.rs
+++ b/src/policy/requests/lifecycle.rs
@@ -3,7 +3,7 @@
 use crate::{
     interface::{Action, CustomerId, Request, RequestId, Seconds, Status},
     policy::{
-        admission::{Admission, AdmissionControl},
+        admission::{Admission, AdmissionControl, is_servable},
         backends::Backends,
         context::Context,
         counter::CounterReply,
@@ -51,7 +51,7 @@
         }
         let is_full = self.requests.len() >= context.settings.max_open_requests as usize;
         self.requests.insert(request.id.clone(), RequestState::new(request.clone(), context.now));
-        let admission = if !AdmissionControl::is_servable(&request, context) {
+        let admission = if !is_servable(&request, context) {
             Admission::Reject { retry_after: 0.0 }
         } else if is_full {
             Admission::Reject { retry_after: context.settings.max_retry_after }
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,5 +1,6 @@
-//! The settings object as the operators write it, typed. Keys that are missing or null have their defaults;
-//! unknown keys are passed over. All times are in seconds.
+//! The settings object as the operators write it. Its keys keep the names of the protocol, and the fields map
+//! them to the terms that the code uses. Keys that are missing or null have their defaults; unknown keys are
+//! ignored. All times are in seconds.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -8,31 +9,36 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct SettingsDocument {
-    /// Request classes; requests name them by their names.
+    /// Request classes, which requests name.
     pub classes: Option<Vec<ClassDocument>>,
-    /// Plans of customers; requests name them by their names.
+    /// Plans of customers, which requests name.
     pub plans: Option<Vec<PlanDocument>>,
     /// Names of the zones.
-    pub dcs: Option<Vec<String>>,
-    /// How the list of endpoints is learned; by default it is pushed.
+    #[serde(rename = "Dcs")]
+    pub zones: Option<Vec<String>>,
+    /// How the endpoint list is learned; by default discovery pushes it.
     pub discovery: Option<DiscoveryMode>,
-    /// The number of the zone that this gateway is in, from 0.
-    pub locality: Option<Count>,
-    /// This gateway's number, from 0.
-    pub me: Option<Count>,
+    /// Index of the zone that this gateway runs in.
+    #[serde(rename = "Locality")]
+    pub zone: Option<Count>,
+    /// Index of this gateway among all gateways, from 0.
+    #[serde(rename = "Me")]
+    pub gateway_index: Option<Count>,
     /// How many gateways there are; 1 by default.
-    pub peers_total: Option<Count>,
+    #[serde(rename = "PeersTotal")]
+    pub gateway_count: Option<Count>,
     /// Least time between two batches of events.
-    pub step: Option<f64>,
-    /// The counter, and what requests may take.
+    #[serde(rename = "Step")]
+    pub event_interval: Option<f64>,
+    /// The counter, and the units that requests take.
     pub domain: Option<DomainDocument>,
-    /// What the site permits.
-    pub limits: Option<LimitsDocument>,
-    /// Figures of the rules.
+    /// Limits of the deployment.
+    pub limits: Option<DeploymentLimitsDocument>,
+    /// Figures that the rules are stated with.
     pub rules: Option<RulesDocument>,
 }
 
-/// A number that counts; a fraction is cut off, and below 0 it counts as 0.
+/// A count. A fraction is cut off, and a negative number counts as 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(from = "f64")]
 pub struct Count(pub u32);
@@ -43,38 +49,38 @@
     }
 }
 
-/// How the list of endpoints is learned.
+/// How the endpoint list is learned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum DiscoveryMode {
-    /// It has to be asked for.
+    /// Gateways poll it.
     Ask,
-    /// Changes come by themselves.
+    /// Discovery pushes changes.
     #[serde(other)]
     Push,
 }
 
-/// What repeating a request may do.
+/// What happens when a request is sent more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectName {
     /// It may run any number of times.
     Idempotent,
-    /// Repeats are discarded by the endpoints of the group within the window.
+    /// Endpoints of the group discard retries by idempotency key, within the window.
     Deduplicated,
-    /// It may run once at most.
+    /// It must not run more than once.
     AtMostOnce,
 }
 
-/// Which endpoints discard repeats.
+/// Which endpoints remember idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
-pub enum GroupName {
+pub enum ScopeName {
     /// All of them.
     All,
     /// Those of one zone.
     Zone,
-    /// Those of one cell: what a group of no known name is taken for, as it promises least.
+    /// Those of one cell. A group of no known name is taken for this one, as it promises least.
     #[serde(other)]
     Cell,
 }
@@ -85,19 +91,23 @@
 pub struct ClassDocument {
     /// Its name.
     pub name: Option<String>,
-    /// An answer within this time earns its full worth.
-    pub slo: Option<f64>,
+    /// A response within this time counts in full.
+    #[serde(rename = "Slo")]
+    pub latency_objective: Option<f64>,
     /// How long a client waits.
     pub deadline: Option<f64>,
-    /// What a repeat may do.
+    /// What happens when a request is sent more than once.
     pub effect: EffectName,
-    /// For deduplicated requests: which endpoints discard repeats.
-    pub group: Option<GroupName>,
-    /// For deduplicated requests: for how long, from the first attempt that may have run.
+    /// For requests with an idempotency key: which endpoints remember it.
+    #[serde(rename = "Group")]
+    pub scope: Option<ScopeName>,
+    /// For requests with an idempotency key: how long it is remembered after the first attempt that may have
+    /// run.
     pub window: Option<f64>,
-    /// The share of the worth that a late answer earns.
-    pub late_worth: Option<f64>,
-    /// The answer is a stream.
+    /// Share of its weight that a late response counts for.
+    #[serde(rename = "LateWorth")]
+    pub late_weight_share: Option<f64>,
+    /// The response is a stream.
     pub streamed: Option<bool>,
 }
 
@@ -107,74 +117,94 @@
 pub struct PlanDocument {
     /// Its name.
     pub name: Option<String>,
-    /// Units a second of the quota; 0: there is none.
-    pub quota_rate: Option<f64>,
-    /// Units of the quota that may be used at once.
-    pub depth: Option<f64>,
-    /// Attempts that may be out at once; 0: any number.
-    pub open: Option<Count>,
-    /// Worth of a unit, relative to other plans.
-    pub pays: Option<f64>,
-    /// Share of its worth that a request beyond the quota earns.
-    pub excess_worth: Option<f64>,
-    /// Share of its worth that such a request costs.
-    pub overrun_cost: Option<f64>,
-    /// Units a second of the hard ceiling; 0: there is none.
+    /// Units a second that refill the quota; 0 if there is no quota.
+    #[serde(rename = "QuotaRate")]
+    pub rate: Option<f64>,
+    /// Units that the quota holds.
+    #[serde(rename = "Depth")]
+    pub burst: Option<f64>,
+    /// Attempts that may be in flight at once; 0 if there is no such limit.
+    #[serde(rename = "Open")]
+    pub max_concurrent_attempts: Option<Count>,
+    /// Weight of a unit, relative to the other plans.
+    #[serde(rename = "Pays")]
+    pub priority_weight: Option<f64>,
+    /// Share of its weight that a request beyond the quota counts for.
+    #[serde(rename = "ExcessWorth")]
+    pub over_quota_weight_share: Option<f64>,
+    /// Share of its weight that a request beyond the quota costs.
+    #[serde(rename = "OverrunCost")]
+    pub over_quota_cost_share: Option<f64>,
+    /// Units a second that refill the hard ceiling; 0 if there is no ceiling.
     pub ceiling_rate: Option<f64>,
-    /// Units that the ceiling holds.
+    /// Units that the hard ceiling holds.
     pub ceiling_burst: Option<f64>,
 }
 
-/// The counter, and what requests may take.
+/// The counter, and the units that requests take.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct DomainDocument {
-    /// The counter may be called.
+    /// There is a counter service.
     pub has_counter: Option<bool>,
-    /// A call with no answer by then has failed.
-    pub count_limit: Option<f64>,
+    /// A counter call that takes longer has failed.
+    #[serde(rename = "CountLimit")]
+    pub counter_timeout: Option<f64>,
     /// Most units that one request takes.
     pub max_units: Option<f64>,
-    /// True units come with the answer.
-    pub post_paid: Option<bool>,
+    /// The true units of a request come with its response.
+    #[serde(rename = "PostPaid")]
+    pub units_settle_later: Option<bool>,
 }
 
-/// What the site permits.
+/// Limits of the deployment.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct LimitsDocument {
-    /// Attempts may be called off.
-    pub cancelling: Option<bool>,
-    /// An endpoint closes a connection that has stood idle for so long.
-    pub conn_idle: Option<f64>,
-    /// A connection that is not up after this time has failed.
+pub struct DeploymentLimitsDocument {
+    /// Attempts may be cancelled.
+    #[serde(rename = "Cancelling")]
+    pub cancellation_enabled: Option<bool>,
+    /// Endpoints close a connection that has been idle for so long.
+    #[serde(rename = "ConnIdle")]
+    pub idle_timeout: Option<f64>,
+    /// A connection that takes longer to open has failed.
     pub connect_timeout: Option<f64>,
-    /// The longest advice to stay away that clients honour.
+    /// The longest wait that clients honour.
     pub max_retry_after: Option<f64>,
-    /// Endpoints may be probed.
-    pub may_probe: Option<bool>,
-    /// Requests that a gateway may have open.
-    pub open_cap: Option<Count>,
-    /// Clients are told when to come back.
-    pub retry_after: Option<bool>,
-    /// Two attempts of one request may be out at once.
-    pub second_copies: Option<bool>,
+    /// Endpoints may be sent health checks.
+    #[serde(rename = "MayProbe")]
+    pub health_checks_enabled: Option<bool>,
+    /// Most requests that a gateway may have open.
+    #[serde(rename = "OpenCap")]
+    pub max_open_requests: Option<Count>,
+    /// Rejected clients are told how long to wait.
+    #[serde(rename = "RetryAfter")]
+    pub retry_after_enabled: Option<bool>,
+    /// Two attempts of one request may be in flight at once.
+    #[serde(rename = "SecondCopies")]
+    pub hedging_enabled: Option<bool>,
     /// Most attempts for one request.
-    pub send_cap: Option<Count>,
+    #[serde(rename = "SendCap")]
+    pub max_attempts: Option<Count>,
 }
 
-/// Figures of the rules.
+/// Figures that the rules are stated with.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RulesDocument {
-    /// An endpoint is warm after this time at most.
-    pub cold: Option<f64>,
-    /// The least share of its capacity that it starts with.
-    pub cold_from: Option<f64>,
-    /// A cold endpoint falls when sent too much for so long.
-    pub fall: Option<f64>,
-    /// Too much is this multiple of its present capacity.
-    pub fall_multiple: Option<f64>,
-    /// A gateway that has not asked for the list for so long counts as told.
-    pub must_ask_in: Option<f64>,
+    /// A newly started endpoint has its full capacity after this time at most.
+    #[serde(rename = "Cold")]
+    pub slow_start_window: Option<f64>,
+    /// Share of its capacity that a newly started endpoint has at least.
+    #[serde(rename = "ColdFrom")]
+    pub slow_start_initial_share: Option<f64>,
+    /// A warming endpoint fails when it is sent too much for so long.
+    #[serde(rename = "Fall")]
+    pub overload_window: Option<f64>,
+    /// What is too much, as a multiple of its present capacity.
+    #[serde(rename = "FallMultiple")]
+    pub overload_multiple: Option<f64>,
+    /// A gateway that has not polled the list for so long counts as notified.
+    #[serde(rename = "MustAskIn")]
+    pub max_poll_interval: Option<f64>,
 }
