--- a/src/policy/admission/concurrency.rs
+++ b/src/policy/admission/concurrency.rs
@@ -113,3 +113,7 @@
         self.queue.remove(index)
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/concurrency.rs"]
+mod tests;
--- a/src/policy/admission/leased_quota.rs
+++ b/src/policy/admission/leased_quota.rs
@@ -208,3 +208,7 @@
         (missing > FIRST_CALL_TOLERANCE * plan.burst).then_some(missing)
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/leased_quota.rs"]
+mod tests;
--- a/src/policy/counter/rate_limiter.rs
+++ b/src/policy/counter/rate_limiter.rs
@@ -137,3 +137,7 @@
         saved.max(SAVED_TIME * self.rate).max(1.0)
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/call_rate_limiter.rs"]
+mod tests;
--- a/src/policy/load_shedder.rs
+++ b/src/policy/load_shedder.rs
@@ -115,3 +115,7 @@
         self.mean_in_flight += weight * (in_flight - self.mean_in_flight);
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/load_shedder.rs"]
+mod tests;
--- a/src/policy/requests/retry_budget.rs
+++ b/src/policy/requests/retry_budget.rs
@@ -62,3 +62,7 @@
         Self { retries: MAX_SAVED_RETRIES }
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/retry_budget.rs"]
+mod tests;
--- a/src/policy/routing/health.rs
+++ b/src/policy/routing/health.rs
@@ -101,3 +101,7 @@
         share.level += SAMPLE_WEIGHT * (f64::from(u8::from(is_error)) - share.level);
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/health.rs"]
+mod tests;
--- a/src/policy/routing/list_poller.rs
+++ b/src/policy/routing/list_poller.rs
@@ -56,3 +56,7 @@
         context.set_timer(at, TimerPurpose::PollEndpoints);
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/list_poller.rs"]
+mod tests;
