--- a/src/policy/admission/customer_table.rs
+++ b/src/policy/admission/customer_table.rs
@@ -47,7 +47,7 @@
     }
 
     /// A customer, if it is known.
-    pub fn get_mut(&mut self, id: &CustomerId) -> Option<&mut Customer> {
+    pub(super) fn get_mut(&mut self, id: &CustomerId) -> Option<&mut Customer> {
         self.customers.get_mut(id)
     }
 
@@ -55,10 +55,31 @@
     ///
     /// # Panics
     /// If the customer is unknown. It can't be forgotten while a request of it waits, as it is in use then.
-    pub fn known(&mut self, id: &CustomerId) -> &mut Customer {
+    pub(super) fn known(&mut self, id: &CustomerId) -> &mut Customer {
         self.customers.get_mut(id).expect("a customer is recorded with its request and kept while one waits")
     }
 
+    /// Counts an attempt for a customer as in flight.
+    pub fn record_attempt_start(&mut self, customer: &CustomerId) {
+        if let Some(customer) = self.customers.get_mut(customer) {
+            customer.concurrency.record_start();
+        }
+    }
+
+    /// Counts an attempt for a customer as no longer in flight, or as one whose response has started.
+    pub fn record_attempt_end(&mut self, customer: &CustomerId) {
+        if let Some(customer) = self.customers.get_mut(customer) {
+            customer.concurrency.record_end();
+        }
+    }
+
+    /// Records the units that a request really took, where they are settled after the response.
+    pub fn settle_units(&mut self, request: &Request, actual_units: f64) {
+        if let Some(customer) = self.customers.get_mut(&request.customer) {
+            customer.quota.record_actual_units(actual_units - request.units);
+        }
+    }
+
     /// Whether the table has room for a customer that may be unknown. A full table forgets the customers that
     /// have been idle longest.
     pub fn make_room(&mut self, id: &CustomerId, context: &Context) -> bool {
--- a/src/policy/requests/lifecycle.rs
+++ b/src/policy/requests/lifecycle.rs
@@ -122,9 +122,7 @@
         let Some(state) = self.requests.get_mut(id) else { return false };
         let Some(timeout) = state.next_timeout(context.now, &context.settings) else { return false };
         let Some(endpoint) = backends.start_attempt(state, context) else { return false };
-        if let Some(customer) = self.admission.customers().get_mut(&state.request.customer) {
-            customer.concurrency.record_start();
-        }
+        self.admission.customers().record_attempt_start(&state.request.customer);
         let class = &context.settings.classes[state.request.class];
         let dedup_until = state.dedup_until(class);
         let hedge_delay = hedge_delay(class, backends.mean_latency());
@@ -143,9 +141,7 @@
         let Some(endpoint) = state.record_response_start() else { return };
         let customer_id = state.request.customer.clone();
         backends.end_attempt(&endpoint);
-        if let Some(customer) = self.admission.customers().get_mut(&customer_id) {
-            customer.concurrency.record_end();
-        }
+        self.admission.customers().record_attempt_end(&customer_id);
         self.start_queued_attempts(&customer_id, backends, context);
     }
 
@@ -171,13 +167,12 @@
             return;
         }
         if let Some(ended) = state.record_end(end.attempt, !end.status.never_ran()) {
-            if let Some(customer) = self.admission.customers().get_mut(&state.request.customer) {
-                if !ended.response_started {
-                    customer.concurrency.record_end();
-                }
-                if let Some(actual_units) = end.actual_units {
-                    customer.quota.record_actual_units(actual_units - state.request.units);
-                }
+            let customers = self.admission.customers();
+            if !ended.response_started {
+                customers.record_attempt_end(&state.request.customer);
+            }
+            if let Some(actual_units) = end.actual_units {
+                customers.settle_units(&state.request, actual_units);
             }
         }
         if end.is_finished || state.is_finished() {
