--- a/src/node/connection/worker_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -1,10 +1,10 @@
-//! Attempts and probes: one exchange with a worker each, and how it ended.
+//! Attempts and probes: one exchange with an endpoint each, and how it ended.
 
 use crate::node::{
     connection::{
         answer_body::{Begin, Bounds},
+        endpoint_pool::{EndpointPool, KEEP_LEAST, Target},
         http_client::Failure,
-        worker_pool::{KEEP_LEAST, Target, WorkerPool},
         write_progress::Trace,
     },
     wire::{
@@ -15,30 +15,30 @@
     },
 };
 use bytes::Bytes;
-use hyper::{HeaderMap, Request, StatusCode, Uri, header, http::response::Parts};
-use oliverack::{Load, Status};
+use hyper::{HeaderMap, Request, StatusCode, http::response::Parts};
+use oliverack::{LoadReport, Status};
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::{sync::mpsc, time::sleep};
 
 /// An answer that is larger, or of no told length and takes longer, passes through in pieces.
 const BOUNDS: Bounds = Bounds { most: MAX_WHOLE, patience: Duration::from_millis(50) };
 
-/// How an attempt or probe ended.
+/// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd {
     pub status: Status,
     pub body: Bytes,
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 impl AttemptEnd {
     /// One that brought no answer.
     pub fn without_answer(status: Status) -> Self {
-        Self { status, body: Bytes::new(), load: Load::default() }
+        Self { status, body: Bytes::new(), load: LoadReport::default() }
     }
 }
 
-impl WorkerPool {
+impl EndpointPool {
     /// One exchange. Nothing is sent a second time: only a kept connection on which not one byte was written
     /// is replaced by another.
     async fn exchange(
@@ -63,7 +63,7 @@
             let idle = pooled.since.elapsed();
             // A connection may take long to come up. From here on to the first byte nothing is waited for.
             if !self.stands(target) {
-                return Err(Status::Moot);
+                return Err(Status::NotSent);
             }
             let request = build()?;
             match pooled.link.exchange(request, ended.cloned(), BOUNDS, begin).await {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Sends `what` to the worker once, if it `may_begin` when the connection is there; `wait` tells the worker how
+    /// Sends `what` to the endpoint once, if it `may_begin` when the connection is there; `wait` tells the endpoint how
     /// long the gateway will wait. A large answer goes to what `begin` returns for its length.
     pub async fn attempt(
         &self,
@@ -98,14 +98,14 @@
         begin: impl Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
     ) -> AttemptEnd {
         if !what.body.unsent() {
-            return AttemptEnd::without_answer(Status::Moot);
+            return AttemptEnd::without_answer(Status::NotSent);
         }
         let build = || {
             if !may_begin() {
-                return Err(Status::Moot);
+                return Err(Status::NotSent);
             }
             // A body that went by the connection before can't go by another one.
-            what.to_worker(wait).ok_or(Status::ConnectFailed)
+            what.to_endpoint(wait).ok_or(Status::ConnectFailed)
         };
         let ended = match &what.body {
             Content::Whole(_) => None,
@@ -124,32 +124,14 @@
         let (status, load) = judge(status, &headers);
         AttemptEnd { status, body, load }
     }
-
-    /// Asks the worker how it is.
-    pub async fn probe(&self, target: &Target) -> AttemptEnd {
-        let build = || {
-            let mut request = Request::new(Outgoing::Whole(None));
-            *request.uri_mut() = Uri::from_static("/metrics/load");
-            request.headers_mut().insert(header::HOST, header::HeaderValue::from_static("backend.local"));
-            Ok(request)
-        };
-        match self.exchange(target, &Trace::default(), build, None, &|_, _| None, None).await {
-            Ok((StatusCode::OK, _, body)) => {
-                let load = std::str::from_utf8(&body).map(load_report::parse).unwrap_or_default();
-                AttemptEnd { status: Status::Ok, body, load }
-            }
-            Ok(_) => AttemptEnd::without_answer(Status::Error),
-            Err(status) => AttemptEnd::without_answer(status),
-        }
-    }
 }
 
-/// What an answer's head says of the attempt, and of the worker.
-fn judge(status: StatusCode, headers: &HeaderMap) -> (Status, Load) {
+/// What an answer's head says of the attempt, and of the endpoint.
+fn judge(status: StatusCode, headers: &HeaderMap) -> (Status, LoadReport) {
     let turned_away = headers.get("x-turned-away").is_some_and(|v| v == "1");
     let status = match status.as_u16() {
         200 => Status::Ok,
-        503 | 504 if turned_away => Status::Full,
+        503 | 504 if turned_away => Status::Rejected,
         _ => Status::Error,
     };
     let load = headers.get("x-pressure").and_then(|v| v.to_str().ok()).map(load_report::parse);
