--- a/src/node/connection/clients/context.rs
+++ b/src/node/connection/clients/context.rs
@@ -2,8 +2,8 @@
 
 use crate::node::{
     connection::clients::{handler::RequestHandler, memory::BodyMemory},
+    hot_restart::replica_counts::Processes,
     metrics::Metrics,
-    processes::Processes,
 };
 use hyper::StatusCode;
 use oliverack::Options;
--- a/src/node/connection/clients/memory.rs
+++ b/src/node/connection/clients/memory.rs
@@ -1,6 +1,6 @@
 //! The memory that bodies and streams may hold, dealt out in permits.
 
-use crate::node::processes::Processes;
+use crate::node::hot_restart::replica_counts::Processes;
 use std::{cell::Cell, rc::Rc};
 
 /// The memory that bodies and streams of all clients may hold, in bytes. Processes side by side share it.
--- a/src/node/connection/mod.rs
+++ b/src/node/connection/mod.rs
@@ -1,5 +1,5 @@
-//! Connections to clients, endpoints, the counter, discovery, operators and sibling processes. They tell of what happens through
-//! small traits and know nothing of who listens.
+//! Connections to clients, endpoints, the counter, discovery and operators. They tell of what happens through small
+//! traits and know nothing of who listens.
 
 pub mod answer_body;
 pub mod clients;
@@ -11,6 +11,5 @@
 pub mod events;
 pub mod http_client;
 pub mod operators;
-pub mod siblings;
 pub mod socket_input;
 pub mod write_progress;
--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -3,7 +3,7 @@
 //! Nothing here waits on clients, endpoints or the counter. Calls run side by side on descriptors kept aside for
 //! them; callers that hold a connection without a whole call make room for others.
 
-use crate::node::{config::Config, maintenance_file::MaintenanceFileError};
+use crate::node::{config::Config, hot_restart::maintenance_file::MaintenanceFileError};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -6,11 +6,9 @@
         discovery::ListSink,
         endpoint_pool::EndpointPool,
         events::{EventSender, EventSink},
-        siblings::Siblings,
     },
-    maintenance_file::MaintenanceFile,
+    hot_restart::{maintenance_file::MaintenanceFile, replica_counts::Processes, replicas::Siblings},
     metrics::Metrics,
-    processes::Processes,
     runtime::{
         clock::Clock,
         counters::CounterClients,
--- a/src/node/runtime/operations.rs
+++ b/src/node/runtime/operations.rs
@@ -1,8 +1,8 @@
 //! What operators and other processes of this gateway ask for.
 
 use crate::node::{
-    connection::{operators::MaintenanceError, siblings::SiblingHandler},
-    maintenance_file::MaintenanceFile,
+    connection::operators::MaintenanceError,
+    hot_restart::{maintenance_file::MaintenanceFile, replicas::SiblingHandler},
     runtime::driver::Driver,
 };
 use oliverack::{EndpointId, Event, HandoverSnapshot};
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -6,10 +6,10 @@
         clients::{Clients, Context},
         discovery::{self, Discovery},
         operators::{MaintenanceError, Operations, Operators},
-        siblings,
     },
     descriptors::DescriptorBudget,
     drain::{drain, time_to_kill},
+    hot_restart::{predecessor, replicas, successor},
     listener::inherited,
     reload::reload,
     runtime::driver::Driver,
@@ -144,13 +144,13 @@
 
 /// Takes over from a process beside this one, or what the last one has kept.
 async fn meet_siblings(driver: &Rc<Driver>, calls: &mut JoinSet<()>) {
-    let handler: siblings::Handler = Rc::new(driver.clone());
-    let (met, listener) = siblings::meet(&driver.siblings, &handler).await;
+    let handler: replicas::Handler = Rc::new(driver.clone());
+    let (met, listener) = predecessor::meet(&driver.siblings, &handler).await;
     if !met {
         driver.restore_maintenance();
     }
     if let Some(listener) = listener {
-        calls.spawn_local(siblings::welcome(driver.siblings.clone(), handler, listener));
+        calls.spawn_local(successor::welcome(driver.siblings.clone(), handler, listener));
     }
 }
 
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -84,8 +84,9 @@
 }
 
 /// The layers of the node, each using only those before it; a name stands for the file or the folder.
-const LAYERS: [&[&str]; 4] = [
-    &["config", "config_check", "maintenance_file", "metrics", "processes", "wire"],
+const LAYERS: [&[&str]; 5] = [
+    &["config", "config_check", "metrics", "wire"],
+    &["hot_restart"],
     &["connection"],
     &["runtime"],
     &["descriptors", "drain", "listener", "reload", "start"],
--- a/tests/unit/maintenance_file.rs
+++ b/tests/unit/maintenance_file.rs
@@ -1,6 +1,7 @@
 //! The form of the file that outlives the process: the bytes that earlier versions wrote, read and written.
 
 use super::*;
+use std::env;
 
 const STORED: &str = r#"{"form":1,"node":"n0","out":["10.1.0.18:8443","s-00000007"]}"#;
 
@@ -12,14 +13,14 @@
         let folder = env::temp_dir().join(format!("left-out-file-{name}-{}", process::id()));
         fs::create_dir_all(&folder).expect("a folder");
         let path = folder.join("oliverack-n0.out.json");
-        let folder = SharedFolder { folder, node: "n0".to_owned() };
+        let folder = SharedFolder::below(folder, "n0");
         Self(MaintenanceFile { node: "n0".to_owned(), path, folder })
     }
 }
 
 impl Drop for Scratch {
     fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0.folder.folder);
+        let _ = fs::remove_dir_all(self.0.path.parent().expect("a folder"));
     }
 }
 
