--- a/src/node/descriptors.rs
+++ b/src/node/descriptors.rs
@@ -1,6 +1,8 @@
 //! How the file descriptors that the process may hold are dealt out.
 
-use crate::node::{config::Config, connection::counter_client, hot_restart::replicas, runtime::counters};
+use crate::node::{
+    config::Config, connection::counter_client, hot_restart::replica_table, runtime::counters,
+};
 
 /// Descriptors beside clients and endpoints: the standard three, runtime, signals, listener, a client just accepted,
 /// discovery, a configuration being read, and the counter's lines, also those at old addresses.
@@ -22,7 +24,7 @@
 impl DescriptorBudget {
     /// Deals out what the configuration allows, which has been seen to be enough.
     pub fn new(config: &Config) -> Self {
-        let operators = config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + replicas::SOCKETS);
+        let operators = config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + replica_table::SOCKETS);
         let shared = config.sockets - OTHERS - operators;
         let endpoints = shared * ENDPOINTS_TWENTIETHS / 20;
         Self { clients: shared - endpoints, endpoints }
--- a/src/node/hot_restart/framing.rs
+++ b/src/node/hot_restart/framing.rs
@@ -1,56 +1,85 @@
-//! Messages as lines of JSON on a socket.
+//! Messages on a socket: one line of JSON each.
 
 use crate::node::hot_restart::message::Message;
-use std::{fmt, io};
+use std::io;
+use thiserror::Error;
 use tokio::{
     io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader},
-    net::unix::{OwnedReadHalf, OwnedWriteHalf},
+    net::{
+        UnixStream,
+        unix::{OwnedReadHalf, OwnedWriteHalf},
+    },
 };
 
-#[derive(Debug)]
-pub enum Fault {
-    Socket(io::Error),
-    Silent,
+/// Why no message could be read or written.
+#[derive(Debug, Error)]
+pub enum MessageError {
+    /// The socket failed, or the peer has closed it.
+    #[error(transparent)]
+    Socket(#[from] io::Error),
+    /// A line is not a message.
+    #[error("a malformed message: {0}")]
     Malformed(serde_json::Error),
-    /// A message that does not belong there, in another form, for another node, or too long.
-    Foreign,
+    /// A line is longer than any message.
+    #[error("a message longer than {max_bytes} bytes")]
+    TooLong {
+        /// Length of the longest message that is read.
+        max_bytes: u64,
+    },
+    /// The peer closed the connection within a line.
+    #[error("a message cut off after {bytes} bytes")]
+    Truncated {
+        /// Length of the part that arrived.
+        bytes: usize,
+    },
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Socket(e) => e.fmt(f),
-            Self::Silent => f.write_str("no message in time"),
-            Self::Malformed(e) => write!(f, "a malformed message: {e}"),
-            Self::Foreign => f.write_str("a message that does not belong here"),
-        }
-    }
-}
-
-pub async fn write(writer: &mut OwnedWriteHalf, message: &Message) -> Result<(), Fault> {
-    let mut line = serde_json::to_vec(message).map_err(Fault::Malformed)?;
-    line.push(b'\n');
-    writer.write_all(&line).await.map_err(Fault::Socket)
+/// Divides a connection into its two directions; messages of more than `max_bytes` are not read.
+pub fn split(socket: UnixStream, max_bytes: u64) -> (MessageReader, MessageWriter) {
+    let (read_half, write_half) = socket.into_split();
+    let reader = MessageReader { reader: BufReader::new(read_half), max_bytes };
+    (reader, MessageWriter { writer: write_half })
 }
 
-pub struct Lines {
+/// The receiving direction of a connection.
+pub struct MessageReader {
     reader: BufReader<OwnedReadHalf>,
-    /// Longest message, in bytes.
-    most: u64,
+    max_bytes: u64,
 }
 
-impl Lines {
-    pub fn new(reader: OwnedReadHalf, most: u64) -> Self {
-        Self { reader: BufReader::new(reader), most }
-    }
-
-    pub async fn next(&mut self) -> Result<Message, Fault> {
+impl MessageReader {
+    /// Waits for the next message.
+    ///
+    /// # Errors
+    /// The connection has ended, or the next line is not a message.
+    pub async fn read(&mut self) -> Result<Message, MessageError> {
         let mut line = Vec::new();
-        (&mut self.reader).take(self.most).read_until(b'\n', &mut line).await.map_err(Fault::Socket)?;
+        (&mut self.reader).take(self.max_bytes).read_until(b'\n', &mut line).await?;
         match line.last() {
-            Some(b'\n') => serde_json::from_slice(&line).map_err(Fault::Malformed),
-            None => Err(Fault::Socket(io::ErrorKind::UnexpectedEof.into())),
-            Some(_) => Err(Fault::Foreign),
+            Some(b'\n') => serde_json::from_slice(&line).map_err(MessageError::Malformed),
+            None => Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
+            Some(_) if line.len() as u64 >= self.max_bytes => {
+                Err(MessageError::TooLong { max_bytes: self.max_bytes })
+            }
+            Some(_) => Err(MessageError::Truncated { bytes: line.len() }),
         }
     }
 }
+
+/// The sending direction of a connection.
+pub struct MessageWriter {
+    writer: OwnedWriteHalf,
+}
+
+impl MessageWriter {
+    /// Writes a message.
+    ///
+    /// # Errors
+    /// The connection has ended.
+    pub async fn write(&mut self, message: &Message) -> Result<(), MessageError> {
+        let mut line = serde_json::to_vec(message).map_err(MessageError::Malformed)?;
+        line.push(b'\n');
+        self.writer.write_all(&line).await?;
+        Ok(())
+    }
+}
--- a/src/node/hot_restart/maintenance_file.rs
+++ b/src/node/hot_restart/maintenance_file.rs
@@ -1,98 +1,126 @@
-//! What must outlive the process: the endpoints that operators have left out, in a file in the folder that a
-//! process shares with its successor.
+//! The file that keeps the endpoints in maintenance when no process of the gateway is left to hand them over.
+//!
+//! Programs of other versions read and write it, so its serialized names are fixed.
 
 use crate::node::hot_restart::shared_folder::SharedFolder;
 use oliverack::EndpointId;
 use serde::{Deserialize, Serialize};
 use std::{
     collections::BTreeSet,
-    fmt, fs, io,
+    fs, io,
     path::{Path, PathBuf},
     process,
 };
+use thiserror::Error;
 
-/// Longest file that is read: far more endpoints than any list names.
-const MOST: u64 = 1 << 20;
-/// The file's form; another one is refused.
-const FORM: u32 = 1;
+/// Length of the longest file that is read, far beyond what a list of endpoints needs.
+const MAX_FILE_BYTES: u64 = 1 << 20;
+/// Version of the file's format. A file of another version is not read.
+const FORMAT_VERSION: u32 = 1;
 
+/// The file's contents.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
-    form: u32,
-    node: String,
-    out: BTreeSet<String>,
+struct StoredMaintenance {
+    #[serde(rename = "form")]
+    format_version: u32,
+    #[serde(rename = "node")]
+    gateway_name: String,
+    #[serde(rename = "out")]
+    endpoints: BTreeSet<String>,
 }
 
-#[derive(Debug)]
+/// Why the file could not be read or written.
+#[derive(Debug, Error)]
 pub enum MaintenanceFileError {
+    /// The file can't be accessed.
+    #[error("the maintenance file: {0}")]
     File(io::Error),
-    /// Torn, or in no form that is known.
+    /// The file is torn or has other contents.
+    #[error("the maintenance file is malformed: {0}")]
     Malformed(serde_json::Error),
-    /// Longer than any that is written, in another form, or another node's.
-    Foreign,
+    /// The file is longer than any that is written.
+    #[error("the maintenance file has {bytes} bytes, more than {MAX_FILE_BYTES}")]
+    TooLong {
+        /// Length of the file.
+        bytes: u64,
+    },
+    /// The file has another version of the format.
+    #[error("the maintenance file has the unsupported format version {0}")]
+    UnsupportedFormat(u32),
+    /// The file belongs to another gateway.
+    #[error("the maintenance file is not this node's but that of {0}")]
+    OtherGateway(String),
 }
 
-impl fmt::Display for MaintenanceFileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::File(e) => write!(f, "the maintenance file: {e}"),
-            Self::Malformed(e) => write!(f, "the maintenance file is malformed: {e}"),
-            Self::Foreign => f.write_str("the maintenance file is not this node's"),
-        }
-    }
-}
-
-/// The ending of the file's name.
-const ENDING: &str = ".out.json";
-
-/// Where the endpoints left out are kept.
+/// See the [module](self).
 pub struct MaintenanceFile {
-    node: String,
+    gateway_name: String,
     path: PathBuf,
     folder: SharedFolder,
 }
 
 impl MaintenanceFile {
-    /// That of a node; `None`: there is no folder for it.
-    pub fn new(node: &str) -> Option<Self> {
-        let folder = SharedFolder::of(node)?;
-        Some(Self { node: node.to_owned(), path: folder.path(ENDING), folder })
+    /// The file of a gateway; `None` without a shared folder.
+    pub fn new(gateway_name: &str) -> Option<Self> {
+        let folder = SharedFolder::of(gateway_name)?;
+        Some(Self::inside(folder, gateway_name))
     }
 
-    /// What was kept last; nothing without a file. Where this program has kept none, what one of another name has.
+    /// The file of a gateway in the given folder.
+    fn inside(folder: SharedFolder, gateway_name: &str) -> Self {
+        Self { gateway_name: gateway_name.to_owned(), path: folder.maintenance_file_path(), folder }
+    }
+
+    /// The endpoints that were stored last; none without a file. If this program has stored no file, one that a
+    /// program of another name has stored is read.
     ///
     /// # Errors
     /// This program's own file can't be read.
     pub fn load(&self) -> Result<Vec<EndpointId>, MaintenanceFileError> {
         match self.read(&self.path) {
             Err(MaintenanceFileError::File(e)) if e.kind() == io::ErrorKind::NotFound => {}
-            read => return read,
+            result => return result,
         }
-        // Another node's file may end alike: what can't be read here is not this one's.
-        let others = self.folder.files(|rest| rest == ENDING);
-        Ok(others.iter().find_map(|path| self.read(path).ok()).unwrap_or_default())
+        // Another gateway's file may match as well, so files that can't be read are skipped.
+        let candidates = self.folder.maintenance_file_paths();
+        Ok(candidates.iter().find_map(|path| self.read(path).ok()).unwrap_or_default())
     }
 
     fn read(&self, path: &Path) -> Result<Vec<EndpointId>, MaintenanceFileError> {
-        if fs::metadata(path).map_err(MaintenanceFileError::File)?.len() > MOST {
-            return Err(MaintenanceFileError::Foreign);
+        let bytes = fs::metadata(path).map_err(MaintenanceFileError::File)?.len();
+        if bytes > MAX_FILE_BYTES {
+            return Err(MaintenanceFileError::TooLong { bytes });
         }
         let text = fs::read(path).map_err(MaintenanceFileError::File)?;
-        let file: File = serde_json::from_slice(&text).map_err(MaintenanceFileError::Malformed)?;
-        if file.form != FORM || file.node != self.node {
-            return Err(MaintenanceFileError::Foreign);
+        let stored: StoredMaintenance =
+            serde_json::from_slice(&text).map_err(MaintenanceFileError::Malformed)?;
+        if stored.format_version != FORMAT_VERSION {
+            return Err(MaintenanceFileError::UnsupportedFormat(stored.format_version));
+        }
+        if stored.gateway_name != self.gateway_name {
+            return Err(MaintenanceFileError::OtherGateway(stored.gateway_name));
         }
-        Ok(file.out.iter().map(|id| id.as_str().into()).collect())
+        Ok(stored.endpoints.iter().map(|id| id.as_str().into()).collect())
     }
 
-    /// Keeps these. The file is replaced whole, so that nobody reads half of it.
-    pub fn store<'a>(&self, out: impl Iterator<Item = &'a EndpointId>) -> Result<(), MaintenanceFileError> {
-        let out = out.map(|id| id.as_ref().to_owned()).collect();
-        let file = File { form: FORM, node: self.node.clone(), out };
-        let text = serde_json::to_vec(&file).map_err(MaintenanceFileError::Malformed)?;
-        let new = self.path.with_extension(format!("{}.new", process::id()));
-        fs::write(&new, text).and_then(|()| fs::rename(&new, &self.path)).map_err(MaintenanceFileError::File)
+    /// Stores the endpoints in maintenance. The file is replaced atomically, so that no process reads a part of it.
+    ///
+    /// # Errors
+    /// The file can't be written.
+    pub fn store<'a>(
+        &self,
+        endpoints: impl Iterator<Item = &'a EndpointId>,
+    ) -> Result<(), MaintenanceFileError> {
+        let stored = StoredMaintenance {
+            format_version: FORMAT_VERSION,
+            gateway_name: self.gateway_name.clone(),
+            endpoints: endpoints.map(|id| id.as_ref().to_owned()).collect(),
+        };
+        let text = serde_json::to_vec(&stored).map_err(MaintenanceFileError::Malformed)?;
+        let temporary_path = self.path.with_extension(format!("{}.new", process::id()));
+        fs::write(&temporary_path, text).map_err(MaintenanceFileError::File)?;
+        fs::rename(&temporary_path, &self.path).map_err(MaintenanceFileError::File)
     }
 }
 
--- /dev/null
+++ b/src/node/hot_restart/peer_connection.rs
@@ -0,0 +1,107 @@
+//! The connection to a peer process, from the end of the handshake on.
+
+use crate::node::hot_restart::{
+    framing::{MessageError, MessageReader, MessageWriter},
+    message::Message,
+    replica_table::{PeerRole, Siblings},
+};
+use oliverack::{EndpointId, HandoverSnapshot};
+use std::rc::Rc;
+use thiserror::Error;
+use tokio::{sync::mpsc, task::spawn_local};
+use tracing::warn;
+
+/// What peer processes read and change in this process.
+pub trait SiblingHandler {
+    /// Takes over what a predecessor has learned.
+    fn inherit(&self, snapshot: HandoverSnapshot);
+    /// What a successor takes over.
+    fn memory(&self) -> HandoverSnapshot;
+    /// Operators have put an endpoint into maintenance or taken it out, by a call to a peer.
+    fn set_maintenance(&self, endpoint: &EndpointId, in_maintenance: bool);
+    /// A peer has been added or removed.
+    fn processes_changed(&self);
+}
+
+/// The shared handler of all peers.
+pub type Handler = Rc<dyn SiblingHandler>;
+
+/// Why a connection to a peer ended.
+#[derive(Debug, Error)]
+enum ConnectionError {
+    /// A message could not be read or written.
+    #[error(transparent)]
+    Message(#[from] MessageError),
+    /// The peer sent a message that belongs to the handshake.
+    #[error("unexpected message {0}")]
+    UnexpectedMessage(&'static str),
+    /// The peer was removed from the table, as its outbox was full.
+    #[error("the outbox is full")]
+    OutboxFull,
+}
+
+impl ConnectionError {
+    /// Whether the peer broke the protocol; otherwise it has only ended or is stuck.
+    fn is_protocol_violation(&self) -> bool {
+        !matches!(self, Self::Message(MessageError::Socket(_)) | Self::OutboxFull)
+    }
+}
+
+/// Keeps a peer in the table for as long as the connection to it is open. `first_message` is written before all
+/// others.
+pub fn join(
+    table: &Rc<Siblings>,
+    handler: &Handler,
+    role: PeerRole,
+    mut reader: MessageReader,
+    mut writer: MessageWriter,
+    first_message: Option<Message>,
+) {
+    let (peer_id, mut outbox) = table.add(role);
+    handler.processes_changed();
+    let table = table.clone();
+    let handler = handler.clone();
+    spawn_local(async move {
+        let error = tokio::select! {
+            error = receive_messages(&mut reader, &handler) => error,
+            error = send_messages(&mut writer, first_message, &mut outbox) => error,
+        };
+        table.remove(peer_id);
+        handler.processes_changed();
+        if error.is_protocol_violation() {
+            warn!(reason = %error, "a sibling process is given up");
+        }
+    });
+}
+
+/// Carries out what the peer asks for; returns why that ended.
+async fn receive_messages(reader: &mut MessageReader, handler: &Handler) -> ConnectionError {
+    loop {
+        match reader.read().await {
+            Ok(Message::MaintenanceChanged { endpoint, in_maintenance }) => {
+                handler.set_maintenance(&endpoint, in_maintenance);
+            }
+            Ok(other) => return ConnectionError::UnexpectedMessage(other.kind()),
+            Err(error) => return error.into(),
+        }
+    }
+}
+
+/// Writes the first message and then those from the outbox; returns why that ended.
+async fn send_messages(
+    writer: &mut MessageWriter,
+    first_message: Option<Message>,
+    outbox: &mut mpsc::Receiver<Message>,
+) -> ConnectionError {
+    if let Some(message) = first_message {
+        if let Err(error) = writer.write(&message).await {
+            return error.into();
+        }
+    }
+    while let Some(message) = outbox.recv().await {
+        if let Err(error) = writer.write(&message).await {
+            return error.into();
+        }
+    }
+    ConnectionError::OutboxFull
+}
--- a/src/node/hot_restart/predecessor.rs
+++ b/src/node/hot_restart/predecessor.rs
@@ -1,79 +1,56 @@
-//! Meeting the processes that are at work already.
+//! Meets the processes that already serve this gateway.
 
 use crate::node::hot_restart::{
-    framing::{Fault, Lines, write},
-    message::{FORM, Message},
-    replicas::{Handler, MOST, Siblings, join},
+    framing::split,
+    handshake::{HANDSHAKE_TIMEOUT, HandshakeError},
+    message::{FORMAT_VERSION, Message},
+    peer_connection::{Handler, join},
+    replica_table::{MAX_PEERS, PeerRole, Siblings},
     shared_folder::SharedFolder,
-    successor::{MEET, SiblingListener},
-};
-use std::{
-    fs, io,
-    path::{Path, PathBuf},
-    process,
-    rc::Rc,
-};
-use tokio::{
-    net::{UnixListener, UnixStream},
-    time::timeout,
+    successor::SiblingListener,
 };
+use std::{fs, path::Path, rc::Rc};
+use tokio::{net::UnixStream, time::timeout};
 use tracing::warn;
 
-/// The ending of the sockets' names.
-const ENDING: &str = ".sock";
-
-/// Calls the elder siblings, takes over what they know, and listens for younger ones; whether there was an
-/// elder. Without a folder, or one that takes no socket, this process stands alone.
-pub async fn meet(siblings: &Rc<Siblings>, handler: &Handler) -> (bool, Option<SiblingListener>) {
-    let Some(folder) = SharedFolder::of(&siblings.node) else { return (false, None) };
-    let mut met = false;
-    for path in sockets(&folder) {
-        match call(siblings, handler, &path).await {
-            Ok(()) => met = true,
-            Err(Fault::Socket(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                // Its process is gone; a failure to tidy up leaves it to the next one.
-                let _ = fs::remove_file(&path);
+/// Connects to the predecessors, takes over what they have learned, and listens for successors. Returns whether
+/// there is a predecessor. Without a shared folder, or one that takes no socket, this process stands alone.
+pub async fn meet(table: &Rc<Siblings>, handler: &Handler) -> (bool, Option<SiblingListener>) {
+    let Some(folder) = SharedFolder::of(table.gateway_name()) else { return (false, None) };
+    let mut has_predecessor = false;
+    for path in folder.socket_paths().iter().take(MAX_PEERS) {
+        match connect(table, handler, path).await {
+            Ok(()) => has_predecessor = true,
+            Err(error) if error.is_connection_refused() => {
+                // A file that can't be removed is left to the next process.
+                let _ = fs::remove_file(path);
             }
-            Err(fault) => warn!(path = %path.display(), reason = %fault, "no sibling process listens there"),
+            Err(error) => warn!(path = %path.display(), reason = %error, "no sibling process listens there"),
         }
     }
-    let path = folder.path(&format!(".{}{ENDING}", process::id()));
-    // Of a process that had this number before.
-    let _ = fs::remove_file(&path);
-    match UnixListener::bind(&path) {
-        Ok(socket) => (met, Some(SiblingListener { socket, path })),
-        Err(e) => {
-            warn!(reason = %e, "no process can follow this one");
-            (met, None)
+    match SiblingListener::bind(&folder) {
+        Ok(listener) => (has_predecessor, Some(listener)),
+        Err(error) => {
+            warn!(reason = %error, "no process can follow this one");
+            (has_predecessor, None)
         }
     }
 }
 
-/// The sockets of this node's processes, as far as they may be siblings.
-fn sockets(folder: &SharedFolder) -> Vec<PathBuf> {
-    let is_numbered = |rest: &str| {
-        let number = rest.strip_prefix('.').and_then(|rest| rest.strip_suffix(ENDING));
-        number.is_some_and(|number| !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit()))
-    };
-    let mut sockets = folder.files(is_numbered);
-    sockets.truncate(MOST);
-    sockets
-}
-
-async fn call(siblings: &Rc<Siblings>, handler: &Handler, path: &Path) -> Result<(), Fault> {
-    let first = async {
-        let socket = UnixStream::connect(path).await.map_err(Fault::Socket)?;
-        let (reader, mut writer) = socket.into_split();
-        let mut lines = Lines::new(reader, siblings.longest);
-        write(&mut writer, &Message::Hello { form: FORM, node: siblings.node.clone() }).await?;
-        Ok((lines.next().await?, lines, writer))
+/// Performs the handshake with the process that listens at `path`, and adds it as a peer.
+async fn connect(table: &Rc<Siblings>, handler: &Handler, path: &Path) -> Result<(), HandshakeError> {
+    let handshake = async {
+        let socket = UnixStream::connect(path).await?;
+        let (mut reader, mut writer) = split(socket, table.max_message_bytes());
+        let gateway_name = table.gateway_name().to_owned();
+        writer.write(&Message::Hello { format_version: FORMAT_VERSION, gateway_name }).await?;
+        let reply = reader.read().await?;
+        Ok::<_, HandshakeError>((reply, reader, writer))
     };
-    match timeout(MEET, first).await.map_err(|_| Fault::Silent)?? {
-        (Message::Knows(memory), lines, writer) => {
-            handler.inherit(memory);
-            join(siblings, handler, true, lines, writer, None);
-            Ok(())
-        }
-        _ => Err(Fault::Foreign),
-    }
+    let finished = timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| HandshakeError::Timeout)?;
+    let (reply, reader, writer) = finished?;
+    let Message::Snapshot(snapshot) = reply else { return Err(HandshakeError::unexpected(&reply)) };
+    handler.inherit(snapshot);
+    join(table, handler, PeerRole::Predecessor, reader, writer, None);
+    Ok(())
 }
--- a/src/node/hot_restart/replica_counts.rs
+++ b/src/node/hot_restart/replica_counts.rs
@@ -1,33 +1,33 @@
-//! The processes that serve this gateway side by side, as in an upgrade.
+//! How many processes serve this gateway side by side.
 
 use std::cell::Cell;
 
-/// How many other processes there are, by whether they started before this one.
+/// How many peer processes there are.
 #[derive(Debug, Default)]
 pub struct Processes {
-    elder: Cell<u32>,
-    younger: Cell<u32>,
+    predecessors: Cell<u32>,
+    successors: Cell<u32>,
 }
 
 impl Processes {
-    /// Sets how many others there are.
-    pub fn set(&self, elder: u32, younger: u32) {
-        self.elder.set(elder);
-        self.younger.set(younger);
+    /// Replaces both counts.
+    pub fn set(&self, predecessors: u32, successors: u32) {
+        self.predecessors.set(predecessors);
+        self.successors.set(successors);
     }
 
-    /// This process's place among them, the eldest first.
+    /// The position of this process among all of them, in the order of their starts.
     pub fn place(&self) -> u32 {
-        self.elder.get()
+        self.predecessors.get()
     }
 
-    /// How many there are, this one included.
+    /// How many processes there are, this one included.
     pub fn count(&self) -> u32 {
-        1 + self.elder.get() + self.younger.get()
+        1 + self.predecessors.get() + self.successors.get()
     }
 
-    /// A younger process takes clients, too.
+    /// Whether a successor accepts clients, too.
     pub fn is_followed(&self) -> bool {
-        self.younger.get() > 0
+        self.successors.get() > 0
     }
 }
--- a/src/node/hot_restart/successor.rs
+++ b/src/node/hot_restart/successor.rs
@@ -1,59 +1,87 @@
-//! Accepting the processes that follow this one.
+//! Accepts the processes that start after this one.
 
 use crate::node::hot_restart::{
-    framing::{Fault, Lines},
-    message::{FORM, Message},
-    replicas::{Handler, MOST, Siblings, join},
+    framing::split,
+    handshake::{HANDSHAKE_TIMEOUT, HandshakeError},
+    message::{FORMAT_VERSION, Message},
+    peer_connection::{Handler, join},
+    replica_table::{PeerRole, Siblings},
+    shared_folder::SharedFolder,
 };
-use std::{fs, path::PathBuf, rc::Rc, time::Duration};
+use std::{fs, io, path::PathBuf, process, rc::Rc, time::Duration};
 use tokio::{
     net::{UnixListener, UnixStream},
     time::{sleep, timeout},
 };
 use tracing::warn;
 
-/// Longest time for an elder to say what it knows: a process that is stuck must not hold up the new one.
-pub const MEET: Duration = Duration::from_millis(500);
-/// Pause after a failure to accept.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause after a connection could not be accepted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// This process's own socket, taken out of the folder with it.
+/// The socket on which successors connect; its file is removed with it.
 pub struct SiblingListener {
-    pub socket: UnixListener,
-    pub path: PathBuf,
+    socket: UnixListener,
+    path: PathBuf,
+}
+
+impl SiblingListener {
+    /// Listens on the socket of this process in the shared folder.
+    ///
+    /// # Errors
+    /// The folder takes no socket.
+    pub fn bind(folder: &SharedFolder) -> io::Result<Self> {
+        let path = folder.socket_path(process::id());
+        // An earlier process with the same process id may have left its socket.
+        let _ = fs::remove_file(&path);
+        let socket = UnixListener::bind(&path)?;
+        Ok(Self { socket, path })
+    }
 }
 
 impl Drop for SiblingListener {
     fn drop(&mut self) {
-        // One that stays is found dead by the next process, which removes it.
+        // A file that can't be removed is removed by the next process, which finds that nobody listens.
         let _ = fs::remove_file(&self.path);
     }
 }
 
-/// Lets younger siblings in, for good.
-pub async fn welcome(siblings: Rc<Siblings>, handler: Handler, listener: SiblingListener) {
+/// Accepts successors for the rest of the process's life.
+pub async fn welcome(table: Rc<Siblings>, handler: Handler, listener: SiblingListener) {
     loop {
         let Ok((socket, _)) = listener.socket.accept().await else {
-            sleep(PAUSE).await;
+            sleep(ACCEPT_BACKOFF).await;
             continue;
         };
-        if siblings.known.borrow().len() >= MOST {
+        if table.is_full() {
             continue;
         }
-        if let Err(fault) = answer(&siblings, &handler, socket).await {
-            warn!(reason = %fault, "a caller is no sibling process");
+        if let Err(error) = accept(&table, &handler, socket).await {
+            warn!(reason = %error, "a caller is no sibling process");
         }
     }
 }
 
-async fn answer(siblings: &Rc<Siblings>, handler: &Handler, socket: UnixStream) -> Result<(), Fault> {
-    let (reader, writer) = socket.into_split();
-    let mut lines = Lines::new(reader, siblings.longest);
-    match timeout(MEET, lines.next()).await.map_err(|_| Fault::Silent)?? {
-        Message::Hello { form: FORM, node } if node == siblings.node => {}
-        _ => return Err(Fault::Foreign),
+/// Performs the handshake with a process that has connected, and adds it as a peer.
+async fn accept(table: &Rc<Siblings>, handler: &Handler, socket: UnixStream) -> Result<(), HandshakeError> {
+    let (mut reader, writer) = split(socket, table.max_message_bytes());
+    let received = timeout(HANDSHAKE_TIMEOUT, reader.read()).await.map_err(|_| HandshakeError::Timeout)?;
+    check_hello(&received?, table.gateway_name())?;
+    // Changes from here on wait in the peer's outbox, behind the snapshot.
+    let snapshot = Message::Snapshot(handler.memory());
+    join(table, handler, PeerRole::Successor, reader, writer, Some(snapshot));
+    Ok(())
+}
+
+/// Whether the first message is that of a successor of this gateway.
+fn check_hello(message: &Message, own_gateway_name: &str) -> Result<(), HandshakeError> {
+    let Message::Hello { format_version, gateway_name } = message else {
+        return Err(HandshakeError::unexpected(message));
+    };
+    if *format_version != FORMAT_VERSION {
+        return Err(HandshakeError::UnsupportedFormat(*format_version));
+    }
+    if gateway_name != own_gateway_name {
+        return Err(HandshakeError::OtherGateway(gateway_name.clone()));
     }
-    // A sibling from here on: what operators say meanwhile goes to it, behind what is known now.
-    join(siblings, handler, false, lines, writer, Some(Message::Knows(handler.memory())));
     Ok(())
 }
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -7,7 +7,7 @@
         endpoint_pool::EndpointPool,
         events::{EventSender, EventSink},
     },
-    hot_restart::{maintenance_file::MaintenanceFile, replica_counts::Processes, replicas::Siblings},
+    hot_restart::{maintenance_file::MaintenanceFile, replica_counts::Processes, replica_table::Siblings},
     metrics::Metrics,
     runtime::{
         clock::Clock,
--- a/src/node/runtime/operations.rs
+++ b/src/node/runtime/operations.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::operators::MaintenanceError,
-    hot_restart::{maintenance_file::MaintenanceFile, replicas::SiblingHandler},
+    hot_restart::{maintenance_file::MaintenanceFile, peer_connection::SiblingHandler},
     runtime::driver::Driver,
 };
 use oliverack::{EndpointId, Event, HandoverSnapshot};
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -9,7 +9,7 @@
     },
     descriptors::DescriptorBudget,
     drain::{drain, time_to_kill},
-    hot_restart::{predecessor, replicas, successor},
+    hot_restart::{peer_connection, predecessor, successor},
     listener::inherited,
     reload::reload,
     runtime::driver::Driver,
@@ -144,7 +144,7 @@
 
 /// Takes over from a process beside this one, or what the last one has kept.
 async fn meet_siblings(driver: &Rc<Driver>, calls: &mut JoinSet<()>) {
-    let handler: replicas::Handler = Rc::new(driver.clone());
+    let handler: peer_connection::Handler = Rc::new(driver.clone());
     let (met, listener) = predecessor::meet(&driver.siblings, &handler).await;
     if !met {
         driver.restore_maintenance();
--- a/tests/unit/hot_restart_message.rs
+++ b/tests/unit/hot_restart_message.rs
@@ -21,7 +21,7 @@
         ejected_until: 1_764_748_812.75,
         ejection_time: 2.0,
     };
-    let memory = HandoverSnapshot {
+    let snapshot = HandoverSnapshot {
         endpoints: vec![known],
         in_maintenance: vec!["s-00000007".into()],
         peak_units_per_second: 12.5,
@@ -29,21 +29,21 @@
         counter_calls_per_second: 4.0,
     };
     [
-        (Message::Hello { form: FORM, node: "n0".to_owned() }, HELLO),
-        (Message::Knows(memory), KNOWS),
-        (Message::ByHand { endpoint: "s-00000007".into(), out: true }, BY_HAND),
+        (Message::Hello { format_version: FORMAT_VERSION, gateway_name: "n0".to_owned() }, HELLO),
+        (Message::Snapshot(snapshot), KNOWS),
+        (Message::MaintenanceChanged { endpoint: "s-00000007".into(), in_maintenance: true }, BY_HAND),
     ]
 }
 
 #[test]
-fn messages_have_the_bytes_that_earlier_versions_sent() {
+fn message_is_written_with_the_bytes_of_earlier_versions() {
     for (message, bytes) in messages() {
         assert_eq!(serde_json::to_string(&message).expect("a message"), bytes);
     }
 }
 
 #[test]
-fn messages_of_an_earlier_version_are_read() {
+fn bytes_of_an_earlier_version_are_read() {
     for (message, bytes) in messages() {
         let read: Message = serde_json::from_str(bytes).expect("a known form");
         assert_eq!(read, message);
--- a/tests/unit/maintenance_file.rs
+++ b/tests/unit/maintenance_file.rs
@@ -10,11 +10,12 @@
 
 impl Scratch {
     fn new(name: &str) -> Self {
-        let folder = env::temp_dir().join(format!("left-out-file-{name}-{}", process::id()));
+        let folder = env::temp_dir().join(format!("maintenance-file-{name}-{}", process::id()));
         fs::create_dir_all(&folder).expect("a folder");
         let path = folder.join("oliverack-n0.out.json");
-        let folder = SharedFolder::below(folder, "n0");
-        Self(MaintenanceFile { node: "n0".to_owned(), path, folder })
+        let file = MaintenanceFile::inside(SharedFolder::below(folder, "n0"), "n0");
+        assert_eq!(file.path, path);
+        Self(file)
     }
 }
 
@@ -25,10 +26,10 @@
 }
 
 #[test]
-fn stored_file_has_the_bytes_that_earlier_versions_wrote() {
+fn file_is_written_with_the_bytes_of_earlier_versions() {
     let scratch = Scratch::new("stored");
-    let workers: [EndpointId; 2] = ["s-00000007".into(), "10.1.0.18:8443".into()];
-    scratch.0.store(workers.iter()).expect("a folder to write to");
+    let endpoints: [EndpointId; 2] = ["s-00000007".into(), "10.1.0.18:8443".into()];
+    scratch.0.store(endpoints.iter()).expect("a folder to write to");
     assert_eq!(fs::read_to_string(&scratch.0.path).expect("a file"), STORED);
     scratch.0.store([].iter()).expect("a folder to write to");
     assert_eq!(fs::read_to_string(&scratch.0.path).expect("a file"), r#"{"form":1,"node":"n0","out":[]}"#);
