--- a/src/node/hot_restart/peer_connection.rs
+++ b/src/node/hot_restart/peer_connection.rs
@@ -69,7 +69,7 @@
         table.remove(peer_id);
         handler.processes_changed();
         if error.is_protocol_violation() {
-            warn!(reason = %error, "a sibling process is given up");
+            warn!(reason = %error, "connection to a replica process closed");
         }
     });
 }
--- a/src/node/hot_restart/predecessor.rs
+++ b/src/node/hot_restart/predecessor.rs
@@ -25,13 +25,13 @@
                 // A file that can't be removed is left to the next process.
                 let _ = fs::remove_file(path);
             }
-            Err(error) => warn!(path = %path.display(), reason = %error, "no sibling process listens there"),
+            Err(error) => warn!(path = %path.display(), reason = %error, "no predecessor listens there"),
         }
     }
     match SiblingListener::bind(&folder) {
         Ok(listener) => (has_predecessor, Some(listener)),
         Err(error) => {
-            warn!(reason = %error, "no process can follow this one");
+            warn!(reason = %error, "no successor can connect to this process");
             (has_predecessor, None)
         }
     }
--- a/src/node/hot_restart/successor.rs
+++ b/src/node/hot_restart/successor.rs
@@ -56,7 +56,7 @@
             continue;
         }
         if let Err(error) = accept(&table, &handler, socket).await {
-            warn!(reason = %error, "a caller is no sibling process");
+            warn!(reason = %error, "a caller is not a successor");
         }
     }
 }
