--- a/src/node/connection/counter_client.rs
+++ b/src/node/connection/counter/client.rs
@@ -4,12 +4,12 @@
 //! one does not stall the rest; calls for one name that are still waited for stay on one line, as their
 //! answers must come in order.
 
-use crate::node::{
-    connection::{
-        counter_line::{Call, Line},
-        events::EventSender,
+use crate::node::connection::{
+    counter::{
+        connection::{Call, Line},
+        protocol::{self, CounterAnswer, MAX_LINE},
     },
-    wire::counter_protocol::{self, CounterAnswer, MAX_LINE},
+    events::EventSender,
 };
 use bytes::BytesMut;
 use oliverack::{Event, Status};
@@ -90,7 +90,7 @@
     pub fn call(self: &Rc<Self>, events: &EventSender, name: u64, amount: f64, ttl: f64) -> u64 {
         let number = self.numbers.get();
         self.numbers.set(number + 1);
-        let text = counter_protocol::call(name, amount, ttl);
+        let text = protocol::call(name, amount, ttl);
         let call =
             Call { name: Some(name), number, since: Instant::now(), text, written: 0, reported: false };
         let mut lines = self.lines.borrow_mut();
@@ -196,7 +196,7 @@
             return if read.len() > MAX_LINE { Err(ErrorKind::InvalidData) } else { Ok(false) };
         };
         let line = read.split_to(length + 1);
-        let answer = counter_protocol::parse(&line[..length]);
+        let answer = protocol::parse(&line[..length]);
         let fits = answer.is_some_and(|answer| self.answered(index, &answer, events));
         if fits { Ok(true) } else { Err(ErrorKind::InvalidData) }
     }
@@ -231,7 +231,7 @@
 
     fn ping(&self, index: usize) {
         let line = &mut self.lines.borrow_mut()[index];
-        let text = counter_protocol::PING.to_vec();
+        let text = protocol::PING.to_vec();
         let since = Instant::now();
         line.calls.push_back(Call { name: None, number: 0, since, text, written: 0, reported: true });
     }
--- /dev/null
+++ b/src/node/connection/counter/mod.rs
@@ -0,0 +1,5 @@
+//! The client of the counter.
+
+pub mod client;
+pub mod connection;
+pub mod protocol;
--- a/src/node/wire/counter_protocol.rs
+++ b/src/node/connection/counter/protocol.rs
@@ -33,5 +33,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/counter_protocol.rs"]
+#[path = "../../../../tests/unit/counter_protocol.rs"]
 mod tests;
--- a/src/node/connection/mod.rs
+++ b/src/node/connection/mod.rs
@@ -3,8 +3,7 @@
 
 pub mod answer_body;
 pub mod clients;
-pub mod counter_client;
-pub mod counter_line;
+pub mod counter;
 pub mod discovery;
 pub mod endpoint_attempt;
 pub mod endpoint_pool;
--- a/src/node/runtime/counters.rs
+++ b/src/node/runtime/counters.rs
@@ -1,6 +1,6 @@
 //! The clients of the counter: the one at the present address, and those at earlier ones while calls are waited for.
 
-use crate::node::connection::{counter_client::CounterClient, events::EventSender};
+use crate::node::connection::{counter::client::CounterClient, events::EventSender};
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
 /// Clients of the counter at old addresses, at most: several reloads in a row leave no more.
--- a/src/node/runtime/timers.rs
+++ b/src/node/runtime/timers.rs
@@ -1,6 +1,6 @@
 //! Timers in the order in which they are due.
 
-use crate::node::connection::counter_client::CounterClient;
+use crate::node::connection::counter::client::CounterClient;
 use oliverack::{RequestId, Time};
 use std::{
     cell::{Cell, RefCell},
--- a/src/node/wire/mod.rs
+++ b/src/node/wire/mod.rs
@@ -2,7 +2,6 @@
 
 pub mod client_request;
 pub mod client_response;
-pub mod counter_protocol;
 pub mod endpoint_list;
 pub mod limits;
 pub mod load_report;
