--- a/src/node/connection/counter/connection.rs
+++ b/src/node/connection/counter/connection.rs
@@ -1,71 +1,298 @@
-//! One connection to the counter, and the calls that wait for their answers on it, in order.
+//! One connection to the counter, which is made again whenever it ends.
 
+use crate::node::connection::{
+    counter::{
+        call::{Call, CallId},
+        call_queue::CallQueue,
+        error::CounterError,
+        protocol::{self, MAX_REPLY_BYTES},
+    },
+    events::EventSender,
+};
+use bytes::BytesMut;
 use std::{
-    collections::VecDeque,
-    io::ErrorKind,
+    cell::{Cell, RefCell},
+    convert::Infallible,
+    net::SocketAddr,
     rc::Rc,
     time::{Duration, Instant},
 };
-use tokio::{net::tcp::OwnedWriteHalf, sync::Notify};
-
-/// A call that was made on a line.
-pub struct Call {
-    /// The count's name; `None` for a ping.
-    pub name: Option<u64>,
-    /// Its own.
-    pub number: u64,
-    /// When it was made.
-    pub since: Instant,
-    /// What is written of it.
-    pub text: Vec<u8>,
-    /// How many bytes of that have been.
-    pub written: usize,
-    /// Its end has been told of; an answer is passed over.
-    pub reported: bool,
+use tokio::{
+    io::AsyncReadExt,
+    net::{TcpStream, tcp::OwnedWriteHalf},
+    sync::Notify,
+    task::spawn_local,
+    time::{MissedTickBehavior, interval, sleep, sleep_until, timeout},
+};
+use tracing::warn;
+
+/// Longest time for a connection to be made, in call timeouts.
+const CONNECT_TIMEOUT_CALLS: u32 = 5;
+/// Time without a reply after which a connection is replaced, in call timeouts. The counter rejects calls long before
+/// its queue takes so long, so a connection that is silent for longer is dead.
+const REPLY_TIMEOUT_CALLS: u32 = 4;
+/// Interval of pings, well under the shortest idle time after which the counter closes a connection.
+const PING_INTERVAL: Duration = Duration::from_secs(2);
+/// Wait before the first attempt to connect again.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// Longest wait before an attempt to connect again.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Least time between two warnings about failed connections of one client.
+const WARNING_INTERVAL: Duration = Duration::from_secs(10);
+/// Size of the buffer that one read fills.
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// What the connections of a client share.
+pub struct ClientContext {
+    /// Where the counter listens.
+    pub address: SocketAddr,
+    /// Time after which the policy no longer awaits a call.
+    pub call_timeout: Duration,
+    /// The client makes no connection again, and each one ends when no call is awaited on it.
+    pub is_retired: Cell<bool>,
+    last_warning_at: Cell<Option<Instant>>,
+}
+
+impl ClientContext {
+    /// The context of a client that is not retired.
+    pub fn new(address: SocketAddr, call_timeout: Duration) -> Rc<Self> {
+        let is_retired = Cell::new(false);
+        Rc::new(Self { address, call_timeout, is_retired, last_warning_at: Cell::new(None) })
+    }
+
+    fn reply_timeout(&self) -> Duration {
+        self.call_timeout * REPLY_TIMEOUT_CALLS
+    }
+
+    /// Logs a failure, at most once in [`WARNING_INTERVAL`].
+    fn warn(&self, error: &CounterError) {
+        if self.last_warning_at.get().is_none_or(|at| at.elapsed() > WARNING_INTERVAL) {
+            self.last_warning_at.set(Some(Instant::now()));
+            warn!(address = %self.address, reason = %error, "counter connection failed");
+        }
+    }
+}
+
+/// Where a connection stands.
+enum ConnectionState {
+    /// It is made when a call needs it.
+    NotStarted,
+    /// It is being made.
+    Connecting,
+    /// Calls are written to it.
+    Connected(Rc<OwnedWriteHalf>),
+    /// It has failed. It is made again after a backoff, unless the client is retired.
+    Disconnected,
+}
+
+/// What a connection waits for, besides input.
+struct PendingWork {
+    /// A part of a call is still to be written.
+    has_unwritten: bool,
+    /// When the reply to the oldest call is overdue; `None` if there is no call.
+    reply_overdue_at: Option<Instant>,
 }
 
 /// See the [module](self).
-#[derive(Default)]
-pub struct Line {
-    /// `None` while the connection is not up.
-    pub socket: Option<Rc<OwnedWriteHalf>>,
-    /// The one that has waited longest first.
-    pub calls: VecDeque<Call>,
-    /// It has been asked to connect.
-    pub started: bool,
+pub struct CounterConnection {
+    context: Rc<ClientContext>,
+    state: RefCell<ConnectionState>,
+    calls: RefCell<CallQueue>,
     /// Wakes the task that writes and reads.
-    pub wake: Rc<Notify>,
+    wake: Notify,
 }
 
-impl Line {
-    /// Whether it has owed an answer for longer than `limit`.
-    pub fn overdue(&self, limit: Duration) -> bool {
-        self.calls.front().is_some_and(|c| c.since.elapsed() > limit)
+impl CounterConnection {
+    /// A connection that is not made yet.
+    pub fn new(context: Rc<ClientContext>) -> Rc<Self> {
+        let state = RefCell::new(ConnectionState::NotStarted);
+        Rc::new(Self { context, state, calls: RefCell::default(), wake: Notify::new() })
+    }
+
+    /// Connects, and keeps connected until the client is retired.
+    pub fn start(self: &Rc<Self>, events: &EventSender) {
+        self.state.replace(ConnectionState::Connecting);
+        spawn_local(self.clone().maintain(events.clone()));
+    }
+
+    /// Makes the task look at the calls and the client's state again.
+    pub fn wake(&self) {
+        self.wake.notify_one();
+    }
+
+    /// Writes a call, at once if the connection is made and its socket has room for it.
+    pub fn call(self: &Rc<Self>, call: Call, events: &EventSender) {
+        self.calls.borrow_mut().push(call);
+        if matches!(*self.state.borrow(), ConnectionState::NotStarted) {
+            self.start(events);
+        } else if self.write_calls().is_err() || self.calls.borrow().has_unwritten() {
+            self.wake();
+        }
+    }
+
+    /// Ends a call whose time ran out, if it is awaited here; whether it was.
+    pub fn expire(&self, id: CallId, events: &EventSender) -> bool {
+        let Some(end) = self.calls.borrow_mut().expire(id) else { return false };
+        if self.context.is_retired.get() {
+            self.wake();
+        }
+        end.post(events);
+        true
+    }
+
+    /// Disconnects and ends all calls, each with the status that follows from `error` and how far it had come.
+    pub fn disconnect(&self, error: &CounterError, events: &EventSender) {
+        if !matches!(*self.state.borrow(), ConnectionState::NotStarted) {
+            self.state.replace(ConnectionState::Disconnected);
+        }
+        let ends = self.calls.borrow_mut().end_all(error);
+        for end in ends {
+            end.post(events);
+        }
+    }
+
+    /// Whether calls can be written.
+    pub fn is_connected(&self) -> bool {
+        matches!(*self.state.borrow(), ConnectionState::Connected(_))
+    }
+
+    /// How many calls wait to be written or answered.
+    pub fn call_count(&self) -> usize {
+        self.calls.borrow().len()
+    }
+
+    /// Whether the oldest call has been without a reply for longer than `limit`.
+    pub fn is_overdue(&self, limit: Duration) -> bool {
+        self.calls.borrow().is_overdue(limit)
     }
 
-    /// When it will have owed an answer for `limit`.
-    pub fn overdue_at(&self, limit: Duration) -> Option<Instant> {
-        self.calls.front().map(|c| c.since + limit)
+    /// Whether the policy awaits any call.
+    pub fn has_awaited_calls(&self) -> bool {
+        self.calls.borrow().has_awaited()
+    }
+
+    /// Whether the policy awaits a call that adds to this counter.
+    pub fn awaits_counter(&self, counter: u64) -> bool {
+        self.calls.borrow().awaits_counter(counter)
+    }
+
+    /// Whether the policy awaits this call.
+    pub fn awaits_call(&self, id: CallId) -> bool {
+        self.calls.borrow().awaits_call(id)
+    }
+
+    /// Writes what the socket takes, if the connection is made.
+    fn write_calls(&self) -> Result<(), CounterError> {
+        match &*self.state.borrow() {
+            ConnectionState::Connected(writer) => self.calls.borrow_mut().write_to(writer),
+            _ => Ok(()),
+        }
     }
 
-    /// Writes what the socket takes; `false`: the connection is broken.
-    pub fn flush(&mut self) -> bool {
-        let Some(socket) = &self.socket else { return true };
-        for call in self.calls.iter_mut().filter(|c| c.written < c.text.len()) {
-            while call.written < call.text.len() {
-                match socket.try_write(&call.text[call.written..]) {
-                    Ok(n) => call.written += n,
-                    Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
-                    Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                    Err(_) => return false,
+    /// Makes the connection again and again until the client is retired.
+    async fn maintain(self: Rc<Self>, events: EventSender) {
+        let mut backoff = MIN_BACKOFF;
+        loop {
+            let Err(error) = self.connect_and_serve(&events, &mut backoff).await;
+            self.disconnect(&error, &events);
+            if self.context.is_retired.get() {
+                return;
+            }
+            self.context.warn(&error);
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
+            // Calls made meanwhile are unwritten; they are written to the new connection, or expire.
+            self.state.replace(ConnectionState::Connecting);
+        }
+    }
+
+    async fn connect_and_serve(
+        &self,
+        events: &EventSender,
+        backoff: &mut Duration,
+    ) -> Result<Infallible, CounterError> {
+        let connect_timeout = self.context.call_timeout * CONNECT_TIMEOUT_CALLS;
+        let connecting = TcpStream::connect(self.context.address);
+        let socket =
+            timeout(connect_timeout, connecting).await.map_err(|_| CounterError::ConnectTimeout)??;
+        socket.set_nodelay(true)?;
+        self.serve(socket, events, backoff).await
+    }
+
+    /// Writes calls and reads replies until the connection ends. Each reply resets the backoff.
+    async fn serve(
+        &self,
+        socket: TcpStream,
+        events: &EventSender,
+        backoff: &mut Duration,
+    ) -> Result<Infallible, CounterError> {
+        let (mut reader, writer) = socket.into_split();
+        let writer = Rc::new(writer);
+        self.state.replace(ConnectionState::Connected(writer.clone()));
+        let mut received = BytesMut::new();
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        let mut ping_timer = interval(PING_INTERVAL);
+        // After a stall of this process one ping is enough.
+        ping_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            let pending = self.prepare_to_wait()?;
+            let wait_until = pending.reply_overdue_at.unwrap_or_else(Instant::now);
+            let length = tokio::select! {
+                length = reader.read(&mut buffer) => length?,
+                ready = writer.writable(), if pending.has_unwritten => {
+                    ready?;
+                    continue;
+                }
+                () = self.wake.notified() => continue,
+                () = sleep_until(wait_until.into()), if pending.reply_overdue_at.is_some() => continue,
+                _ = ping_timer.tick() => {
+                    self.calls.borrow_mut().push(Call::ping());
+                    continue;
                 }
+            };
+            if length == 0 {
+                return Err(CounterError::Closed);
+            }
+            received.extend_from_slice(&buffer[..length]);
+            while self.take_reply(&mut received, events)? {
+                *backoff = MIN_BACKOFF;
             }
         }
-        true
     }
 
-    /// Something of a call is still to be written.
-    pub fn unwritten(&self) -> bool {
-        self.calls.back().is_some_and(|c| c.written < c.text.len())
+    /// Writes what can be written before the connection waits.
+    fn prepare_to_wait(&self) -> Result<PendingWork, CounterError> {
+        let reply_timeout = self.context.reply_timeout();
+        if self.is_overdue(reply_timeout) {
+            return Err(CounterError::ReplyOverdue);
+        }
+        self.write_calls()?;
+        if self.context.is_retired.get() && !self.has_awaited_calls() {
+            return Err(CounterError::Retired);
+        }
+        let calls = self.calls.borrow();
+        Ok(PendingWork {
+            has_unwritten: calls.has_unwritten(),
+            reply_overdue_at: calls.overdue_at(reply_timeout),
+        })
+    }
+
+    /// Takes the next reply out of what was received; whether there was a complete one. After an invalid one no later
+    /// reply could be matched to its call, so it is an error.
+    fn take_reply(&self, received: &mut BytesMut, events: &EventSender) -> Result<bool, CounterError> {
+        let Some(length) = received.iter().position(|byte| *byte == b'\n') else {
+            return if received.len() > MAX_REPLY_BYTES {
+                Err(CounterError::ReplyTooLong)
+            } else {
+                Ok(false)
+            };
+        };
+        let line = received.split_to(length + 1);
+        let reply = protocol::parse(&line[..length]).ok_or(CounterError::UnexpectedReply)?;
+        let end = self.calls.borrow_mut().answer_oldest(&reply)?;
+        if let Some(end) = end {
+            end.post(events);
+        }
+        Ok(true)
     }
 }
--- a/src/node/connection/counter/protocol.rs
+++ b/src/node/connection/counter/protocol.rs
@@ -1,33 +1,36 @@
-//! The counter's lines of text.
+//! The lines of text that the counter and its clients exchange.
 
-/// Longest answer line.
-pub const MAX_LINE: usize = 256;
-/// A call that costs nothing and shows that the counter is there.
+/// Length of the longest reply.
+pub const MAX_REPLY_BYTES: usize = 256;
+/// The line of a call that changes nothing.
 pub const PING: &[u8] = b"ping\r\n";
-/// Most milliseconds for which a name is kept.
-const MAX_LIFE_MS: f64 = 60_000.0;
+/// Longest time for which the counter may keep a new counter.
+const MAX_TTL_MS: f64 = 60_000.0;
 
-/// The line of a call that adds to a count; a new name is kept for `ttl` seconds.
-pub fn call(name: u64, amount: f64, ttl: f64) -> Vec<u8> {
-    let life = (ttl * 1000.0).round().clamp(1.0, MAX_LIFE_MS) as u64;
-    format!("bump {name} {amount} {life}\r\n").into_bytes()
+/// The line of a call that adds to a counter, which is kept for `ttl` seconds if it is new.
+pub fn add_line(counter: u64, amount: f64, ttl: f64) -> Vec<u8> {
+    let ttl_ms = (ttl * 1000.0).round().clamp(1.0, MAX_TTL_MS) as u64;
+    format!("bump {counter} {amount} {ttl_ms}\r\n").into_bytes()
 }
 
-/// An answer of the counter.
-pub enum CounterAnswer {
+/// A reply of the counter.
+pub enum CounterReply {
+    /// The amount was added; the total after it.
     Total(f64),
+    /// The counter was busy or found an error, and added nothing.
     NothingAdded,
+    /// The reply to a ping.
     Pong,
 }
 
-/// Reads an answer line, without its end; `None`: it is none.
-pub fn parse(line: &[u8]) -> Option<CounterAnswer> {
+/// Reads a reply from a line without its line feed. `None` if the line is not a reply.
+pub fn parse(line: &[u8]) -> Option<CounterReply> {
     let text = std::str::from_utf8(line).ok()?.trim_end_matches('\r');
     match text.split_once(' ') {
-        Some(("ok", total)) => total.parse().ok().filter(|t: &f64| t.is_finite()).map(CounterAnswer::Total),
-        Some(("error", _)) => Some(CounterAnswer::NothingAdded),
-        None if text == "busy" || text == "error" => Some(CounterAnswer::NothingAdded),
-        None if text == "pong" => Some(CounterAnswer::Pong),
+        Some(("ok", total)) => total.parse().ok().filter(|t: &f64| t.is_finite()).map(CounterReply::Total),
+        Some(("error", _)) => Some(CounterReply::NothingAdded),
+        None if text == "busy" || text == "error" => Some(CounterReply::NothingAdded),
+        None if text == "pong" => Some(CounterReply::Pong),
         _ => None,
     }
 }
--- a/src/node/descriptors.rs
+++ b/src/node/descriptors.rs
@@ -6,7 +6,7 @@
 
 /// Descriptors beside clients and endpoints: the standard three, runtime, signals, listener, a client just accepted,
 /// discovery, a configuration being read, and the counter's lines, also those at old addresses.
-const OTHERS: usize = 21 + client::LINES * (1 + counters::RETIRED);
+const OTHERS: usize = 21 + client::MAX_CONNECTIONS * (1 + counters::MAX_RETIRED_CLIENTS);
 /// The endpoints' part of what is left, in twentieths. Usual clients hold a third of the descriptors at most for
 /// requests. So the larger part may go to clients, to those that bring none, and endpoints get enough for an attempt a
 /// request and some kept ones.
--- a/src/node/runtime/counters.rs
+++ b/src/node/runtime/counters.rs
@@ -1,60 +1,73 @@
-//! The clients of the counter: the one at the present address, and those at earlier ones while calls are waited for.
+//! The clients of the counter: the current one, and retired ones at earlier addresses whose calls are still awaited.
 
 use crate::node::connection::{counter::client::CounterClient, events::EventSender};
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
-/// Clients of the counter at old addresses, at most: several reloads in a row leave no more.
-pub const RETIRED: usize = 2;
+/// Retired clients that are kept; a further one is closed, as each holds descriptors.
+pub const MAX_RETIRED_CLIENTS: usize = 2;
 
 /// See the [module](self).
 pub struct CounterClients {
-    /// After so long a call is given up.
-    limit: Duration,
+    /// Time after which the policy no longer awaits a call.
+    call_timeout: Duration,
+    /// `None` without a counter.
     current: RefCell<Option<Rc<CounterClient>>>,
-    /// At addresses that hold no more, while calls are waited for on them.
+    /// The earliest first.
     retired: RefCell<Vec<Rc<CounterClient>>>,
 }
 
 impl CounterClients {
     /// A client at this address, if there is a counter.
-    pub fn new(addr: Option<SocketAddr>, limit: Duration) -> Self {
-        let current = RefCell::new(addr.map(|addr| CounterClient::new(addr, limit)));
-        Self { limit, current, retired: RefCell::default() }
+    pub fn new(address: Option<SocketAddr>, call_timeout: Duration) -> Self {
+        let current = RefCell::new(address.map(|address| CounterClient::new(address, call_timeout)));
+        Self { call_timeout, current, retired: RefCell::default() }
     }
 
-    /// Connects to the counter before the first call needs it.
+    /// Connects to the counter before the first call.
     pub fn start(&self, events: &EventSender) {
         if let Some(client) = &*self.current.borrow() {
             client.start(events);
         }
     }
 
-    /// Takes another address of the counter. Calls in hand are answered where they were made.
-    pub fn move_to(&self, addr: Option<SocketAddr>, events: &EventSender) {
-        if self.current.borrow().as_ref().map(|c| c.addr) == addr {
+    /// Follows the counter to another address. Calls in flight are answered by the client that made them.
+    pub fn move_to(&self, address: Option<SocketAddr>, events: &EventSender) {
+        if self.current.borrow().as_ref().map(|client| client.address()) == address {
             return;
         }
-        let old = self.current.replace(addr.map(|addr| CounterClient::new(addr, self.limit)));
-        let mut retired = self.retired.borrow_mut();
-        retired.retain(|c| c.awaits(None));
-        if let Some(old) = old {
-            old.retire();
-            retired.push(old);
+        let successor = address.map(|address| CounterClient::new(address, self.call_timeout));
+        let previous = self.current.replace(successor);
+        self.remove_finished();
+        if let Some(previous) = previous {
+            previous.retire();
+            self.retired.borrow_mut().push(previous);
+        }
+        for client in self.take_surplus() {
+            client.close(events);
         }
-        // Each has descriptors of its own, and the budget has room for so many.
-        let surplus = retired.len().saturating_sub(RETIRED);
-        let surplus: Vec<_> = retired.drain(..surplus).collect();
-        drop(retired);
-        surplus.iter().for_each(|c| c.close(events));
         self.start(events);
     }
 
-    /// Where a call for `name` belongs: answers for one name must come in the order of the calls, so it
-    /// follows those still waited for at an old address.
-    pub fn client_for(&self, name: u64) -> Option<Rc<CounterClient>> {
+    /// The client for a call that adds to `counter`. Replies for one counter must come in the order of the calls, so it
+    /// is a retired one while calls for the counter are awaited there.
+    pub fn client_for(&self, counter: u64) -> Option<Rc<CounterClient>> {
+        self.remove_finished();
+        let retired = self.retired.borrow();
+        match retired.iter().rev().find(|client| client.awaits_counter(counter)) {
+            Some(client) => Some(client.clone()),
+            None => self.current.borrow().clone(),
+        }
+    }
+
+    /// Removes the retired clients of which no call is awaited.
+    fn remove_finished(&self) {
+        self.retired.borrow_mut().retain(|client| client.has_awaited_calls());
+    }
+
+    /// Removes the earliest retired clients beyond [`MAX_RETIRED_CLIENTS`].
+    fn take_surplus(&self) -> Vec<Rc<CounterClient>> {
         let mut retired = self.retired.borrow_mut();
-        retired.retain(|c| c.awaits(None));
-        let old = retired.iter().rev().find(|c| c.awaits(Some(name)));
-        old.cloned().or_else(|| self.current.borrow().clone())
+        let surplus = retired.len().saturating_sub(MAX_RETIRED_CLIENTS);
+        retired.drain(..surplus).collect()
     }
 }
--- a/src/node/runtime/timers.rs
+++ b/src/node/runtime/timers.rs
@@ -1,6 +1,6 @@
 //! Timers in the order in which they are due.
 
-use crate::node::connection::counter::client::CounterClient;
+use crate::node::connection::counter::{call::CallId, client::CounterClient};
 use oliverack::{RequestId, Time};
 use std::{
     cell::{Cell, RefCell},
@@ -20,7 +20,7 @@
     /// The endpoints may have forgotten the request.
     DedupEnd(RequestId),
     /// The time of a counter call is up.
-    CounterCall(Rc<CounterClient>, u64),
+    CounterCall(Rc<CounterClient>, CallId),
 }
 
 /// A timer's place: when it is due, in order, and its number among those due at once.
@@ -71,7 +71,7 @@
         let mut pending = self.pending.borrow_mut();
         while let Some(first) = pending.first_entry() {
             match first.get() {
-                TimerPurpose::CounterCall(client, number) if !client.waits(*number) => {
+                TimerPurpose::CounterCall(client, call_id) if !client.awaits_call(*call_id) => {
                     first.remove();
                 }
                 _ => return Some(first.key().due()),
--- a/tests/unit/counter_protocol.rs
+++ b/tests/unit/counter_protocol.rs
@@ -1,14 +1,14 @@
-//! The counter's answers, read from their bytes.
+//! The counter's replies, read from their bytes.
 
 use super::*;
 
 #[test]
-fn only_the_counters_own_words_are_answers() {
-    assert!(matches!(parse(b"ok 41.5\r"), Some(CounterAnswer::Total(t)) if t == 41.5));
-    assert!(matches!(parse(b"ok -2"), Some(CounterAnswer::Total(t)) if t == -2.0));
-    assert!(matches!(parse(b"busy\r"), Some(CounterAnswer::NothingAdded)));
-    assert!(matches!(parse(b"error no such call\r"), Some(CounterAnswer::NothingAdded)));
-    assert!(matches!(parse(b"pong\r"), Some(CounterAnswer::Pong)));
+fn line_that_is_not_a_reply_is_rejected() {
+    assert!(matches!(parse(b"ok 41.5\r"), Some(CounterReply::Total(t)) if t == 41.5));
+    assert!(matches!(parse(b"ok -2"), Some(CounterReply::Total(t)) if t == -2.0));
+    assert!(matches!(parse(b"busy\r"), Some(CounterReply::NothingAdded)));
+    assert!(matches!(parse(b"error no such call\r"), Some(CounterReply::NothingAdded)));
+    assert!(matches!(parse(b"pong\r"), Some(CounterReply::Pong)));
     // A total that is no number must not reach the quotas.
     for garbage in ["ok", "ok ", "ok NaN", "ok inf", "ok 1 2", "okay 1", "", "\u{fffd}"] {
         assert!(parse(garbage.as_bytes()).is_none(), "{garbage}");
