--- a/src/node/connection/clients/answering.rs
+++ b/src/node/connection/clients/answering.rs
@@ -5,7 +5,7 @@
     metrics,
     wire::{
         client_response::{self, ClientResponse, ResponseBody},
-        stream::{self, Piece, Pieces, STREAM},
+        stream::{self, Piece, Pieces, STREAM_MEMORY_BYTES},
     },
 };
 use bytes::BytesMut;
@@ -70,7 +70,7 @@
     ) -> io::Result<PassedOn> {
         // The bound on memory holds for answers, too: what finds no room waits at its endpoint.
         let _permit = loop {
-            match self.context.memory.take(STREAM.saturating_sub(self.permit.bytes())) {
+            match self.context.memory.take(STREAM_MEMORY_BYTES.saturating_sub(self.permit.bytes())) {
                 Some(permit) => break permit,
                 None => tokio::time::sleep(PAUSE).await,
             }
@@ -124,9 +124,10 @@
         let Some(mut rest) = self.rest.take() else { return };
         self.state.enter(Stage::Body);
         let mut waste = BytesMut::new();
-        while let Ok(false) = rest.take(self.buffer, &mut waste, usize::MAX) {
+        while let Ok(false) = rest.decode(self.buffer, &mut waste, usize::MAX) {
             waste.clear();
-            if self.context.read(self.socket, self.buffer, self.state, stream::PIECE).await.is_err() {
+            if self.context.read(self.socket, self.buffer, self.state, stream::MAX_PIECE_BYTES).await.is_err()
+            {
                 return;
             }
         }
--- a/src/node/connection/clients/conversation.rs
+++ b/src/node/connection/clients/conversation.rs
@@ -9,8 +9,8 @@
     },
     metrics,
     wire::{
-        client_request::ClientRequest,
-        client_response::{ClientResponse, ResponseBody},
+        client_request::{ClientRequest, InvalidRequest},
+        client_response::ClientResponse,
     },
 };
 use bytes::BytesMut;
@@ -57,7 +57,11 @@
     ) -> Result<(), Closing> {
         let head = self.read_head(socket, buffer, state).await?;
         let is_up_call = head.uri.path() == UP;
-        let request = if is_up_call { Err(self.up()) } else { ClientRequest::parse(&head, &self.options) };
+        let request = if is_up_call {
+            Err(self.up())
+        } else {
+            ClientRequest::parse(&head, &self.options).map_err(InvalidRequest::status)
+        };
         let (body, permit) = match self.read_body(socket, buffer, state, &head).await {
             Ok(body) => body,
             Err(closing) => {
@@ -76,13 +80,12 @@
             }
             Ok(request) => {
                 let taken = self.metrics.take(request.class);
-                (exchange.serve(request, body, head.expects).await?, Some(taken))
+                (exchange.serve(request, body, head.expects_continue).await?, Some(taken))
             }
         };
-        // A client of HTTP/1.0 is told the end of what has no length by the close.
-        let is_framed = head.minor > 0 || !matches!(response.body, ResponseBody::Pieces { length: None, .. });
-        let keep = head.keep && is_framed && !self.is_stopping.get() && exchange.rest.is_none();
-        let outcome = exchange.respond(response, keep, head.minor).await.ok_or(Closing::Quietly)?;
+        let is_framed = response.is_self_delimiting(head.minor_version);
+        let keep = head.allows_keep_alive && is_framed && !self.is_stopping.get() && exchange.rest.is_none();
+        let outcome = exchange.respond(response, keep, head.minor_version).await.ok_or(Closing::Quietly)?;
         taken.into_iter().for_each(|taken| taken.end(outcome));
         if exchange.cut {
             return Err(Closing::Quietly);
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -11,7 +11,7 @@
     wire::{
         client_request::ClientRequest,
         client_response::{ClientResponse, ResponseBody},
-        request_body::Body,
+        request_body::BodyDecoder,
         stream::{self, Content, Piece},
     },
 };
@@ -35,7 +35,7 @@
     pub state: &'a ConnectionState,
     pub permit: MemoryPermit<'c>,
     /// What has not come yet of a body that nobody wants any more.
-    pub rest: Option<Body>,
+    pub rest: Option<BodyDecoder>,
     /// The answer was cut short: nothing more may be said on the connection.
     pub cut: bool,
 }
@@ -102,9 +102,8 @@
             }
         }
         loop {
-            let whole =
-                upload.rest.take(self.buffer, &mut upload.piece, stream::PIECE).map_err(Closing::With)?;
-            let full = upload.piece.len() >= stream::PIECE;
+            let whole = upload.rest.decode(self.buffer, &mut upload.piece, stream::MAX_PIECE_BYTES)?;
+            let full = upload.piece.len() >= stream::MAX_PIECE_BYTES;
             let data =
                 if upload.piece.is_empty() { None } else { Some(Piece::Data(upload.piece.split().freeze())) };
             let before = self.buffer.len();
@@ -144,7 +143,7 @@
                     self.rest = Some(upload.rest);
                     return Ok(Some(answer));
                 }
-                read = self.context.read(self.socket, self.buffer, self.state, stream::PIECE) => read?,
+                read = self.context.read(self.socket, self.buffer, self.state, stream::MAX_PIECE_BYTES) => read?,
             }
         }
     }
@@ -177,20 +176,20 @@
     /// Waits until the client has left. What it sends behind its request, or ahead of what its body's way takes, is
     /// read meanwhile, within a bound: the system holds only so much, and tells no close that stands behind more.
     async fn left(&mut self) {
-        while self.buffer.len() + stream::PIECE <= MAX_GATHERED
-            && self.context.memory.is_plenty(stream::PIECE)
+        while self.buffer.len() + stream::MAX_PIECE_BYTES <= MAX_GATHERED
+            && self.context.memory.is_plenty(stream::MAX_PIECE_BYTES)
         {
             tokio::select! {
                 biased;
                 () = left(self.socket) => return,
                 ready = self.socket.readable() => if ready.is_err() { return },
             }
-            let wanted = self.buffer.len() + stream::PIECE;
+            let wanted = self.buffer.len() + stream::MAX_PIECE_BYTES;
             if wanted > self.ahead.bytes() {
                 let Some(more) = self.context.memory.take(wanted - self.ahead.bytes()) else { break };
                 self.ahead.join(more);
             }
-            self.buffer.reserve(stream::PIECE);
+            self.buffer.reserve(stream::MAX_PIECE_BYTES);
             match self.socket.try_read_buf(self.buffer) {
                 Ok(0) => return,
                 Ok(_) => {}
@@ -206,7 +205,7 @@
 struct Upload {
     pieces: mpsc::Sender<Piece>,
     piece: BytesMut,
-    rest: Body,
+    rest: BodyDecoder,
 }
 
 /// The final answer, or that the handler has dropped it.
--- a/src/node/connection/clients/reading.rs
+++ b/src/node/connection/clients/reading.rs
@@ -10,10 +10,10 @@
         socket_input::has_input,
     },
     wire::{
-        limits::MAX_WHOLE,
-        request_body::{Body, Framing},
+        limits::MAX_BUFFERED_BODY_BYTES,
+        request_body::BodyDecoder,
         request_head::{self, Head},
-        stream::{self, STREAM},
+        stream::{self, STREAM_MEMORY_BYTES},
     },
 };
 use bytes::{Bytes, BytesMut};
@@ -27,7 +27,7 @@
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// Most bytes of a body that are gathered whole while half of the memory for bodies is left: a slow client takes
 /// seconds to send them, and meanwhile holds neither an endpoint nor a slot under a cap.
-pub const MAX_GATHERED: usize = 8 * MAX_WHOLE;
+pub const MAX_GATHERED: usize = 8 * MAX_BUFFERED_BODY_BYTES;
 
 /// A body as far as it was read.
 pub enum ReceivedBody {
@@ -38,7 +38,7 @@
         /// What has been read of it.
         first: BytesMut,
         /// What is still to come.
-        rest: Body,
+        rest: BodyDecoder,
         /// In bytes.
         length: Option<usize>,
     },
@@ -46,7 +46,7 @@
 
 impl ReceivedBody {
     /// What is still to come of it.
-    pub fn rest(self) -> Option<Body> {
+    pub fn rest(self) -> Option<BodyDecoder> {
         if let Self::Large { rest, .. } = self { Some(rest) } else { None }
     }
 }
@@ -64,7 +64,7 @@
                 if state.stage.get() == Stage::Idle {
                     state.enter(Stage::Reading);
                 }
-                if let Some(head) = request_head::take(buffer, &mut seen).map_err(Closing::With)? {
+                if let Some(head) = request_head::take(buffer, &mut seen)? {
                     return Ok(head);
                 }
             }
@@ -80,25 +80,26 @@
         state: &ConnectionState,
         head: &Head,
     ) -> Result<(ReceivedBody, MemoryPermit<'_>), Closing> {
-        let length = if let Framing::Length(length) = head.framing { Some(length) } else { None };
-        let mut most = MAX_WHOLE;
-        let large = length.is_some_and(|l| l > MAX_GATHERED || l > MAX_WHOLE && !self.memory.is_plenty(l));
+        let length = head.framing.length();
+        let mut most = MAX_BUFFERED_BODY_BYTES;
+        let large = length
+            .is_some_and(|l| l > MAX_GATHERED || l > MAX_BUFFERED_BODY_BYTES && !self.memory.is_plenty(l));
         let none = Closing::With(StatusCode::SERVICE_UNAVAILABLE);
         // It is taken as bytes come: what is only announced may never come.
-        let mut permit = self.memory.take(if large { STREAM } else { 0 }).ok_or(none)?;
-        let (mut body, mut whole) = (Body::new(head.framing), BytesMut::new());
+        let mut permit = self.memory.take(if large { STREAM_MEMORY_BYTES } else { 0 }).ok_or(none)?;
+        let (mut body, mut whole) = (BodyDecoder::new(head.framing), BytesMut::new());
         if large {
             return Ok((ReceivedBody::Large { first: whole, rest: body, length }, permit));
         }
-        if head.expects && length != Some(0) && buffer.is_empty() {
+        if head.expects_continue && length != Some(0) && buffer.is_empty() {
             let _ = socket.write_all(CONTINUE).await;
         }
         loop {
             let wanted = length.unwrap_or(most + 1);
-            if body.take(buffer, &mut whole, wanted).map_err(Closing::With)? {
+            if body.decode(buffer, &mut whole, wanted)? {
                 return Ok((ReceivedBody::Whole(whole.freeze()), permit));
             }
-            let held = whole.len().next_multiple_of(stream::PIECE);
+            let held = whole.len().next_multiple_of(stream::MAX_PIECE_BYTES);
             if held > permit.bytes() {
                 let more = self
                     .memory
@@ -109,16 +110,17 @@
             if length.is_none()
                 && whole.len() > most
                 && most < MAX_GATHERED
-                && self.memory.is_plenty(MAX_WHOLE)
+                && self.memory.is_plenty(MAX_BUFFERED_BODY_BYTES)
             {
-                most += MAX_WHOLE;
+                most += MAX_BUFFERED_BODY_BYTES;
                 // What has been read and did not fit comes first.
                 continue;
             }
             if length.is_none() && whole.len() > most {
                 return Ok((ReceivedBody::Large { first: whole, rest: body, length }, permit));
             }
-            let piece = if length.is_some_and(|l| l <= HEAD_READ) { HEAD_READ } else { stream::PIECE };
+            let piece =
+                if length.is_some_and(|l| l <= HEAD_READ) { HEAD_READ } else { stream::MAX_PIECE_BYTES };
             self.read(socket, buffer, state, piece).await?;
         }
     }
--- a/src/node/connection/clients/state.rs
+++ b/src/node/connection/clients/state.rs
@@ -1,5 +1,6 @@
 //! What a client's connection is at, as those see it that watch over all of them.
 
+use crate::node::wire::{request_body::BodyError, request_head::HeadError};
 use hyper::StatusCode;
 use std::{
     cell::{Cell, RefCell},
@@ -119,3 +120,15 @@
     /// With this, as the last answer.
     With(StatusCode),
 }
+
+impl From<HeadError> for Closing {
+    fn from(error: HeadError) -> Self {
+        Self::With(error.status())
+    }
+}
+
+impl From<BodyError> for Closing {
+    fn from(error: BodyError) -> Self {
+        Self::With(error.status())
+    }
+}
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -9,7 +9,7 @@
     },
     wire::{
         client_request::UpstreamRequest,
-        limits::{MAX_BODY, MAX_WHOLE},
+        limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES},
         load_report,
         stream::{Content, Outgoing, Piece},
     },
@@ -21,7 +21,7 @@
 use tokio::{sync::mpsc, time::sleep};
 
 /// An answer that is larger, or of no told length and takes longer, passes through in pieces.
-const BOUNDS: Bounds = Bounds { most: MAX_WHOLE, patience: Duration::from_millis(50) };
+const BOUNDS: Bounds = Bounds { most: MAX_BUFFERED_BODY_BYTES, patience: Duration::from_millis(50) };
 
 /// How an attempt ended.
 #[derive(Debug)]
@@ -97,7 +97,7 @@
         may_begin: impl Fn() -> bool,
         begin: impl Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
     ) -> AttemptEnd {
-        if !what.body.unsent() {
+        if !what.body.is_available() {
             return AttemptEnd::without_answer(Status::NotSent);
         }
         let build = || {
@@ -109,11 +109,11 @@
         };
         let ended = match &what.body {
             Content::Whole(_) => None,
-            Content::Stream { ended, .. } => Some(ended),
+            Content::Stream { is_finished, .. } => Some(is_finished),
         };
         // Only what is served has a body that matters.
         let begin = |parts: &Parts, length: Option<u64>| {
-            let wanted = parts.status == StatusCode::OK && length.is_none_or(|l| l <= MAX_BODY as u64);
+            let wanted = parts.status == StatusCode::OK && length.is_none_or(|l| l <= MAX_BODY_BYTES as u64);
             if wanted { begin(length) } else { None }
         };
         let tally = Some(&self.dispatches);
--- a/src/node/connection/http_client.rs
+++ b/src/node/connection/http_client.rs
@@ -9,7 +9,7 @@
         socket_input::has_input,
         write_progress::{CountedSocket, WriteProgress},
     },
-    wire::{limits::MAX_HEAD, stream::Outgoing},
+    wire::{limits::MAX_HEAD_BYTES, stream::Outgoing},
 };
 use bytes::Bytes;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
@@ -59,7 +59,7 @@
         let progress = Rc::new(WriteProgress::default());
         let socket = Rc::new(socket);
         let io = TokioIo::new(CountedSocket { socket: socket.clone(), progress: progress.clone() });
-        let built = Builder::new().max_buf_size(MAX_HEAD).handshake(io).await;
+        let built = Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(io).await;
         let (sender, driver) = built.map_err(io::Error::other)?;
         Ok(Self { sender, driver: Box::pin(driver), progress, socket })
     }
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -51,7 +51,7 @@
             open.dedup_until = until;
             self.timers.set(until, TimerPurpose::DedupEnd(request_id.clone()));
         }
-        debug!(request = ?open.upstream.txn, attempt = number, endpoint = %endpoint, wait, "attempt begun");
+        debug!(request = ?open.upstream.transaction_id, attempt = number, endpoint = %endpoint, wait, "attempt begun");
         let trace = Trace::default();
         let upstream = open.upstream.clone();
         let task = self.spawn_attempt(request_id.clone(), number, target, upstream, wait, trace.clone());
@@ -108,7 +108,7 @@
         let mut table = self.open.borrow_mut();
         let Some(open) = table.get_mut(request_id) else { return };
         let Some(attempt) = open.attempts.get_mut(number as usize).and_then(Option::take) else { return };
-        let (request, endpoint) = (&open.upstream.txn, &attempt.endpoint);
+        let (request, endpoint) = (&open.upstream.transaction_id, &attempt.endpoint);
         debug!(?request, attempt = number, %endpoint, reason = ?end.status, "attempt ended");
         attempt.timer.into_iter().for_each(|timer| self.timers.cancel(timer));
         if end.status == Status::Ok {
--- a/src/node/runtime/open_requests.rs
+++ b/src/node/runtime/open_requests.rs
@@ -94,7 +94,7 @@
     /// Gives the one final answer.
     pub fn give(&mut self, answer: FinalAnswer) -> Given {
         let Some(sender) = self.answer.take() else { return Given::Before };
-        debug!(request = ?self.upstream.txn, answer = answer.name(), "final answer");
+        debug!(request = ?self.upstream.transaction_id, answer = answer.name(), "final answer");
         // A receiver that is gone belongs to a client that is gone, and says so itself.
         sender.send(answer).map_or(Given::ToNobody, |()| Given::ToClient)
     }
--- a/src/node/runtime/requests.rs
+++ b/src/node/runtime/requests.rs
@@ -81,17 +81,17 @@
         drop(table);
         if let Some(open) = open {
             open.deadline.into_iter().for_each(|timer| self.timers.cancel(timer));
-            self.transactions.borrow_mut().remove(&open.upstream.txn);
+            self.transactions.borrow_mut().remove(&open.upstream.transaction_id);
         }
     }
 }
 
 impl RequestHandler for Rc<Driver> {
     fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)> {
-        if !self.transactions.borrow_mut().insert(request.upstream.txn.clone()) {
+        if !self.transactions.borrow_mut().insert(request.upstream.transaction_id.clone()) {
             return None;
         }
-        debug!(request = ?request.upstream.txn, customer = request.customer, class = request.class, "request taken");
+        debug!(request = ?request.upstream.transaction_id, customer = request.customer, class = request.class, "request taken");
         self.last_job.set(self.last_job.get() + 1);
         let request_id: RequestId = self.last_job.get().to_string().into();
         let expires = self.clock.now() + request.remaining;
@@ -107,11 +107,11 @@
             units: request.units,
             deadline: expires,
             plan: request.plan,
-            customer_gateway_count: request.spread,
-            first_gateway: request.first,
+            customer_gateway_count: request.customer_gateway_count,
+            first_gateway: request.first_gateway,
             class: request.class,
             customer: request.customer.into(),
-            is_retry: request.repeat,
+            is_retry: request.is_retry,
         }));
         Some((request_id, receiver))
     }
--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -1,4 +1,4 @@
-//! What a client's request says, in the terms of the settings, and what goes on of it to an endpoint.
+//! Parses clients' requests into the terms of the settings, and builds the requests to endpoints from them.
 
 use crate::node::wire::{
     request_head::Head,
@@ -7,132 +7,126 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri, header, header::HeaderValue};
 use oliverack::Options;
+use thiserror::Error;
 
-/// Longest name of a request.
-const MAX_TXN: usize = 64;
-/// Longest time that a client may name, in seconds: no class gives an answer nearly so late.
-const MAX_REMAINING: f64 = 3600.0;
-/// Highest customer number, exclusive.
-const CUSTOMERS: u64 = 1 << 33;
-/// Digits of a customer's number.
+/// Longest transaction id.
+const MAX_TRANSACTION_ID_LENGTH: usize = 64;
+/// Longest time that a client may wait, in seconds; real deadlines are far below it.
+const MAX_REMAINING_SECONDS: f64 = 3600.0;
+/// Customers are numbered below this.
+const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
+/// Hexadecimal digits of a customer's number.
 const CUSTOMER_DIGITS: usize = 16;
 
-/// What goes on to an endpoint.
+/// Why a request was rejected before the policy saw it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum InvalidRequest {
+    #[error("header {0} is missing, duplicated or invalid")]
+    Header(&'static str),
+    #[error("the path does not begin with the class, or the method is neither GET nor POST")]
+    Target,
+}
+
+impl InvalidRequest {
+    /// The status that tells the client.
+    pub fn status(self) -> StatusCode {
+        match self {
+            Self::Header(_) | Self::Target => StatusCode::BAD_REQUEST,
+        }
+    }
+}
+
+/// What is forwarded to an endpoint.
 #[derive(Debug)]
 pub struct UpstreamRequest {
-    /// The client's.
+    /// The client's method.
     pub method: Method,
-    /// Path and query, the client's.
+    /// Path and query, unchanged.
     pub uri: Uri,
-    /// The request's name, new for every request of a client.
-    pub txn: HeaderValue,
-    /// By it the endpoints of a group tell a repeat: without it a keyed request is another one.
+    /// The transaction id, unique for each request of a client.
+    pub transaction_id: HeaderValue,
+    /// Endpoints of a group recognize a retry by it; without it a keyed request would run again.
     pub idempotency_key: Option<HeaderValue>,
-    /// The client's.
+    /// The client's content type.
     pub content_type: Option<HeaderValue>,
-    /// The client's, whole or in pieces.
+    /// The client's body.
     pub body: Content,
 }
 
 impl UpstreamRequest {
-    /// The request as it goes to an endpoint that is told how many seconds the gateway will wait; `None`: its body has
-    /// gone to another one.
-    pub fn to_endpoint(&self, wait: f64) -> Option<Request<Outgoing>> {
+    /// Builds the request for one attempt that the gateway waits `wait_seconds` for; `None` if a streamed body was
+    /// already sent in an earlier attempt.
+    pub fn to_endpoint(&self, wait_seconds: f64) -> Option<Request<Outgoing>> {
         let mut request = Request::new(self.body.take()?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
         headers.insert(header::HOST, HeaderValue::from_static("backend.local"));
-        headers.insert("x-txn", self.txn.clone());
-        if let Ok(wait) = HeaderValue::try_from(format!("{wait:.3}")) {
+        headers.insert("x-txn", self.transaction_id.clone());
+        if let Ok(wait) = HeaderValue::try_from(format!("{wait_seconds:.3}")) {
             headers.insert("x-remaining", wait);
         }
         if let Some(key) = &self.idempotency_key {
             headers.insert("idempotency-key", key.clone());
         }
-        if let Some(kind) = &self.content_type {
-            headers.insert(header::CONTENT_TYPE, kind.clone());
+        if let Some(content_type) = &self.content_type {
+            headers.insert(header::CONTENT_TYPE, content_type.clone());
         }
         Some(request)
     }
 }
 
-/// A request as a client brings it, in the terms of the settings.
+/// A client's request in the terms of the settings.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The index of its class.
     pub class: usize,
     /// The index of its customer's plan.
     pub plan: usize,
-    /// Its customer, in the one spelling that all gateways name counts by.
+    /// Its customer, in the canonical spelling: all gateways derive the names of counts from it.
     pub customer: String,
     /// Units that it takes from the quota.
     pub units: f64,
-    /// How many gateways carry the customer's requests.
-    pub spread: u32,
-    /// The number of the first of them.
-    pub first: u32,
-    /// Seconds that the client waits for the answer.
+    /// How many gateways receive the customer's requests.
+    pub customer_gateway_count: u32,
+    /// The index of the first of these gateways.
+    pub first_gateway: u32,
+    /// Seconds that the client waits for the response.
     pub remaining: f64,
-    /// It is a client's marked retry.
-    pub repeat: bool,
-    /// What goes on to an endpoint.
+    /// The client marked it as a retry.
+    pub is_retry: bool,
+    /// What is forwarded to an endpoint. Its body is empty until the caller has read it.
     pub upstream: UpstreamRequest,
 }
 
 impl ClientRequest {
-    /// Checks a request; the policy never sees a bad one.
+    /// Parses and validates a request; the policy never sees an invalid one.
     ///
     /// # Errors
-    /// The status that tells the client what is wrong.
-    pub fn parse(head: &Head, options: &Options) -> Result<Self, StatusCode> {
-        let bad = StatusCode::BAD_REQUEST;
-        let lane = text(&head.headers, "x-lane").ok_or(bad)?;
-        let class = options.classes.iter().position(|c| c == lane).ok_or(bad)?;
-        if head.uri.path().split('/').nth(1) != Some(lane)
-            || !matches!(head.method, Method::GET | Method::POST)
-        {
-            return Err(bad);
-        }
-        let plan = text(&head.headers, "x-plan").ok_or(bad)?;
-        let plan = options.plans.iter().position(|p| p == plan).ok_or(bad)?;
-        // Digits only: the standard library's reading would also take a sign.
-        let is_number = |c: &&str| c.len() == CUSTOMER_DIGITS && c.bytes().all(|b| b.is_ascii_hexdigit());
-        let customer = text(&head.headers, "x-customer").filter(is_number).ok_or(bad)?;
-        let number = u64::from_str_radix(customer, 16).map_err(|_| bad)?;
-        let remaining = text(&head.headers, "x-remaining").and_then(parse_decimal).ok_or(bad)?;
-        let quota = text(&head.headers, "x-quota").and_then(Quota::parse).ok_or(bad)?;
-        let repeat = match head.headers.get("x-resent") {
-            None => false,
-            Some(_) => text(&head.headers, "x-resent").filter(|v| matches!(*v, "0" | "1")).ok_or(bad)? == "1",
-        };
-        let gateways = options.settings.gateway_count;
-        let txn = text(&head.headers, "x-txn").ok_or(bad)?;
-        let named = (1..=MAX_TXN).contains(&txn.len()) && txn.bytes().all(|b| b.is_ascii_graphic());
-        if !named
-            || number >= CUSTOMERS
-            || quota.first >= gateways
-            || !(1..=gateways).contains(&quota.spread)
-            || !(quota.units > 0.0 && quota.units <= options.settings.max_units)
-            || remaining > MAX_REMAINING
-        {
-            return Err(bad);
-        }
+    /// A header or the request line is invalid.
+    pub fn parse(head: &Head, options: &Options) -> Result<Self, InvalidRequest> {
+        let headers = &head.headers;
+        let class = parse_class(head, options)?;
+        let plan = required(headers, "x-plan", |name| options.plans.iter().position(|plan| plan == name))?;
+        let customer = required(headers, "x-customer", parse_customer)?;
+        let remaining = required(headers, "x-remaining", parse_remaining)?;
+        let quota = required(headers, "x-quota", |text| Quota::parse(text, options))?;
+        let transaction_id = required(headers, "x-txn", parse_transaction_id)?;
+        let path_and_query = head.uri.path_and_query().cloned().ok_or(InvalidRequest::Target)?;
         Ok(Self {
             class,
             plan,
-            // In one spelling, as all gateways name the customer's counts by it.
-            customer: format!("{number:016x}"),
+            customer,
             units: quota.units,
-            spread: quota.spread,
-            first: quota.first,
+            customer_gateway_count: quota.customer_gateway_count,
+            first_gateway: quota.first_gateway,
             remaining,
-            repeat,
+            is_retry: parse_retry_mark(headers)?,
             upstream: UpstreamRequest {
-                uri: head.uri.path_and_query().cloned().ok_or(bad)?.into(),
-                txn: HeaderValue::from_str(txn).map_err(|_| bad)?,
-                idempotency_key: head.headers.get("idempotency-key").cloned(),
-                content_type: head.headers.get(header::CONTENT_TYPE).cloned(),
+                uri: path_and_query.into(),
+                transaction_id,
+                idempotency_key: headers.get("idempotency-key").cloned(),
+                content_type: headers.get(header::CONTENT_TYPE).cloned(),
                 method: head.method.clone(),
                 body: Content::Whole(Bytes::new()),
             },
@@ -140,43 +134,121 @@
     }
 }
 
-/// The one value of a header; `None` if it is missing, doubled or not text.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// The value of a header that must be present once and pass `parse`.
+fn required<'a, T>(
+    headers: &'a HeaderMap,
+    name: &'static str,
+    parse: impl FnOnce(&'a str) -> Option<T>,
+) -> Result<T, InvalidRequest> {
+    single_value(headers, name).and_then(parse).ok_or(InvalidRequest::Header(name))
+}
+
+/// The only value of a header, trimmed; `None` if it is missing, duplicated or not text.
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
-    let value = values.next().filter(|_| values.next().is_none())?;
+    let value = values.next()?;
+    if values.next().is_some() {
+        return None;
+    }
     value.to_str().ok().map(str::trim)
 }
 
-/// A plain decimal number: no sign, no exponent, none of the words that the standard library reads too.
+/// The index of the class, which the path must repeat.
+fn parse_class(head: &Head, options: &Options) -> Result<usize, InvalidRequest> {
+    let name = required(&head.headers, "x-lane", Some)?;
+    let class = options.classes.iter().position(|class| class == name);
+    let class = class.ok_or(InvalidRequest::Header("x-lane"))?;
+    let is_path_of_class = head.uri.path().split('/').nth(1) == Some(name);
+    if is_path_of_class && matches!(head.method, Method::GET | Method::POST) {
+        Ok(class)
+    } else {
+        Err(InvalidRequest::Target)
+    }
+}
+
+/// A customer's number of exactly sixteen digits, in the canonical spelling.
+fn parse_customer(text: &str) -> Option<String> {
+    // Digits only: parsing in the standard library would also accept a sign.
+    if text.len() != CUSTOMER_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return None;
+    }
+    let number = u64::from_str_radix(text, 16).ok()?;
+    (number < CUSTOMER_NUMBER_LIMIT).then(|| format!("{number:016x}"))
+}
+
+fn parse_remaining(text: &str) -> Option<f64> {
+    parse_decimal(text).filter(|seconds| *seconds <= MAX_REMAINING_SECONDS)
+}
+
+fn parse_transaction_id(text: &str) -> Option<HeaderValue> {
+    let has_valid_length = (1..=MAX_TRANSACTION_ID_LENGTH).contains(&text.len());
+    if !has_valid_length || !text.bytes().all(|byte| byte.is_ascii_graphic()) {
+        return None;
+    }
+    HeaderValue::from_str(text).ok()
+}
+
+/// Whether the client marked its request as a retry; unmarked ones are none.
+fn parse_retry_mark(headers: &HeaderMap) -> Result<bool, InvalidRequest> {
+    if !headers.contains_key("x-resent") {
+        return Ok(false);
+    }
+    required(headers, "x-resent", |text| match text {
+        "0" => Some(false),
+        "1" => Some(true),
+        _ => None,
+    })
+}
+
+/// A plain decimal number: no sign, exponent or special value, all of which the standard library would accept.
 fn parse_decimal(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse().ok().filter(|v: &f64| plain && v.is_finite())
+    let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    text.parse().ok().filter(|value: &f64| is_plain && value.is_finite())
 }
 
+/// The quota header, in our terms.
 struct Quota {
     units: f64,
-    spread: u32,
-    first: u32,
+    customer_gateway_count: u32,
+    first_gateway: u32,
 }
 
 impl Quota {
-    /// `units=2,spread=3,first=1`, in any order, each once; what else stands there is passed over.
-    fn parse(text: &str) -> Option<Self> {
-        let (mut units, mut spread, mut first) = (None, None, None);
+    /// Parses `units=2,spread=3,first=1`, in any order, each once; other names are ignored.
+    fn parse(text: &str, options: &Options) -> Option<Self> {
+        let mut units = None;
+        let mut spread = None;
+        let mut first = None;
         for part in text.split(',') {
             let (name, value) = part.trim().split_once('=')?;
-            let value = parse_decimal(value);
-            let set = match name {
-                "units" => units.replace(value?),
-                "spread" => spread.replace(value?),
-                "first" => first.replace(value?),
-                _ => None,
+            let slot = match name {
+                "units" => &mut units,
+                "spread" => &mut spread,
+                "first" => &mut first,
+                _ => continue,
             };
-            if set.is_some() {
+            if slot.replace(parse_decimal(value)?).is_some() {
                 return None;
             }
         }
-        let whole = |v: f64| (v.fract() == 0.0 && v <= f64::from(u32::MAX)).then_some(v as u32);
-        Some(Self { units: units?, spread: whole(spread?)?, first: whole(first?)? })
+        let quota = Self {
+            units: units?,
+            customer_gateway_count: whole_number(spread?)?,
+            first_gateway: whole_number(first?)?,
+        };
+        quota.is_valid(options).then_some(quota)
     }
+
+    fn is_valid(&self, options: &Options) -> bool {
+        let gateway_count = options.settings.gateway_count;
+        self.units > 0.0
+            && self.units <= options.settings.max_units
+            && (1..=gateway_count).contains(&self.customer_gateway_count)
+            && self.first_gateway < gateway_count
+    }
+}
+
+/// The number as an integer, if it is one that fits.
+fn whole_number(value: f64) -> Option<u32> {
+    (value.fract() == 0.0 && value <= f64::from(u32::MAX)).then_some(value as u32)
 }
--- a/src/node/wire/client_response.rs
+++ b/src/node/wire/client_response.rs
@@ -1,38 +1,36 @@
-//! Answers to clients as they go out.
+//! Responses to clients, and how they are written.
 
 use crate::node::{metrics, wire::stream::Pieces};
 use bytes::Bytes;
 use hyper::StatusCode;
 use std::io::Write;
 
-/// Seconds to stay away, said where no room was left.
-const NO_ROOM_ADVICE: f64 = 1.0;
+/// Retry-After of a response for which the gateway had no capacity.
+const OVERLOAD_RETRY_AFTER_SECONDS: f64 = 1.0;
+/// Room for the head of a typical response.
+const TYPICAL_HEAD_BYTES: usize = 128;
 
-/// An answer's body.
+/// A response's body.
 pub enum ResponseBody {
-    /// All of it.
     Whole(Bytes),
-    /// Of this length, if it is known.
+    /// Streamed as it arrives from the endpoint.
     Pieces {
-        /// In bytes.
+        /// In bytes, if it is known.
         length: Option<u64>,
-        /// In order.
         pieces: Pieces,
     },
 }
 
-/// An answer to a request.
+/// A response to a client.
 pub struct ClientResponse {
-    /// Its status.
     pub status: StatusCode,
-    /// Seconds to stay away; 0: no advice.
+    /// Retry-After in seconds; 0 leaves the header out.
     pub retry_after: f64,
-    /// Its body.
     pub body: ResponseBody,
 }
 
 impl ClientResponse {
-    /// How the request ended for the client, if it gets all of this.
+    /// How the request ended for the client, provided that the response is delivered completely.
     pub fn outcome(&self) -> metrics::Outcome {
         match self.status {
             StatusCode::OK => metrics::Outcome::Served,
@@ -41,37 +39,45 @@
         }
     }
 
-    /// One with a whole body.
+    /// A response with a buffered body.
     pub fn whole(status: StatusCode, body: Bytes) -> Self {
-        let retry_after = if status == StatusCode::SERVICE_UNAVAILABLE { NO_ROOM_ADVICE } else { 0.0 };
+        let is_overload = status == StatusCode::SERVICE_UNAVAILABLE;
+        let retry_after = if is_overload { OVERLOAD_RETRY_AFTER_SECONDS } else { 0.0 };
         Self { status, retry_after, body: ResponseBody::Whole(body) }
     }
 
-    /// One without a body.
+    /// A response without a body.
     pub fn plain(status: StatusCode) -> Self {
         Self::whole(status, Bytes::new())
     }
+
+    /// Whether a client of this minor version of HTTP/1 can tell the end of the body without a close. HTTP/1.0 has no
+    /// chunked encoding.
+    pub fn is_self_delimiting(&self, minor_version: u8) -> bool {
+        minor_version > 0 || !matches!(self.body, ResponseBody::Pieces { length: None, .. })
+    }
 }
 
-/// The answer as it goes out, in one piece; its head only, where the body comes in pieces.
-pub fn render(response: &ClientResponse, keep: bool, minor: u8) -> Vec<u8> {
-    let (code, reason) = (response.status.as_str(), response.status.canonical_reason().unwrap_or_default());
+/// Writes the head, with the body behind it unless that is streamed.
+pub fn render(response: &ClientResponse, keep_alive: bool, minor_version: u8) -> Vec<u8> {
+    let code = response.status.as_str();
+    let reason = response.status.canonical_reason().unwrap_or_default();
     let (length, body) = match &response.body {
         ResponseBody::Whole(body) => (Some(body.len() as u64), &body[..]),
         ResponseBody::Pieces { length, .. } => (*length, &[][..]),
     };
-    let mut text = Vec::with_capacity(128 + body.len());
+    let mut text = Vec::with_capacity(TYPICAL_HEAD_BYTES + body.len());
     // Writing to memory does not fail.
     let _ = write!(text, "HTTP/1.1 {code} {reason}\r\n");
     if let Some(length) = length {
         let _ = write!(text, "Content-Length: {length}\r\n");
-    } else if minor > 0 {
+    } else if minor_version > 0 {
         text.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
     }
     if response.retry_after > 0.0 {
         let _ = write!(text, "Retry-After: {:.3}\r\n", response.retry_after);
     }
-    text.extend_from_slice(if keep { b"\r\n" } else { b"Connection: close\r\n\r\n" });
+    text.extend_from_slice(if keep_alive { b"\r\n" } else { b"Connection: close\r\n\r\n" });
     text.extend_from_slice(body);
     text
 }
--- a/src/node/wire/limits.rs
+++ b/src/node/wire/limits.rs
@@ -1,8 +1,8 @@
-//! Bounds on messages, either way, in bytes.
+//! Size limits of messages in either direction.
 
-/// Longest head.
-pub const MAX_HEAD: usize = 16 * 1024;
-/// Most bytes of a body, either way, that are gathered whole; a larger one passes through in pieces.
-pub const MAX_WHOLE: usize = 64 * 1024;
-/// Most bytes of any body; the largest have 32 MB.
-pub const MAX_BODY: usize = 40 << 20;
+/// Longest head of a request or response.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Largest response body that is buffered, and the first limit for request bodies. Larger ones are streamed.
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
+/// Largest body in either direction; clients send up to 32 MB.
+pub const MAX_BODY_BYTES: usize = 40 << 20;
--- a/src/node/wire/mod.rs
+++ b/src/node/wire/mod.rs
@@ -1,4 +1,4 @@
-//! Formats of messages and of their parts on the way, without sockets.
+//! Formats of messages and their parts, without sockets.
 
 pub mod client_request;
 pub mod client_response;
--- a/src/node/wire/stream.rs
+++ b/src/node/wire/stream.rs
@@ -1,68 +1,65 @@
-//! Bodies and answers on their way, piece by piece: whoever is slow holds up the other end.
+//! Streamed request and response bodies, passed on in pieces with backpressure: a slow reader holds up the writer.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::{
     cell::{Cell, RefCell},
-    fmt,
     pin::Pin,
     rc::Rc,
     task::{Context, Poll, ready},
 };
+use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Bytes of a piece, at most.
-pub const PIECE: usize = 16 * 1024;
-/// Memory that a stream takes: a piece read, one in the channel, one being written, and the library's own.
-pub const STREAM: usize = 4 * PIECE;
+/// Largest piece that is read at once.
+pub const MAX_PIECE_BYTES: usize = 16 * 1024;
+/// Memory that a stream takes: a piece just read, one in the channel, one being written, and hyper's own buffer.
+pub const STREAM_MEMORY_BYTES: usize = 4 * MAX_PIECE_BYTES;
 
+/// A message on the channel of a streamed body.
 #[derive(Debug)]
 pub enum Piece {
     Data(Bytes),
-    /// All has come. A channel that closes without it was cut.
+    /// The body is complete. A channel that closes without it was truncated.
     End,
 }
 
+/// The receiving end of a streamed body.
 pub type Pieces = mpsc::Receiver<Piece>;
 
-/// A channel for one piece at a time.
+/// A channel that holds one piece.
 pub fn pipe() -> (mpsc::Sender<Piece>, Pieces) {
     mpsc::channel(1)
 }
 
-/// The sender of a body went before its end.
-#[derive(Debug)]
-pub struct Cut;
-
-impl fmt::Display for Cut {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the body was cut")
-    }
-}
-
-impl std::error::Error for Cut {}
+/// The sender of a body was dropped before the body's end.
+#[derive(Debug, Error)]
+#[error("the body was truncated")]
+pub struct TruncatedBody;
 
 /// A request's body.
 #[derive(Debug)]
 pub enum Content {
     Whole(Bytes),
-    /// Too large to be held; it can be sent on once only.
+    /// Too large to be buffered; it can be sent only once.
     Stream {
+        /// `None` once an attempt has taken it.
         upload: RefCell<Option<Upload>>,
-        /// Its last byte has been handed over.
-        ended: Rc<Cell<bool>>,
+        /// The last byte was handed to the connection.
+        is_finished: Rc<Cell<bool>>,
     },
 }
 
 impl Content {
+    /// A streamed body and the sender of its pieces; `length` is in bytes, if it is known.
     pub fn stream(length: Option<usize>) -> (mpsc::Sender<Piece>, Self) {
         let (sender, pieces) = pipe();
-        let ended = Rc::new(Cell::new(false));
-        let upload = Upload { pieces, left: length.map(|l| l as u64), ended: ended.clone() };
-        (sender, Self::Stream { upload: RefCell::new(Some(upload)), ended })
+        let is_finished = Rc::new(Cell::new(false));
+        let upload = Upload { pieces, remaining: length.map(|l| l as u64), is_finished: is_finished.clone() };
+        (sender, Self::Stream { upload: RefCell::new(Some(upload)), is_finished })
     }
 
-    /// The body for one attempt; `None`: it has been sent on already.
+    /// The body for one attempt; `None` if it is streamed and an earlier attempt has taken it.
     pub fn take(&self) -> Option<Outgoing> {
         match self {
             Self::Whole(bytes) => Some(Outgoing::Whole(Some(bytes.clone()).filter(|b| !b.is_empty()))),
@@ -70,8 +67,8 @@
         }
     }
 
-    /// It is there for an attempt.
-    pub fn unsent(&self) -> bool {
+    /// Whether an attempt can still send it.
+    pub fn is_available(&self) -> bool {
         match self {
             Self::Whole(_) => true,
             Self::Stream { upload, .. } => upload.borrow().is_some(),
@@ -79,59 +76,64 @@
     }
 }
 
+/// A streamed body as one attempt sends it.
 #[derive(Debug)]
 pub struct Upload {
     pieces: Pieces,
-    /// Bytes to come, where that is known.
-    left: Option<u64>,
-    ended: Rc<Cell<bool>>,
+    /// Bytes to come, if the length is known.
+    remaining: Option<u64>,
+    is_finished: Rc<Cell<bool>>,
 }
 
-/// A body as the library sends it.
+/// A request body in the form that hyper sends.
 #[derive(Debug)]
 pub enum Outgoing {
-    /// `None`: there is none, or it has gone.
+    /// `None` if it is empty or was sent.
     Whole(Option<Bytes>),
     Stream(Upload),
 }
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedBody;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         let upload = match &mut *self {
             Self::Whole(bytes) => return Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Self::Stream(upload) => upload,
         };
-        if upload.ended.get() {
+        if upload.is_finished.get() {
             return Poll::Ready(None);
         }
         Poll::Ready(match ready!(upload.pieces.poll_recv(cx)) {
             Some(Piece::Data(bytes)) => {
-                upload.left = upload.left.map(|left| left.saturating_sub(bytes.len() as u64));
-                upload.ended.set(upload.left == Some(0));
+                upload.remaining =
+                    upload.remaining.map(|remaining| remaining.saturating_sub(bytes.len() as u64));
+                upload.is_finished.set(upload.remaining == Some(0));
                 Some(Ok(Frame::data(bytes)))
             }
-            Some(Piece::End) if upload.left.is_none_or(|left| left == 0) => {
-                upload.ended.set(true);
+            Some(Piece::End) if upload.remaining.is_none_or(|remaining| remaining == 0) => {
+                upload.is_finished.set(true);
                 None
             }
-            Some(Piece::End) | None => Some(Err(Cut)),
+            Some(Piece::End) | None => Some(Err(TruncatedBody)),
         })
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.is_none(),
-            Self::Stream(upload) => upload.ended.get(),
+            Self::Stream(upload) => upload.is_finished.get(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            Self::Stream(upload) => upload.left.map_or_else(SizeHint::default, SizeHint::with_exact),
+            Self::Stream(upload) => upload.remaining.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
--- a/tests/unit/load_report.rs
+++ b/tests/unit/load_report.rs
@@ -1,10 +1,10 @@
-//! Workers' load reports.
+//! Parsing of load reports.
 
 use super::*;
 
-/// The policy uses no report today, so no test of the whole program reads one.
+/// The policy uses no report today, so no test of the whole program parses one.
 #[test]
-fn a_report_is_read_under_either_name_and_garbage_is_left_out() {
+fn report_under_either_name_parses_and_invalid_values_are_ignored() {
     let load = parse("TEXT inflight=7, queue=2, util=0.61");
     assert_eq!((load.inflight, load.utilization), (Some(7.0), Some(0.61)));
     let load = parse("busy_reqs=3,cpu_share=NaN");
--- a/tests/unit/request_head.rs
+++ b/tests/unit/request_head.rs
@@ -1,23 +1,28 @@
-//! Heads and bodies of requests, read from their bytes.
+//! Parsing of request heads and bodies.
 
 use super::*;
-use crate::node::wire::request_body::Body;
+use crate::node::wire::request_body::{BodyDecoder, BodyError};
 
-fn read(text: &str, step: usize) -> Result<Option<(Head, BytesMut)>, StatusCode> {
-    let (mut buffer, mut seen, mut open, mut whole) = (BytesMut::new(), 0, None, BytesMut::new());
-    for part in text.as_bytes().chunks(step) {
+/// Decodes a request that arrives in parts of `part_length` bytes: its head and body, `None` if it is not complete.
+fn read(text: &str, part_length: usize) -> Result<Option<(Head, BytesMut)>, StatusCode> {
+    let mut buffer = BytesMut::new();
+    let mut scanned = 0;
+    let mut open = None;
+    let mut body = BytesMut::new();
+    for part in text.as_bytes().chunks(part_length) {
         buffer.extend_from_slice(part);
         if open.is_none() {
-            open = take(&mut buffer, &mut seen)?.map(|h| (Body::new(h.framing), h));
+            let head = take(&mut buffer, &mut scanned).map_err(HeadError::status)?;
+            open = head.map(|head| (BodyDecoder::new(head.framing), head));
         }
-        if let Some((body, _)) = &mut open {
+        if let Some((decoder, _)) = &mut open {
             // In pieces of at most nine bytes.
             loop {
                 let mut piece = BytesMut::new();
-                let over = body.take(&mut buffer, &mut piece, 9)?;
-                whole.extend_from_slice(&piece);
-                if over {
-                    return Ok(open.map(|(_, h)| (h, whole)));
+                let is_complete = decoder.decode(&mut buffer, &mut piece, 9).map_err(BodyError::status)?;
+                body.extend_from_slice(&piece);
+                if is_complete {
+                    return Ok(open.map(|(_, head)| (head, body)));
                 }
                 if piece.len() < 9 {
                     break;
@@ -29,23 +34,26 @@
 }
 
 #[test]
-fn a_request_reads_the_same_in_whatever_pieces_it_comes() {
+fn request_in_parts_of_any_length_parses_alike() {
     let plain = "POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello";
     let chunked =
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: u\r\n\r\n";
     let bare = "GET /a HTTP/1.0\n\n";
-    for step in 1..200 {
+    for part_length in 1..200 {
         for text in [plain, chunked] {
-            let (head, body) = read(text, step).expect("good").expect("whole");
-            assert!(head.keep && head.method == Method::POST && body == "hello", "{step}");
+            let (head, body) = read(text, part_length).expect("valid").expect("complete");
+            assert!(
+                head.allows_keep_alive && head.method == Method::POST && body == "hello",
+                "{part_length}"
+            );
         }
-        let (head, body) = read(bare, step).expect("good").expect("whole");
-        assert!(!head.keep && body.is_empty());
+        let (head, body) = read(bare, part_length).expect("valid").expect("complete");
+        assert!(!head.allows_keep_alive && body.is_empty());
     }
 }
 
 #[test]
-fn what_could_be_read_in_two_ways_is_turned_away() {
+fn ambiguous_framing_is_rejected() {
     for headers in [
         "Content-Length: 4\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 4",
@@ -71,7 +79,7 @@
 }
 
 #[test]
-fn nothing_grows_past_its_bound() {
+fn oversized_request_is_rejected() {
     let large = Some(StatusCode::PAYLOAD_TOO_LARGE);
     for length in ["41943041", "60000000", "99999999999999999999999999"] {
         let text = format!("POST / HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
@@ -81,9 +89,9 @@
     assert_eq!(read(&(text + &"x".repeat(0xffff) + "\r\n27f0002\r\n"), 999).err(), large);
     let long = Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     for endless in ["a: b\r\n", "x"] {
-        let text = format!("GET / HTTP/1.1\r\n{}", endless.repeat(MAX_HEAD));
+        let text = format!("GET / HTTP/1.1\r\n{}", endless.repeat(MAX_HEAD_BYTES));
         assert_eq!(read(&text, 1000).err(), long, "{endless}");
     }
-    // What is no HTTP is turned away before its end.
+    // Bytes that are not HTTP are rejected before a line end.
     assert_eq!(read("\u{16}\u{3}\u{1} nonsense", 20).err(), Some(StatusCode::BAD_REQUEST));
 }
