--- a/src/node/connection/clients/context.rs
+++ b/src/node/connection/clients/context.rs
@@ -1,4 +1,4 @@
-//! What all conversations with clients share.
+//! What the connections of all clients share.
 
 use crate::node::{
     connection::clients::{handler::RequestHandler, memory::BodyMemory},
@@ -9,37 +9,37 @@
 use oliverack::Options;
 use std::{cell::Cell, rc::Rc};
 
-/// What the clients' connections stand on.
+/// See the [module](self).
 pub struct Context {
-    /// Takes their requests.
+    /// Serves the requests.
     pub handler: Box<dyn RequestHandler>,
-    /// What requests may name.
+    /// The classes and plans that requests may name.
     pub options: Options,
-    /// Counts their requests.
+    /// Counts the requests.
     pub metrics: Rc<Metrics>,
-    /// Shares what they may hold.
+    /// The processes that share the connection budget.
     pub processes: Rc<Processes>,
-    /// What bodies and streams may hold.
+    /// Memory for bodies and streams.
     pub memory: BodyMemory,
-    /// From now on every answer closes its connection.
+    /// A shutdown has begun: each response closes its connection.
     pub is_stopping: Cell<bool>,
 }
 
 impl Context {
-    /// Holds so many bytes of bodies at most.
+    /// Bodies of all clients together hold at most `body_memory` bytes.
     pub fn new(
         handler: Box<dyn RequestHandler>,
         options: Options,
         metrics: Rc<Metrics>,
         processes: Rc<Processes>,
-        bodies: usize,
+        body_memory: usize,
     ) -> Self {
-        let memory = BodyMemory::new(bodies, processes.clone());
+        let memory = BodyMemory::new(body_memory, processes.clone());
         Self { handler, options, metrics, processes, memory, is_stopping: Cell::new(false) }
     }
 
-    /// What a front is told that asks whether clients are taken.
-    pub fn up(&self) -> StatusCode {
+    /// The status of the health check for load balancers in front of the gateway.
+    pub fn health_status(&self) -> StatusCode {
         if self.is_stopping.get() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK }
     }
 }
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -1,235 +1,171 @@
-//! One request on a client's connection, up to its final answer.
+//! One request on a client's connection, up to its final response.
 
 use crate::node::{
     connection::clients::{
-        context::Context,
+        body_upload::{BodyUpload, UploadEnd},
         handler::{FinalAnswer, RequestHandler},
         memory::MemoryPermit,
-        reading::{CONTINUE, MAX_GATHERED, ReceivedBody},
-        state::{Closing, ConnectionState, Stage},
+        request_reader::{ReceivedBody, ReceivedContent},
+        response_writer::{self, Delivery},
+        socket::ClientSocket,
+        state::{ConnectionEnd, Stage},
     },
     wire::{
         client_request::ClientRequest,
-        client_response::{ClientResponse, ResponseBody},
+        client_response::ClientResponse,
         request_body::BodyDecoder,
-        stream::{self, Content, Piece},
+        stream::{Content, MAX_PIECE_BYTES},
     },
 };
 use bytes::BytesMut;
 use hyper::StatusCode;
 use oliverack::RequestId;
-use std::{io, time::Instant};
-use tokio::{
-    io::{AsyncWriteExt, Interest},
-    net::TcpStream,
-    sync::{mpsc, oneshot},
-};
+use tokio::sync::oneshot;
 
-/// One request and its answer on a connection.
+/// A request and its response.
 pub struct Exchange<'a, 'c> {
-    pub context: &'c Context,
-    pub socket: &'a mut TcpStream,
-    pub buffer: &'a mut BytesMut,
-    /// What the buffer takes of the memory for bodies.
-    pub ahead: &'a mut MemoryPermit<'c>,
-    pub state: &'a ConnectionState,
-    pub permit: MemoryPermit<'c>,
-    /// What has not come yet of a body that nobody wants any more.
-    pub rest: Option<BodyDecoder>,
-    /// The answer was cut short: nothing more may be said on the connection.
-    pub cut: bool,
+    socket: &'a mut ClientSocket<'c>,
+    /// Memory reserved for the request's body.
+    memory: MemoryPermit<'c>,
+    /// Decodes the rest of a body that nobody wants any more.
+    unread_body: Option<BodyDecoder>,
 }
 
-impl Exchange<'_, '_> {
-    /// Hands the request over and waits for the final answer, passing on a large body meanwhile.
+impl<'a, 'c> Exchange<'a, 'c> {
+    /// An exchange whose request has a body that reserves `memory`.
+    pub fn new(socket: &'a mut ClientSocket<'c>, memory: MemoryPermit<'c>) -> Self {
+        Self { socket, memory, unread_body: None }
+    }
+
+    /// An exchange that is answered without the handler, which leaves the rest of the body unread.
+    pub fn unhandled(socket: &'a mut ClientSocket<'c>, body: ReceivedBody<'c>) -> Self {
+        Self { socket, memory: body.memory, unread_body: body.content.into_unread() }
+    }
+
+    /// Whether the client may still send a body that nobody wants; the connection can't be kept then.
+    pub fn has_unread_body(&self) -> bool {
+        self.unread_body.is_some()
+    }
+
+    /// Hands the request to the handler and waits for the final response, streaming a large body meanwhile.
+    ///
+    /// # Errors
+    /// The client has disconnected, or its body is malformed or too slow. The handler is notified.
     pub async fn serve(
         &mut self,
         mut request: ClientRequest,
-        body: ReceivedBody,
-        expects: bool,
-    ) -> Result<ClientResponse, Closing> {
-        let handler = &*self.context.handler;
+        content: ReceivedContent,
+        expects_continue: bool,
+    ) -> Result<ClientResponse, ConnectionEnd> {
+        let handler = &*self.socket.context.handler;
         let mut upload = None;
-        request.upstream.body = match body {
-            ReceivedBody::Whole(bytes) => Content::Whole(bytes),
-            ReceivedBody::Large { first, rest, length } => {
-                let (pieces, content) = Content::stream(length);
-                upload = Some(Upload { pieces, piece: first, rest });
+        request.upstream.body = match content {
+            ReceivedContent::Complete(bytes) => Content::Whole(bytes),
+            ReceivedContent::Partial { received, decoder, length } => {
+                let (sender, content) = Content::stream(length);
+                upload = Some(BodyUpload { sender, pending: received, decoder });
                 content
             }
         };
         let Some((request_id, mut receiver)) = handler.accept(request) else {
-            self.rest = upload.map(|u| u.rest);
+            self.unread_body = upload.map(|upload| upload.decoder);
             return Ok(ClientResponse::plain(StatusCode::CONFLICT));
         };
-        let mut waiting = Waiting { handler, request_id: &request_id, answered: false };
-        let mut early = None;
-        if let Some(upload) = upload {
-            early = self.forward_body(upload, expects, &mut receiver).await?;
-            if early.is_none() {
-                handler.received_whole(&request_id);
-            }
-        }
-        self.state.enter(Stage::Busy);
-        let answer = match early {
-            Some(answer) => answer,
-            None => self.wait(&mut receiver).await?,
+        let mut open_request = OpenRequest { handler, request_id: &request_id, is_answered: false };
+        let early_response = match upload {
+            Some(upload) => self.run_upload(upload, expects_continue, &open_request, &mut receiver).await?,
+            None => None,
         };
-        waiting.answered = true;
-        Ok(match answer {
-            Ok(FinalAnswer::Served(body)) => ClientResponse::whole(StatusCode::OK, body),
-            Ok(FinalAnswer::Streamed { length, pieces }) => ClientResponse {
-                body: ResponseBody::Pieces { length, pieces },
-                ..ClientResponse::plain(StatusCode::OK)
-            },
-            Ok(FinalAnswer::Refused { retry_after }) => {
-                ClientResponse { retry_after, ..ClientResponse::plain(StatusCode::TOO_MANY_REQUESTS) }
-            }
-            Ok(FinalAnswer::Failed) | Err(_) => ClientResponse::plain(StatusCode::BAD_GATEWAY),
-        })
+        self.socket.state.enter(Stage::Processing);
+        let response = match early_response {
+            Some(response) => response,
+            None => self.wait_for_response(&mut receiver).await?,
+        };
+        open_request.is_answered = true;
+        Ok(response.into())
     }
 
-    /// Passes a body on as it comes; an answer that is there before its end ends that.
-    async fn forward_body(
+    /// Streams the body; returns the final response if that came before the body's end.
+    async fn run_upload(
         &mut self,
-        mut upload: Upload,
-        expects: bool,
+        upload: BodyUpload,
+        expects_continue: bool,
+        open_request: &OpenRequest<'_>,
         receiver: &mut oneshot::Receiver<FinalAnswer>,
-    ) -> Result<Option<AnswerOrDropped>, Closing> {
-        if expects && self.buffer.is_empty() && upload.piece.is_empty() {
-            if let Some(answer) = self.answer_or_continue(receiver).await {
-                return Ok(Some(Ok(answer)));
-            }
-        }
-        loop {
-            let whole = upload.rest.decode(self.buffer, &mut upload.piece, stream::MAX_PIECE_BYTES)?;
-            let full = upload.piece.len() >= stream::MAX_PIECE_BYTES;
-            let data =
-                if upload.piece.is_empty() { None } else { Some(Piece::Data(upload.piece.split().freeze())) };
-            let before = self.buffer.len();
-            for piece in data.into_iter().chain(whole.then_some(Piece::End)) {
-                self.state.enter(Stage::Busy);
-                let held = Instant::now();
-                // Either of the first two ends the body's way; the piece that is not sent then is of no more use.
-                let sent = tokio::select! {
-                    biased;
-                    answer = &mut *receiver => {
-                        self.rest = (!whole).then_some(upload.rest);
-                        return Ok(Some(answer));
-                    }
-                    () = self.left() => return Err(Closing::Quietly),
-                    sent = upload.pieces.send(piece) => sent,
-                };
-                self.state.extend_since(held);
-                if sent.is_err() && !whole {
-                    // The attempt is over, so the answer is on its way; nobody wants the rest.
-                    self.rest = Some(upload.rest);
-                    return receiver
-                        .await
-                        .map(|answer| Some(Ok(answer)))
-                        .or(Ok(Some(Ok(FinalAnswer::Failed))));
-                }
-            }
-            if whole {
-                return Ok(None);
-            }
-            if full && !self.buffer.is_empty() || self.buffer.len() > before {
-                continue;
+    ) -> Result<Option<FinalAnswer>, ConnectionEnd> {
+        match upload.run(self.socket, expects_continue, receiver).await? {
+            UploadEnd::Complete => {
+                open_request.handler.received_whole(open_request.request_id);
+                Ok(None)
             }
-            self.state.stage.set(Stage::Body);
-            tokio::select! {
-                biased;
-                answer = &mut *receiver => {
-                    self.rest = Some(upload.rest);
-                    return Ok(Some(answer));
-                }
-                read = self.context.read(self.socket, self.buffer, self.state, stream::MAX_PIECE_BYTES) => read?,
+            UploadEnd::Answered { response, unread_body } => {
+                self.unread_body = unread_body;
+                Ok(Some(response))
             }
         }
     }
 
-    /// Refused at once, a client that waits for a word need not send its body; else it is told to.
-    async fn answer_or_continue(
+    /// Waits for the final response. The select loses nothing: the response stays with the receiver, a disconnect with
+    /// the socket, and bytes that were read with the buffer.
+    async fn wait_for_response(
         &mut self,
         receiver: &mut oneshot::Receiver<FinalAnswer>,
-    ) -> Option<FinalAnswer> {
-        if let Ok(answer) = receiver.try_recv() {
-            return Some(answer);
+    ) -> Result<FinalAnswer, ConnectionEnd> {
+        tokio::select! {
+            biased;
+            response = receiver => Ok(response.unwrap_or(FinalAnswer::Failed)),
+            () = self.socket.wait_for_disconnect() => Err(ConnectionEnd::Silent),
         }
-        let _ = self.socket.write_all(CONTINUE).await;
-        None
     }
 
-    /// Waits for the final answer; an end where the client went before. A lost branch loses nothing: the answer
-    /// stays with the receiver, a close with the socket, and what was read with the buffer.
-    async fn wait(
+    /// Writes the response to the client.
+    ///
+    /// # Errors
+    /// The client has disconnected.
+    pub async fn respond(
         &mut self,
-        receiver: &mut oneshot::Receiver<FinalAnswer>,
-    ) -> Result<AnswerOrDropped, Closing> {
-        tokio::select! {
-            biased;
-            answer = receiver => Ok(answer),
-            () = self.left() => Err(Closing::Quietly),
-        }
+        response: ClientResponse,
+        keep_alive: bool,
+        minor_version: u8,
+    ) -> Result<Delivery, ConnectionEnd> {
+        response_writer::write_response(self.socket, &self.memory, response, keep_alive, minor_version)
+            .await
+            .map_err(|_| ConnectionEnd::Silent)
     }
 
-    /// Waits until the client has left. What it sends behind its request, or ahead of what its body's way takes, is
-    /// read meanwhile, within a bound: the system holds only so much, and tells no close that stands behind more.
-    async fn left(&mut self) {
-        while self.buffer.len() + stream::MAX_PIECE_BYTES <= MAX_GATHERED
-            && self.context.memory.is_plenty(stream::MAX_PIECE_BYTES)
-        {
-            tokio::select! {
-                biased;
-                () = left(self.socket) => return,
-                ready = self.socket.readable() => if ready.is_err() { return },
-            }
-            let wanted = self.buffer.len() + stream::MAX_PIECE_BYTES;
-            if wanted > self.ahead.bytes() {
-                let Some(more) = self.context.memory.take(wanted - self.ahead.bytes()) else { break };
-                self.ahead.join(more);
-            }
-            self.buffer.reserve(stream::MAX_PIECE_BYTES);
-            match self.socket.try_read_buf(self.buffer) {
-                Ok(0) => return,
-                Ok(_) => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => return,
+    /// Closes the connection in a way that lets the client read the response.
+    pub async fn close(mut self) {
+        self.discard_unread_body().await;
+        drop(self.memory);
+        self.socket.linger().await;
+    }
+
+    /// Reads the rest of an unwanted body: a client may read the response only after it has sent everything.
+    async fn discard_unread_body(&mut self) {
+        let Some(mut decoder) = self.unread_body.take() else { return };
+        self.socket.state.enter(Stage::ReceivingBody);
+        let mut discarded = BytesMut::new();
+        while let Ok(false) = decoder.decode(&mut self.socket.buffer, &mut discarded, usize::MAX) {
+            discarded.clear();
+            if self.socket.read(MAX_PIECE_BYTES).await.is_err() {
+                return;
             }
         }
-        left(self.socket).await;
     }
 }
 
-/// A body on its way through: what has been read of it and not passed on, and what is to come.
-struct Upload {
-    pieces: mpsc::Sender<Piece>,
-    piece: BytesMut,
-    rest: BodyDecoder,
-}
-
-/// The final answer, or that the handler has dropped it.
-type AnswerOrDropped = Result<FinalAnswer, oneshot::error::RecvError>;
-
-/// A request that waits for its answer; dropped before, its client has gone.
-struct Waiting<'a> {
+/// A request that the handler has accepted. Dropped before the final response, it notifies the handler that the client
+/// has disconnected.
+struct OpenRequest<'a> {
     handler: &'a dyn RequestHandler,
     request_id: &'a RequestId,
-    answered: bool,
+    is_answered: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.is_answered {
             self.handler.left(self.request_id);
         }
     }
 }
-
-/// Waits until the client has closed or reset its connection. The system tells that by itself, so it is seen also
-/// past what the client has sent before and nobody has read yet.
-async fn left(socket: &TcpStream) {
-    // An event's own flag for urgent data is not asked for at the system, which leaves the end of the reading.
-    // A failure means that the runtime is going, and this task with it.
-    let _ = socket.ready(Interest::PRIORITY).await;
-}
--- a/src/node/connection/clients/handler.rs
+++ b/src/node/connection/clients/handler.rs
@@ -1,28 +1,32 @@
-//! What takes clients' requests, and how it answers them.
+//! The interface to the part of the gateway that serves clients' requests.
 
-use crate::node::wire::{client_request::ClientRequest, stream::Pieces};
+use crate::node::wire::{
+    client_request::ClientRequest,
+    client_response::{ClientResponse, ResponseBody},
+    stream::Pieces,
+};
 use bytes::Bytes;
+use hyper::StatusCode;
 use oliverack::RequestId;
 use tokio::sync::oneshot;
 
-/// The one final answer to a client.
+/// The one final response to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// Served, with this body.
+    /// Served, with a buffered body.
     Served(Bytes),
-    /// Served, with a body that comes in pieces.
+    /// Served, with a streamed body.
     Streamed {
-        /// Of this length, if it is known.
+        /// In bytes, if it is known.
         length: Option<u64>,
-        /// Its pieces.
         pieces: Pieces,
     },
-    /// Refused: a retry does no harm.
+    /// Rejected before any endpoint may have worked on it; the client may retry.
     Refused {
-        /// Seconds to stay away; 0: no advice.
+        /// Retry-After in seconds; 0 leaves the header out.
         retry_after: f64,
     },
-    /// Failed, with no promise.
+    /// Failed; an endpoint may have worked on it.
     Failed,
 }
 
@@ -38,13 +42,27 @@
     }
 }
 
-/// Takes clients' requests and answers them.
+impl From<FinalAnswer> for ClientResponse {
+    fn from(response: FinalAnswer) -> Self {
+        match response {
+            FinalAnswer::Served(body) => Self::whole(StatusCode::OK, body),
+            FinalAnswer::Streamed { length, pieces } => {
+                Self { body: ResponseBody::Pieces { length, pieces }, ..Self::plain(StatusCode::OK) }
+            }
+            FinalAnswer::Refused { retry_after } => {
+                Self { retry_after, ..Self::plain(StatusCode::TOO_MANY_REQUESTS) }
+            }
+            FinalAnswer::Failed => Self::plain(StatusCode::BAD_GATEWAY),
+        }
+    }
+}
+
+/// Serves clients' requests.
 pub trait RequestHandler {
-    /// Takes a request; its final answer comes by the receiver. `None`: its name is that of one that is open, and so
-    /// another client's.
+    /// Takes a request; the receiver gets its final response. `None` if a request with the same transaction id is open.
     fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)>;
-    /// The request's last byte has come: its time, and that of its attempts, begins.
+    /// The last byte of a streamed request body has arrived: the request's deadline and its attempts' time-outs start.
     fn received_whole(&self, request_id: &RequestId);
-    /// The client is gone before its answer.
+    /// The client has disconnected before the final response.
     fn left(&self, request_id: &RequestId);
 }
--- /dev/null
+++ b/src/node/connection/clients/listener.rs
@@ -0,0 +1,185 @@
+//! Accepts clients' connections within a budget, and serves each in a task of its own.
+
+use crate::node::connection::clients::{
+    connection::ClientConnection,
+    context::Context,
+    eviction,
+    state::{ConnectionState, ConnectionTable, Stage},
+    timeouts,
+};
+use std::{
+    cell::{Cell, RefCell},
+    io,
+    rc::Rc,
+    time::Duration,
+};
+use tokio::{
+    net::{TcpListener, TcpStream},
+    sync::Notify,
+    time::{sleep, timeout},
+};
+use tracing::warn;
+
+/// Wait before another look for capacity, and after a failure to accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
+/// All connections of clients.
+pub struct Clients {
+    context: Context,
+    connections: RefCell<ConnectionTable>,
+    next_connection_id: Cell<u64>,
+    /// Most connections of all processes of this gateway together.
+    max_connections: usize,
+    /// Notified when a connection ends.
+    connection_ended: Notify,
+    is_accepting: Cell<bool>,
+    /// Accepted while there was no capacity to serve it.
+    pending_socket: RefCell<Option<TcpStream>>,
+    /// A failure to accept was logged; the next one is not, until a connection is accepted.
+    is_accept_failure_logged: Cell<bool>,
+}
+
+impl Clients {
+    /// Serves at most `max_connections` at once.
+    pub fn new(context: Context, max_connections: usize) -> Rc<Self> {
+        Rc::new(Self {
+            context,
+            connections: RefCell::default(),
+            next_connection_id: Cell::new(0),
+            max_connections,
+            connection_ended: Notify::new(),
+            is_accepting: Cell::new(false),
+            pending_socket: RefCell::default(),
+            is_accept_failure_logged: Cell::new(false),
+        })
+    }
+
+    /// Begins the shutdown: from now on each response closes its connection, and the health check fails.
+    pub fn stop(self: &Rc<Self>) {
+        self.context.is_stopping.set(true);
+        self.serve_pending_socket();
+    }
+
+    /// Asks each connection to close: at once if it is idle, otherwise after the response to its open request. One
+    /// whose request body is being streamed is left alone.
+    pub fn close(&self) {
+        for connection in self.connections.borrow().values() {
+            if connection.stage.get() != Stage::ReceivingBody {
+                connection.request_close();
+            }
+        }
+    }
+
+    /// Whether clients are accepted and no shutdown has begun.
+    pub fn is_accepting(&self) -> bool {
+        self.is_accepting.get() && !self.context.is_stopping.get()
+    }
+
+    /// The number of open connections.
+    pub fn connections(&self) -> usize {
+        self.connections.borrow().len()
+    }
+
+    /// Waits until a connection ends.
+    pub async fn one_ended(&self) {
+        self.connection_ended.notified().await;
+    }
+
+    /// Accepts connections until it is cancelled. [`Clients::stop`] then serves one that was accepted without capacity.
+    pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
+        self.is_accepting.set(true);
+        loop {
+            if self.is_full() && self.context.processes.is_followed() {
+                // The successor process accepts what this one leaves in the backlog.
+                self.wait_for_connection_end().await;
+                continue;
+            }
+            match listener.accept().await {
+                Ok((socket, _)) => self.admit(socket).await,
+                Err(error) => self.back_off(&error).await,
+            }
+        }
+    }
+
+    /// Serves an accepted connection as soon as there is capacity, evicting another one if need be.
+    async fn admit(self: &Rc<Self>, socket: TcpStream) {
+        self.is_accept_failure_logged.set(false);
+        self.pending_socket.replace(Some(socket));
+        while self.is_full() {
+            self.evict_one();
+            self.wait_for_connection_end().await;
+        }
+        self.serve_pending_socket();
+    }
+
+    /// Pauses after a failure to accept, such as a lack of descriptors, which must neither spin nor end the loop.
+    async fn back_off(&self, error: &io::Error) {
+        if !self.is_accept_failure_logged.replace(true) {
+            warn!(reason = %error, "accepting a connection failed");
+        }
+        self.evict_one();
+        sleep(ACCEPT_BACKOFF).await;
+    }
+
+    async fn wait_for_connection_end(&self) {
+        // Either way the caller looks again.
+        let _ = timeout(ACCEPT_BACKOFF, self.one_ended()).await;
+    }
+
+    fn is_full(&self) -> bool {
+        self.connections() >= self.max_connections / self.context.processes.count() as usize
+    }
+
+    fn evict_one(&self) {
+        eviction::evict_one(&self.connections.borrow());
+    }
+
+    fn serve_pending_socket(self: &Rc<Self>) {
+        let socket = self.pending_socket.take();
+        if let Some(socket) = socket {
+            self.serve(socket);
+        }
+    }
+
+    /// Ends connections that have exceeded a time limit, until it is cancelled.
+    pub async fn watch(self: Rc<Self>) {
+        loop {
+            sleep(timeouts::CHECK_INTERVAL).await;
+            timeouts::enforce(&self.connections.borrow());
+        }
+    }
+
+    fn serve(self: &Rc<Self>, socket: TcpStream) {
+        let state = Rc::new(ConnectionState::default());
+        let registration = self.register(state.clone());
+        let task = tokio::task::spawn_local({
+            let state = state.clone();
+            async move {
+                // Otherwise a response might wait for the acknowledgement of the one before.
+                let _ = socket.set_nodelay(true);
+                ClientConnection::new(&registration.clients.context, socket, &state).run().await;
+            }
+        });
+        *state.task.borrow_mut() = Some(task.abort_handle());
+    }
+
+    fn register(self: &Rc<Self>, state: Rc<ConnectionState>) -> Registration {
+        let id = self.next_connection_id.get();
+        self.next_connection_id.set(id + 1);
+        self.connections.borrow_mut().insert(id, state);
+        Registration { clients: self.clone(), id }
+    }
+}
+
+/// A connection's place in the table, and so in the budget. It is given back even if the task never ran.
+struct Registration {
+    clients: Rc<Clients>,
+    id: u64,
+}
+
+impl Drop for Registration {
+    fn drop(&mut self) {
+        self.clients.connections.borrow_mut().remove(&self.id);
+        self.clients.connection_ended.notify_one();
+    }
+}
--- a/src/node/connection/clients/memory.rs
+++ b/src/node/connection/clients/memory.rs
@@ -1,70 +1,75 @@
-//! The memory that bodies and streams may hold, dealt out in permits.
+//! The memory that bodies and streams may hold, reserved by permits.
 
-use crate::node::processes::Processes;
+use crate::node::{processes::Processes, wire::limits::MAX_BUFFERED_BODY_BYTES};
 use std::{cell::Cell, rc::Rc};
 
-/// The memory that bodies and streams of all clients may hold, in bytes. Processes side by side share it.
+/// Most bytes that are buffered for one request while memory is ample. A slow client takes seconds to send them, and
+/// meanwhile holds neither an endpoint's connection nor a place under a concurrency limit.
+pub const MAX_AMPLE_BUFFER_BYTES: usize = 8 * MAX_BUFFERED_BODY_BYTES;
+
+/// The memory for bodies and streams of all clients, in bytes, shared evenly with the other processes of this gateway.
 pub struct BodyMemory {
-    whole: usize,
-    left: Cell<usize>,
+    capacity: usize,
+    reserved: Cell<usize>,
     processes: Rc<Processes>,
 }
 
 impl BodyMemory {
-    /// So many bytes, shared with the other processes.
-    pub fn new(whole: usize, processes: Rc<Processes>) -> Self {
-        Self { whole, left: Cell::new(whole), processes }
+    /// A capacity in bytes, for all processes together.
+    pub fn new(capacity: usize, processes: Rc<Processes>) -> Self {
+        Self { capacity, reserved: Cell::new(0), processes }
     }
 
-    /// This process's part.
-    fn share(&self) -> usize {
-        self.whole / self.processes.count() as usize
+    /// The part of this process.
+    fn process_capacity(&self) -> usize {
+        self.capacity / self.processes.count() as usize
     }
 
-    fn held(&self) -> usize {
-        self.whole - self.left.get()
+    /// Whether this many more bytes leave at least half of this process's part free.
+    pub fn is_ample_for(&self, bytes: usize) -> bool {
+        self.reserved.get() + bytes <= self.process_capacity() / 2
     }
 
-    /// Whether so many bytes more may be held with ease: half of the part is left then.
-    pub fn is_plenty(&self, bytes: usize) -> bool {
-        self.held() + bytes <= self.share() / 2
+    /// Reserves this many bytes; `None` if they are not free.
+    pub fn reserve(&self, bytes: usize) -> Option<MemoryPermit<'_>> {
+        let reserved = self.reserved.get() + bytes;
+        if reserved > self.process_capacity() {
+            return None;
+        }
+        self.reserved.set(reserved);
+        Some(MemoryPermit { reserved: &self.reserved, bytes })
     }
 
-    /// A permit for so many bytes, if they are left.
-    pub fn take(&self, bytes: usize) -> Option<MemoryPermit<'_>> {
-        if self.held() + bytes > self.share() {
-            return None;
+    /// Extends a permit to this many bytes; `None` if they are not free, with the permit unchanged.
+    pub fn extend<'a>(&'a self, permit: &mut MemoryPermit<'a>, bytes: usize) -> Option<()> {
+        if bytes > permit.bytes {
+            let mut addition = self.reserve(bytes - permit.bytes)?;
+            permit.bytes += std::mem::take(&mut addition.bytes);
         }
-        self.left.set(self.left.get().checked_sub(bytes)?);
-        Some(MemoryPermit { left: &self.left, bytes })
+        Some(())
     }
 
-    /// A permit for nothing yet.
-    pub fn none(&self) -> MemoryPermit<'_> {
-        MemoryPermit { left: &self.left, bytes: 0 }
+    /// A permit for no bytes yet.
+    pub fn empty_permit(&self) -> MemoryPermit<'_> {
+        MemoryPermit { reserved: &self.reserved, bytes: 0 }
     }
 }
 
-/// Bytes that may be held, given back with this.
+/// Reserved bytes, released when it is dropped.
 pub struct MemoryPermit<'a> {
-    left: &'a Cell<usize>,
+    reserved: &'a Cell<usize>,
     bytes: usize,
 }
 
 impl MemoryPermit<'_> {
-    /// How many they are.
+    /// The number of reserved bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
-
-    /// Takes over the other's.
-    pub fn join(&mut self, mut other: Self) {
-        self.bytes += std::mem::take(&mut other.bytes);
-    }
 }
 
 impl Drop for MemoryPermit<'_> {
     fn drop(&mut self) {
-        self.left.set(self.left.get() + self.bytes);
+        self.reserved.set(self.reserved.get() - self.bytes);
     }
 }
