--- a/lab/src/fleet/configuration.rs
+++ b/lab/src/fleet/configuration.rs
@@ -10,13 +10,15 @@
     pub seconds: f64,
     /// Zones, regions and the delays between them.
     pub topology: Topology,
-    /// The gatekeepers.
-    pub gatekeepers: Gatekeepers,
+    /// The gateways.
+    #[serde(rename = "gatekeepers")]
+    pub gateways: Gateways,
     /// What the policy is told beside the sizes.
     pub policy: Policy,
-    /// The workers.
-    pub workers: Workers,
-    /// The service that tells the list of workers.
+    /// The endpoints.
+    #[serde(rename = "workers")]
+    pub endpoints: Endpoints,
+    /// The service that tells the list of endpoints.
     pub discovery: Discovery,
     /// The counter service; without it there is none.
     pub counter: Option<Counter>,
@@ -28,7 +30,7 @@
     pub classes: Vec<Class>,
     /// Plans, of which each tenant has one.
     pub plans: Vec<Plan>,
-    /// How much of their quota tenants ask for; each tenant has one of these.
+    /// How much of their quota tenants poll for; each tenant has one of these.
     pub usage: Vec<Usage>,
     /// What goes wrong.
     #[serde(default)]
@@ -49,7 +51,7 @@
 pub struct Topology {
     /// Count of regions; zones are split evenly over them.
     pub regions: u32,
-    /// Count of zones; gatekeepers and workers are dealt out over them in turn.
+    /// Count of zones; gateways and endpoints are dealt out over them in turn.
     pub zones: u32,
     /// Delay within a zone.
     pub delay_in_zone: f64,
@@ -59,10 +61,10 @@
     pub delay_between_regions: f64,
 }
 
-/// The gatekeepers.
+/// The gateways.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Gatekeepers {
+pub struct Gateways {
     /// How many there are.
     pub count: u32,
     /// How long a restart keeps one down.
@@ -74,24 +76,27 @@
 #[serde(deny_unknown_fields)]
 pub struct Policy {
     /// A counter call is given up after this time.
-    pub count_limit: f64,
+    #[serde(rename = "count_limit")]
+    pub counter_timeout: f64,
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    #[serde(rename = "second_copies")]
+    pub hedging_enabled: bool,
     /// Attempts may be cancelled.
-    pub may_cancel: bool,
+    #[serde(rename = "may_cancel")]
+    pub cancellation_enabled: bool,
     /// The longest Retry-After that clients honour.
     pub max_retry_after: f64,
 }
 
-/// The workers.
+/// The endpoints.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Workers {
+pub struct Endpoints {
     /// How many there are at the start.
     pub count: u32,
-    /// Count of cells; workers are dealt out over them in turn.
+    /// Count of cells; endpoints are dealt out over them in turn.
     pub cells: u32,
     /// Requests that one works on at the same time.
     pub slots: u32,
@@ -103,40 +108,48 @@
     pub service_seconds_per_unit: f64,
     /// Share of the service time that is exponentially distributed; the rest is constant.
     pub service_variation: f64,
-    /// Share of its capacity that a worker starts with.
-    pub cold_from: f64,
+    /// Share of its capacity that a endpoint starts with.
+    #[serde(rename = "cold_from")]
+    pub slow_start_initial_share: f64,
     /// Seconds until it has climbed to the full.
-    pub cold_seconds: f64,
+    #[serde(rename = "cold_seconds")]
+    pub slow_start_window: f64,
     /// It falls over when sent more than this multiple of its capacity (told to the policy, not modelled) ...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// ... for this time.
-    pub fall_seconds: f64,
+    #[serde(rename = "fall_seconds")]
+    pub overload_window: f64,
 }
 
-/// How the list of workers comes.
+/// How the list of endpoints comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiscoveryMode {
     /// Changes come by themselves.
     Push,
     /// Changes come once the list has been asked for.
-    Ask,
+    #[serde(rename = "ask")]
+    Poll,
 }
 
-/// The service that tells the list of workers.
+/// The service that tells the list of endpoints.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
     /// How the list comes.
     pub mode: DiscoveryMode,
-    /// How late news arrives: least and most, drawn for each gatekeeper.
-    pub lateness: [f64; 2],
+    /// How late news arrives: least and most, drawn for each gateway.
+    #[serde(rename = "lateness")]
+    pub propagation_delay: [f64; 2],
     /// Asked lists that the service works off in a second, one after another.
     pub calls_per_second: f64,
     /// A call that would wait longer fails after this time.
-    pub give_up_after: f64,
+    #[serde(rename = "give_up_after")]
+    pub poll_timeout: f64,
     /// How long the service holds a watch without news before it answers and is called again.
-    pub watch_seconds: f64,
+    #[serde(rename = "watch_seconds")]
+    pub watch_hold: f64,
 }
 
 /// The counter service.
@@ -144,12 +157,13 @@
 #[serde(deny_unknown_fields)]
 pub struct Counter {
     /// Parts, over which names are spread.
-    pub parts: u32,
+    #[serde(rename = "parts")]
+    pub shards: u32,
     /// Calls that each part serves in a second.
     pub calls_per_second: f64,
     /// Calls that may wait at a part; one beyond them is turned away.
     pub queue: u32,
-    /// Delay between a gatekeeper and the counter.
+    /// Delay between a gateway and the counter.
     pub delay: f64,
 }
 
@@ -159,8 +173,9 @@
 pub struct Tenants {
     /// How many there are.
     pub count: u32,
-    /// Gatekeepers that carry one tenant: least and most.
-    pub spread: [u32; 2],
+    /// Gateways that carry one tenant: least and most.
+    #[serde(rename = "spread")]
+    pub gateways_per_tenant: [u32; 2],
     /// How unevenly a tenant uses these: the weight of the n-th is n to the power of minus this number.
     pub skew: [f64; 2],
     /// Most units of a request; each takes one unit at least.
@@ -171,14 +186,15 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Most retries of a refused request.
+    /// Most retries of a rejected request.
     pub max_retries: u32,
     /// Share of the refusals that are retried.
     pub retry_share: f64,
     /// Wait before a retry where the refusal gave no advice.
     pub retry_seconds: f64,
-    /// How long the front goes on sending to a gatekeeper that is down.
-    pub front_notices_after: f64,
+    /// How long the front goes on sending to a gateway that is down.
+    #[serde(rename = "front_notices_after")]
+    pub failure_detection_delay: f64,
     /// Bytes of a request's body, where its class has one.
     pub request_body: u64,
     /// Bytes of an answer's body.
@@ -188,13 +204,16 @@
 /// What repeating a request may do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeat {
+pub enum RepeatEffect {
     /// It may run any number of times.
-    Safe,
-    /// The workers of a zone discard repeats.
-    Keyed,
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// The endpoints of a zone discard repeats.
+    #[serde(rename = "keyed")]
+    IdempotencyKey,
     /// It may run once at most.
-    Unsafe,
+    #[serde(rename = "unsafe")]
+    AtMostOnce,
 }
 
 /// One class of requests.
@@ -206,18 +225,22 @@
     /// Its share of the requests, as a weight.
     pub share: f64,
     /// An answer earns its full worth within this time.
-    pub aim: f64,
+    #[serde(rename = "aim")]
+    pub latency_objective: f64,
     /// Share of the worth that a later answer earns.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_weight_share: f64,
     /// The client abandons the request after this time.
     pub deadline: f64,
     /// Worth of one unit.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub unit_weight: f64,
     /// What a repeat may do.
-    pub repeat: Repeat,
-    /// For how long the workers discard repeats of a keyed request.
-    #[serde(default)]
-    pub window: f64,
+    #[serde(rename = "repeat")]
+    pub repeat_effect: RepeatEffect,
+    /// For how long the endpoints discard repeats of a keyed request.
+    #[serde(rename = "window", default)]
+    pub idempotency_window: f64,
 }
 
 /// One plan.
@@ -233,16 +256,17 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Attempts that may be out at once; 0: no such limit.
-    #[serde(default)]
-    pub open: u32,
+    #[serde(rename = "open", default)]
+    pub max_concurrent_attempts: u32,
     /// Worth of a unit, relative to other plans.
-    pub pays: f64,
+    #[serde(rename = "pays")]
+    pub priority_weight: f64,
     /// Share of its worth that a request beyond the quota earns.
-    #[serde(default)]
-    pub excess_worth: f64,
+    #[serde(rename = "excess_worth", default)]
+    pub over_quota_weight_share: f64,
     /// Share of its worth that such a request costs.
-    #[serde(default)]
-    pub overrun_cost: f64,
+    #[serde(rename = "overrun_cost", default)]
+    pub over_quota_cost_share: f64,
     /// Units a second that refill the hard ceiling; 0: none.
     #[serde(default)]
     pub ceiling_rate: f64,
@@ -251,7 +275,7 @@
     pub ceiling_burst: f64,
 }
 
-/// How much of their quota some of the tenants ask for.
+/// How much of their quota some of the tenants poll for.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Usage {
@@ -260,7 +284,8 @@
     /// Its share of the tenants, as a weight.
     pub share: f64,
     /// Units asked for, as a multiple of the plan's rate: least and most.
-    pub of_rate: [f64; 2],
+    #[serde(rename = "of_rate")]
+    pub load_factor: [f64; 2],
     /// A spike multiplies that by so much.
     #[serde(default = "one")]
     pub spike_factor: f64,
@@ -280,14 +305,14 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// A share of the gatekeepers restarts at one instant.
+    /// A share of the gateways restarts at one instant.
     RestartAtOnce {
         /// When.
         at: f64,
         /// The share.
         share: f64,
     },
-    /// Gatekeepers restart one by one.
+    /// Gateways restart one by one.
     RestartOneByOne {
         /// First time.
         from: f64,
@@ -296,7 +321,7 @@
         /// How many restarts.
         count: u32,
     },
-    /// The gatekeepers and workers of a zone fall silent, and start anew at the end.
+    /// The gateways and endpoints of a zone fall silent, and start anew at the end.
     LoseZone {
         /// When.
         at: f64,
@@ -305,7 +330,7 @@
         /// The zone's number.
         zone: u32,
     },
-    /// Calls between the gatekeepers of a zone and the counter are lost.
+    /// Calls between the gateways of a zone and the counter are lost.
     CutCounter {
         /// When.
         at: f64,
@@ -337,8 +362,9 @@
         /// The share.
         share: f64,
     },
-    /// Workers crash: connections to them break, and new ones fail until they start anew.
-    CrashWorkers {
+    /// Endpoints crash: connections to them break, and new ones fail until they start anew.
+    #[serde(rename = "crash-workers")]
+    CrashEndpoints {
         /// When.
         at: f64,
         /// When they start anew.
@@ -346,8 +372,9 @@
         /// The share.
         share: f64,
     },
-    /// Workers take requests and answer none.
-    HangWorkers {
+    /// Endpoints take requests and answer none.
+    #[serde(rename = "hang-workers")]
+    HangEndpoints {
         /// When.
         at: f64,
         /// Until when.
@@ -355,8 +382,9 @@
         /// The share.
         share: f64,
     },
-    /// Workers drain and are gone at the end.
-    DrainWorkers {
+    /// Endpoints drain and are gone at the end.
+    #[serde(rename = "drain-workers")]
+    DrainEndpoints {
         /// When.
         at: f64,
         /// When they are gone.
@@ -364,9 +392,10 @@
         /// The share.
         share: f64,
     },
-    /// Workers are replaced one by one; each replacement is three changes of the list: one drains, one is gone,
+    /// Endpoints are replaced one by one; each replacement is three changes of the list: one drains, one is gone,
     /// one is added.
-    ReplaceWorkers {
+    #[serde(rename = "replace-workers")]
+    ReplaceEndpoints {
         /// First time.
         from: f64,
         /// Last time.
--- a/lab/src/fleet/counter.rs
+++ b/lab/src/fleet/counter.rs
@@ -11,7 +11,7 @@
 pub enum Admission {
     /// It will be served, whether its caller still waits or not.
     Served {
-        /// When its turn is over.
+        /// When its completion is over.
         at: Time,
     },
     /// It is turned away.
@@ -26,10 +26,10 @@
     expires: Time,
 }
 
-/// One part: for each call in its line, when its turn is over.
+/// One shard: for each call in its line, when its completion is over.
 #[derive(Debug, Clone, Default)]
-struct Part {
-    turns: VecDeque<Time>,
+struct Shard {
+    completions: VecDeque<Time>,
 }
 
 /// The counter service.
@@ -37,7 +37,7 @@
 pub struct Counter {
     call_seconds: f64,
     queue: usize,
-    parts: Vec<Part>,
+    shards: Vec<Shard>,
     counts: BTreeMap<u64, Count>,
     slowdown: f64,
     silent: bool,
@@ -49,7 +49,7 @@
         Self {
             call_seconds: 1.0 / configuration.calls_per_second,
             queue: configuration.queue as usize,
-            parts: vec![Part::default(); configuration.parts as usize],
+            shards: vec![Shard::default(); configuration.shards as usize],
             counts: BTreeMap::new(),
             slowdown: 1.0,
             silent: false,
@@ -61,24 +61,24 @@
         if self.silent {
             return Admission::Silent;
         }
-        let index = (name % self.parts.len() as u64) as usize;
-        let part = &mut self.parts[index];
-        while part.turns.front().is_some_and(|turn| *turn <= now) {
-            part.turns.pop_front();
+        let index = (name % self.shards.len() as u64) as usize;
+        let shard = &mut self.shards[index];
+        while shard.completions.front().is_some_and(|completion| *completion <= now) {
+            shard.completions.pop_front();
         }
         // The first of them is being served, the others wait.
-        if part.turns.len() > self.queue {
+        if shard.completions.len() > self.queue {
             return Admission::Full;
         }
-        let begins = part.turns.back().copied().unwrap_or(now);
+        let begins = shard.completions.back().copied().unwrap_or(now);
         let at = begins + self.call_seconds * self.slowdown;
-        part.turns.push_back(at);
+        shard.completions.push_back(at);
         Admission::Served { at }
     }
 
-    /// Adds to a name when the call's turn is over, and gives the total. The first call sets the name's life.
-    pub fn add(&mut self, now: Time, name: u64, amount: f64, life: f64) -> f64 {
-        let fresh = Count { total: 0.0, expires: now + life };
+    /// Adds to a name when the call's completion is over, and gives the total. The first call sets the name's incarnation.
+    pub fn add(&mut self, now: Time, name: u64, amount: f64, incarnation: f64) -> f64 {
+        let fresh = Count { total: 0.0, expires: now + incarnation };
         let count = self.counts.entry(name).or_insert(fresh);
         if count.expires <= now {
             *count = fresh;
@@ -109,7 +109,7 @@
         before - self.counts.len()
     }
 
-    /// How many names it holds, those of a past life included until they are named again.
+    /// How many names it holds, those of a past incarnation included until they are named again.
     pub fn names(&self) -> usize {
         self.counts.len()
     }
--- a/lab/src/fleet/counter_calls.rs
+++ b/lab/src/fleet/counter_calls.rs
@@ -1,9 +1,9 @@
-//! A gatekeeper's calls to the counter: answers for one name are handed over in the order of the calls.
+//! A gateway's calls to the counter: answers for one name are handed over in the order of the calls.
 
 use oliverack::{Event, Status, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A call of a gatekeeper.
+/// A call of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallKey {
     /// The count's name.
--- a/lab/src/fleet/discovery.rs
+++ b/lab/src/fleet/discovery.rs
@@ -1,11 +1,11 @@
-//! The service that tells the list of workers: its versions, its changes, and the line of calls that ask for it.
+//! The service that tells the list of endpoints: its versions, its changes, and the line of calls that poll for it.
 
 use super::configuration;
 use super::wire_size;
 use oliverack::{Endpoint, EndpointId, Time};
 use std::sync::Arc;
 
-/// A list as it is told to many gatekeepers.
+/// A list as it is told to many gateways.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SharedList {
     /// Its entries.
@@ -23,31 +23,31 @@
 
 /// What becomes of a call that asks for the list.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Turn {
+pub enum PollOutcome {
     /// It is answered at this time.
     Answered(Time),
     /// It has waited in vain until this time.
     Failed(Time),
 }
 
-/// The list of workers and the line before it.
+/// The list of endpoints and the line before it.
 #[derive(Debug)]
 pub struct Discovery {
     call_seconds: f64,
-    give_up_after: f64,
+    poll_timeout: f64,
     free_at: Time,
     initial: Vec<Endpoint>,
     changes: Vec<Change>,
-    /// The whole list after so many changes, kept as many gatekeepers are told the same.
+    /// The whole list after so many changes, kept as many gateways are told the same.
     latest: Option<(usize, Arc<SharedList>)>,
 }
 
 impl Discovery {
-    /// A service that knows these workers.
+    /// A service that knows these endpoints.
     pub fn new(figures: &configuration::Discovery, initial: Vec<Endpoint>) -> Self {
         Self {
             call_seconds: 1.0 / figures.calls_per_second,
-            give_up_after: figures.give_up_after,
+            poll_timeout: figures.poll_timeout,
             free_at: 0.0,
             initial,
             changes: Vec::new(),
@@ -56,13 +56,13 @@
     }
 
     /// Takes in a call for the list at `now`.
-    pub fn ask(&mut self, now: Time) -> Turn {
-        let begins = self.free_at.max(now);
-        if begins - now > self.give_up_after {
-            return Turn::Failed(now + self.give_up_after);
+    pub fn poll(&mut self, now: Time) -> PollOutcome {
+        let starts_at = self.free_at.max(now);
+        if starts_at - now > self.poll_timeout {
+            return PollOutcome::Failed(now + self.poll_timeout);
         }
-        self.free_at = begins + self.call_seconds;
-        Turn::Answered(self.free_at)
+        self.free_at = starts_at + self.call_seconds;
+        PollOutcome::Answered(self.free_at)
     }
 
     /// Records a change, and gives it as it is told.
--- a/lab/src/fleet/workers.rs
+++ b/lab/src/fleet/endpoints.rs
@@ -1,13 +1,13 @@
-//! The workers: slots, a bounded queue, a cold start, and the ways in which they fail.
+//! The endpoints: slots, a bounded queue, a cold start, and the ways in which they fail.
 
 use super::configuration;
 use super::requests::AttemptKey;
 use oliverack::{Status, Time};
 use std::collections::VecDeque;
 
-/// What a worker does with requests at present.
+/// What a endpoint does with requests at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Condition {
+pub enum EndpointState {
     /// It serves them.
     Serving,
     /// It finishes what it has and turns new ones away.
@@ -22,44 +22,44 @@
     Unreachable,
 }
 
-/// What becomes of an attempt that has reached a worker.
+/// What becomes of an attempt that has reached a endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reception {
     /// Its service begins at once.
-    Begins,
+    Started,
     /// It waits for a slot.
-    Waits,
+    Queued,
     /// It is answered so, without service.
     Rejected(Status),
     /// Nothing is heard of it.
-    Silent,
+    NoResponse,
 }
 
-/// One worker.
+/// One endpoint.
 #[derive(Debug)]
-pub struct Worker {
+pub struct SimulatedEndpoint {
     /// Its zone.
     pub zone: u32,
     /// When it last started; 0: long ago.
     pub started: Time,
     /// What it does with requests.
-    pub condition: Condition,
-    /// Counts its lives: what one life had in work ends with it.
-    pub life: u32,
+    pub state: EndpointState,
+    /// Counts its is_incarnation: what one incarnation had in work ends with it.
+    pub incarnation: u32,
     slots: usize,
     queue: usize,
     in_work: Vec<AttemptKey>,
     waiting: VecDeque<AttemptKey>,
 }
 
-impl Worker {
-    /// A worker that serves.
-    pub fn new(figures: &configuration::Workers, zone: u32, started: Time) -> Self {
+impl SimulatedEndpoint {
+    /// A endpoint that serves.
+    pub fn new(figures: &configuration::Endpoints, zone: u32, started: Time) -> Self {
         Self {
             zone,
             started,
-            condition: Condition::Serving,
-            life: 0,
+            state: EndpointState::Serving,
+            incarnation: 0,
             slots: figures.slots as usize,
             queue: figures.queue as usize,
             in_work: Vec::new(),
@@ -69,19 +69,19 @@
 
     /// Takes in an attempt.
     pub fn receive(&mut self, attempt: AttemptKey) -> Reception {
-        match self.condition {
-            Condition::Draining => Reception::Rejected(Status::Rejected),
-            Condition::Down | Condition::Gone => Reception::Rejected(Status::ConnectFailed),
-            Condition::Hung | Condition::Unreachable => Reception::Silent,
-            Condition::Serving if self.in_work.len() < self.slots => {
+        match self.state {
+            EndpointState::Draining => Reception::Rejected(Status::Rejected),
+            EndpointState::Down | EndpointState::Gone => Reception::Rejected(Status::ConnectFailed),
+            EndpointState::Hung | EndpointState::Unreachable => Reception::NoResponse,
+            EndpointState::Serving if self.in_work.len() < self.slots => {
                 self.in_work.push(attempt);
-                Reception::Begins
+                Reception::Started
             }
-            Condition::Serving if self.waiting.len() < self.queue => {
+            EndpointState::Serving if self.waiting.len() < self.queue => {
                 self.waiting.push_back(attempt);
-                Reception::Waits
+                Reception::Queued
             }
-            Condition::Serving => Reception::Rejected(Status::Rejected),
+            EndpointState::Serving => Reception::Rejected(Status::Rejected),
         }
     }
 
@@ -104,10 +104,10 @@
         None
     }
 
-    /// Ends this life in a condition that serves nothing, and gives up all that was held.
-    pub fn stop(&mut self, condition: Condition) -> Vec<AttemptKey> {
-        self.condition = condition;
-        self.life += 1;
+    /// Ends this incarnation in a state that serves nothing, and gives up all that was held.
+    pub fn stop(&mut self, state: EndpointState) -> Vec<AttemptKey> {
+        self.state = state;
+        self.incarnation += 1;
         let mut held = std::mem::take(&mut self.in_work);
         held.extend(std::mem::take(&mut self.waiting));
         held
@@ -115,16 +115,17 @@
 
     /// Serves again; `started` is the time of a new start, or `None` if the process went on.
     pub fn resume(&mut self, started: Option<Time>) {
-        self.condition = Condition::Serving;
+        self.state = EndpointState::Serving;
         self.started = started.unwrap_or(self.started);
     }
 
     /// Its capacity at `now`, as a share of the full.
-    pub fn capacity(&self, now: Time, figures: &configuration::Workers) -> f64 {
+    pub fn capacity(&self, now: Time, figures: &configuration::Endpoints) -> f64 {
         let age = now - self.started;
-        if self.started <= 0.0 || age >= figures.cold_seconds {
+        if self.started <= 0.0 || age >= figures.slow_start_window {
             return 1.0;
         }
-        figures.cold_from + (1.0 - figures.cold_from) * age / figures.cold_seconds
+        figures.slow_start_initial_share
+            + (1.0 - figures.slow_start_initial_share) * age / figures.slow_start_window
     }
 }
--- a/lab/src/fleet/clock.rs
+++ b/lab/src/fleet/event_queue.rs
@@ -4,8 +4,8 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The clock at the start of a run. Not zero, as zero means "long ago" in the list of workers.
-pub const START: Time = 100.0;
+/// The clock at the start of a run. Not zero, as zero means "long ago" in the list of endpoints.
+pub const RUN_START: Time = 100.0;
 
 /// One event and when it is due.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Self { now: START, scheduled: 0, entries: BinaryHeap::new() }
+        Self { now: RUN_START, scheduled: 0, entries: BinaryHeap::new() }
     }
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// Takes the next event that is due no later than `limit`, and moves the clock to it.
-    pub fn next_until(&mut self, limit: Time) -> Option<E> {
+    pub fn pop_until(&mut self, limit: Time) -> Option<E> {
         if self.entries.peek()?.at > limit {
             return None;
         }
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -1,6 +1,6 @@
 //! What a run counts.
 
-use super::clock::START;
+use super::event_queue::RUN_START;
 use hdrhistogram::Histogram;
 use oliverack::{Status, Time};
 use serde::Serialize;
@@ -30,20 +30,20 @@
     }
 }
 
-/// Messages that services and workers take and give.
+/// Messages that services and endpoints take and give.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RoleTraffic {
     /// The counter.
     pub counter: Traffic,
     /// Discovery.
     pub discovery: Traffic,
-    /// All workers.
-    pub workers: Traffic,
+    /// All endpoints.
+    pub endpoints: Traffic,
 }
 
-/// How the wishes of clients ended, and their worth.
+/// How the demands of clients ended, and their worth.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct WishCounts {
+pub struct DemandCounts {
     /// Asked for.
     pub asked: u64,
     /// Answered within the aim of their class.
@@ -51,42 +51,43 @@
     /// Answered later.
     pub served_late: u64,
     /// Refused, retries included.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Failed.
     pub failed: u64,
     /// Abandoned by the client.
     pub abandoned: u64,
-    /// Lost with a gatekeeper, or sent to one that was down.
+    /// Lost with a gateway, or sent to one that was down.
     pub lost: u64,
 }
 
-impl WishCounts {
-    fn of(&mut self, ending: Ending) -> &mut u64 {
-        match ending {
-            Ending::Served => &mut self.served,
-            Ending::ServedLate => &mut self.served_late,
-            Ending::Refused => &mut self.refused,
-            Ending::Failed => &mut self.failed,
-            Ending::Abandoned => &mut self.abandoned,
-            Ending::Lost => &mut self.lost,
+impl DemandCounts {
+    fn of(&mut self, outcome: DemandOutcome) -> &mut u64 {
+        match outcome {
+            DemandOutcome::Served => &mut self.served,
+            DemandOutcome::ServedLate => &mut self.served_late,
+            DemandOutcome::Rejected => &mut self.rejected,
+            DemandOutcome::Failed => &mut self.failed,
+            DemandOutcome::Abandoned => &mut self.abandoned,
+            DemandOutcome::Lost => &mut self.lost,
         }
     }
 }
 
-/// How a wish ended.
+/// How a demand ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum DemandOutcome {
     /// Answered within the aim.
     Served,
     /// Answered later.
     ServedLate,
     /// Refused.
-    Refused,
+    Rejected,
     /// Failed.
     Failed,
     /// The client left.
     Abandoned,
-    /// Its gatekeeper died or was down.
+    /// Its gateway died or was down.
     Lost,
 }
 
@@ -98,12 +99,13 @@
     /// Answered within the aim.
     pub served: f64,
     /// Refused.
-    pub refused: f64,
+    #[serde(rename = "refused")]
+    pub rejected: f64,
     /// Ended in any other way.
     pub otherwise: f64,
 }
 
-/// What was sent to workers, against the true quotas.
+/// What was sent to endpoints, against the true quotas.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct QuotaCounts {
     /// Units sent inside quotas.
@@ -119,7 +121,7 @@
 /// Attempts and how they ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct AttemptCounts {
-    /// Sent.
+    /// Forwarded.
     pub sent: u64,
     /// Served.
     pub ok: u64,
@@ -167,24 +169,27 @@
     pub names_lost: u64,
 }
 
-/// What happened to the list of workers and to the gatekeepers.
+/// What happened to the list of endpoints and to the gateways.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct FleetCounts {
     /// Changes of the list.
     pub list_changes: u64,
     /// Whole lists told.
-    pub lists_told: u64,
+    #[serde(rename = "lists_told")]
+    pub complete_lists_sent: u64,
     /// Calls for the list that failed.
-    pub list_calls_failed: u64,
-    /// Restarts of gatekeepers.
+    #[serde(rename = "list_calls_failed")]
+    pub polls_failed: u64,
+    /// Restarts of gateways.
     pub restarts: u64,
 }
 
 /// One second of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct SecondCounts {
-    /// Wishes, by the second in which they ended.
-    pub wishes: WishCounts,
+    /// Demands, by the second in which they ended.
+    #[serde(rename = "wishes")]
+    pub demands: DemandCounts,
     /// Units sent.
     pub quotas: QuotaCounts,
     /// Counter calls made.
@@ -196,9 +201,9 @@
 /// All counts of a run.
 #[derive(Debug, Clone)]
 pub struct Measures {
-    /// Wishes.
-    pub wishes: WishCounts,
-    /// Tries that reached a gatekeeper: wishes and their retries.
+    /// Demands.
+    pub demands: DemandCounts,
+    /// Tries that reached a gateway: demands and their retries.
     pub tries: u64,
     /// Worth inside quotas.
     pub inside: InsideWorth,
@@ -210,12 +215,12 @@
     pub counter_calls: CounterCallCounts,
     /// Lists and restarts.
     pub fleet: FleetCounts,
-    /// Traffic of services and workers.
+    /// Traffic of services and endpoints.
     pub traffic: RoleTraffic,
     /// Times of the answers that served, from the client's first try on, in microseconds.
     pub latency: Histogram<u64>,
     /// Most requests that were open in the fleet at once.
-    pub most_open: usize,
+    pub max_open: usize,
     /// The run, second by second.
     pub seconds: Vec<SecondCounts>,
 }
@@ -227,7 +232,7 @@
     fn default() -> Self {
         let latency = Histogram::new_with_bounds(1, LONGEST_LATENCY, 3).expect("constant bounds are usable");
         Self {
-            wishes: WishCounts::default(),
+            demands: DemandCounts::default(),
             tries: 0,
             inside: InsideWorth::default(),
             quotas: QuotaCounts::default(),
@@ -236,7 +241,7 @@
             fleet: FleetCounts::default(),
             traffic: RoleTraffic::default(),
             latency,
-            most_open: 0,
+            max_open: 0,
             seconds: Vec::new(),
         }
     }
@@ -244,25 +249,25 @@
 
 /// What was sent and whether the quota held it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sent {
+pub struct Forwarded {
     /// Units.
     pub units: f64,
     /// Their worth.
-    pub worth: f64,
+    pub weight: f64,
     /// The plan's price of an overrun, as a share of the worth.
-    pub overrun_cost: f64,
+    pub over_quota_cost_share: f64,
     /// The quota held them.
-    pub inside: bool,
+    pub within_quota: bool,
 }
 
 impl QuotaCounts {
-    fn count(&mut self, sent: Sent) {
-        if sent.inside {
+    fn count(&mut self, sent: Forwarded) {
+        if sent.within_quota {
             self.units_inside += sent.units;
         } else {
             self.units_beyond += sent.units;
-            self.worth_beyond += sent.worth;
-            self.overrun_cost += sent.worth * sent.overrun_cost;
+            self.worth_beyond += sent.weight;
+            self.overrun_cost += sent.weight * sent.over_quota_cost_share;
         }
     }
 }
@@ -270,34 +275,34 @@
 impl Measures {
     /// The counts of the second that `now` lies in.
     pub fn second(&mut self, now: Time) -> &mut SecondCounts {
-        let index = (now - START).max(0.0) as usize;
+        let index = (now - RUN_START).max(0.0) as usize;
         if self.seconds.len() <= index {
             self.seconds.resize_with(index + 1, SecondCounts::default);
         }
         &mut self.seconds[index]
     }
 
-    /// Counts a wish; `inside_worth` is its worth where the quota holds it, else 0.
-    pub fn count_wish(&mut self, now: Time, inside_worth: f64) {
-        self.wishes.asked += 1;
-        self.second(now).wishes.asked += 1;
-        self.inside.asked += inside_worth;
+    /// Counts a demand; `in_quota_weight` is its worth where the quota holds it, else 0.
+    pub fn count_demand(&mut self, now: Time, in_quota_weight: f64) {
+        self.demands.asked += 1;
+        self.second(now).demands.asked += 1;
+        self.inside.asked += in_quota_weight;
     }
 
-    /// Counts the end of a wish.
-    pub fn count_ending(&mut self, now: Time, ending: Ending, inside_worth: f64) {
-        *self.wishes.of(ending) += 1;
-        *self.second(now).wishes.of(ending) += 1;
-        let worth = match ending {
-            Ending::Served => &mut self.inside.served,
-            Ending::Refused => &mut self.inside.refused,
+    /// Counts the end of a demand.
+    pub fn count_outcome(&mut self, now: Time, outcome: DemandOutcome, in_quota_weight: f64) {
+        *self.demands.of(outcome) += 1;
+        *self.second(now).demands.of(outcome) += 1;
+        let worth = match outcome {
+            DemandOutcome::Served => &mut self.inside.served,
+            DemandOutcome::Rejected => &mut self.inside.rejected,
             _ => &mut self.inside.otherwise,
         };
-        *worth += inside_worth;
+        *worth += in_quota_weight;
     }
 
     /// Counts what was sent first for a try.
-    pub fn count_sent(&mut self, now: Time, sent: Sent) {
+    pub fn count_forwarded(&mut self, now: Time, sent: Forwarded) {
         self.quotas.count(sent);
         self.second(now).quotas.count(sent);
     }
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,16 +1,17 @@
-//! Simulates a fleet of gatekeepers on a discrete clock.
+//! Simulates a fleet of gateways on a discrete clock.
 //!
-//! Each gatekeeper holds the policy itself ([`oliverack::Gateway`]). Workers, discovery, the counter, the tenants and
+//! Each gateway holds the policy itself ([`oliverack::Gateway`]). Endpoints, discovery, the counter, the tenants and
 //! the network are models. All sizes, rates and faults come from a TOML file, all random numbers from a seed, so a
 //! file and a seed give the same figures each time, processor times excepted.
 
-pub mod clock;
 pub mod configuration;
 pub mod counter;
 pub mod counter_calls;
 pub mod discovery;
-pub mod faults;
-pub mod gatekeepers;
+pub mod endpoints;
+pub mod event_queue;
+pub mod gateways;
+pub mod incident_plan;
 pub mod measures;
 pub mod processor;
 pub mod randomness;
@@ -21,7 +22,6 @@
 pub mod tenants;
 pub mod validation;
 pub mod wire_size;
-pub mod workers;
 
 use configuration::{Configuration, FaultFile};
 use oliverack::SettingsError;
@@ -33,7 +33,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
-use validation::InvalidFigure;
+use validation::InvalidValue;
 
 /// Explains the file in the help of the command.
 const FILE_HELP: &str = "\
@@ -89,7 +89,7 @@
     /// The file is not what it should be; one line.
     Syntax(String),
     /// A figure that no run can have.
-    Invalid(InvalidFigure),
+    Invalid(InvalidValue),
     /// The policy refuses its settings.
     Settings(SettingsError),
     /// The results cannot be written.
--- a/lab/src/fleet/processor.rs
+++ b/lab/src/fleet/processor.rs
@@ -11,15 +11,15 @@
     /// A request came in.
     Request,
     /// An attempt ended.
-    Outcome,
+    RunResult,
     /// A whole list came.
-    WholeList,
+    CompleteList,
     /// A change of the list came.
     ListChange,
     /// A timer was due.
     Timer,
     /// A counter call ended.
-    Counted,
+    CounterReply,
     /// Anything else.
     Other,
 }
@@ -27,11 +27,11 @@
 impl Work {
     const ALL: [Self; 7] = [
         Self::Request,
-        Self::Outcome,
-        Self::WholeList,
+        Self::RunResult,
+        Self::CompleteList,
         Self::ListChange,
         Self::Timer,
-        Self::Counted,
+        Self::CounterReply,
         Self::Other,
     ];
 
@@ -39,11 +39,11 @@
     pub fn of(event: &Event) -> Self {
         match event {
             Event::Request(_) => Self::Request,
-            Event::AttemptEnded { .. } => Self::Outcome,
+            Event::AttemptEnded { .. } => Self::RunResult,
             Event::EndpointsUpdated { kind: ListKind::Changes, .. } => Self::ListChange,
-            Event::EndpointsUpdated { .. } => Self::WholeList,
+            Event::EndpointsUpdated { .. } => Self::CompleteList,
             Event::Timer { .. } => Self::Timer,
-            Event::CounterReplied { .. } => Self::Counted,
+            Event::CounterReplied { .. } => Self::CounterReply,
             _ => Self::Other,
         }
     }
@@ -51,11 +51,11 @@
     fn name(self) -> &'static str {
         match self {
             Self::Request => "request",
-            Self::Outcome => "outcome",
-            Self::WholeList => "whole_list",
+            Self::RunResult => "outcome",
+            Self::CompleteList => "whole_list",
             Self::ListChange => "list_change",
             Self::Timer => "timer",
-            Self::Counted => "counted",
+            Self::CounterReply => "counted",
             Self::Other => "other",
         }
     }
@@ -100,7 +100,7 @@
         let total = |work: Work| self.by_work[work as usize].total as f64;
         let requests = self.by_work[Work::Request as usize].each.len().max(1) as f64;
         ProcessorSummary {
-            microseconds_per_request: (total(Work::Request) + total(Work::Outcome)) / requests / 1e3,
+            microseconds_per_request: (total(Work::Request) + total(Work::RunResult)) / requests / 1e3,
             total_seconds: self.by_work.iter().map(|times| times.total).sum::<u128>() as f64 / 1e9,
             by_event,
         }
--- a/lab/src/fleet/randomness.rs
+++ b/lab/src/fleet/randomness.rs
@@ -15,7 +15,7 @@
     Arrivals,
     /// Choices of clients and of the front that deals out their requests.
     Clients,
-    /// Lateness of the list of workers.
+    /// Lateness of the list of endpoints.
     Discovery,
     /// Counts that the counter loses.
     Counter,
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -1,11 +1,11 @@
 //! The results of a run: records for the JSON file, and a table for people.
 
 use super::measures::{
-    AttemptCounts, CounterCallCounts, FleetCounts, InsideWorth, QuotaCounts, SecondCounts, Traffic,
-    WishCounts,
+    AttemptCounts, CounterCallCounts, DemandCounts, FleetCounts, InsideWorth, QuotaCounts, SecondCounts,
+    Traffic,
 };
 use super::processor::ProcessorSummary;
-use super::simulation::Outcome;
+use super::simulation::RunResult;
 use super::tenants::Tenant;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -20,13 +20,15 @@
     pub seed: u64,
     /// Seconds in which requests arrived.
     pub seconds: f64,
-    /// Gatekeepers.
-    pub gatekeepers: usize,
-    /// Workers at the start.
-    pub workers: u32,
+    /// Gateways.
+    #[serde(rename = "gatekeepers")]
+    pub gateways: usize,
+    /// Endpoints at the start.
+    #[serde(rename = "workers")]
+    pub endpoints: u32,
     /// Tenants.
     pub tenants: usize,
-    /// Requests a second that the tenants ask for on average.
+    /// Requests a second that the tenants poll for on average.
     pub nominal_requests_per_second: f64,
 }
 
@@ -75,29 +77,32 @@
 /// Calls a try.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PerTryRecord {
-    /// Tries that reached a gatekeeper.
+    /// Tries that reached a gateway.
     pub tries: u64,
-    /// Attempts at workers.
+    /// Attempts at endpoints.
     pub attempts: f64,
     /// Counter calls.
     pub counter_calls: f64,
 }
 
-/// What gatekeepers hold.
+/// What gateways hold.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct StateRecord {
     /// Most requests open in the whole fleet at once.
     pub fleet_open_max: usize,
-    /// Most requests open at one gatekeeper at once.
-    pub gatekeeper_open_max: usize,
-    /// Tenants that a gatekeeper met, on average.
+    /// Most requests open at one gateway at once.
+    #[serde(rename = "gatekeeper_open_max")]
+    pub gateway_open_max: usize,
+    /// Tenants that a gateway met, on average.
     pub tenants_mean: f64,
     /// Most tenants that one met.
     pub tenants_max: usize,
-    /// Workers that a gatekeeper lists at the end, on average.
-    pub workers_listed_mean: f64,
+    /// Endpoints that a gateway lists at the end, on average.
+    #[serde(rename = "workers_listed_mean")]
+    pub endpoints_listed_mean: f64,
     /// Those of them that it avoids.
-    pub workers_avoided_mean: f64,
+    #[serde(rename = "workers_avoided_mean")]
+    pub endpoints_avoided_mean: f64,
     /// Names that the counter holds at the end.
     pub counter_names: usize,
 }
@@ -118,15 +123,16 @@
 pub enum Record {
     /// Sizes.
     Run(RunRecord),
-    /// Wishes of clients.
-    Wishes(WishCounts),
+    /// Demands of clients.
+    #[serde(rename = "wishes")]
+    Demands(DemandCounts),
     /// Latency.
     Latency(LatencyRecord),
     /// Quotas and ceilings.
     Quotas(QuotaRecord),
     /// Worth inside quotas.
     InsideWorth(InsideWorth),
-    /// Attempts at workers.
+    /// Attempts at endpoints.
     Attempts(AttemptCounts),
     /// Counter calls.
     CounterCalls(CounterCallCounts),
@@ -151,11 +157,11 @@
 }
 
 /// All records of a run, that of processor times last.
-pub fn records(outcome: &Outcome, seed: u64, run_wall_seconds: f64) -> Vec<Record> {
+pub fn records(outcome: &RunResult, seed: u64, run_wall_seconds: f64) -> Vec<Record> {
     let measures = &outcome.measures;
     let mut records = vec![
         Record::Run(run_record(outcome, seed)),
-        Record::Wishes(measures.wishes),
+        Record::Demands(measures.demands),
         Record::Latency(latency_record(&measures.latency)),
         Record::Quotas(quota_record(measures.quotas, &outcome.tenants)),
         Record::InsideWorth(measures.inside),
@@ -172,12 +178,12 @@
     records
 }
 
-fn run_record(outcome: &Outcome, seed: u64) -> RunRecord {
+fn run_record(outcome: &RunResult, seed: u64) -> RunRecord {
     RunRecord {
         seed,
         seconds: outcome.configuration.seconds,
-        gatekeepers: outcome.gatekeepers.len(),
-        workers: outcome.configuration.workers.count,
+        gateways: outcome.gateways.len(),
+        endpoints: outcome.configuration.endpoints.count,
         tenants: outcome.tenants.len(),
         nominal_requests_per_second: outcome.tenants.iter().map(Tenant::mean_requests_per_second).sum(),
     }
@@ -205,7 +211,7 @@
     }
 }
 
-fn per_try_record(outcome: &Outcome) -> PerTryRecord {
+fn per_try_record(outcome: &RunResult) -> PerTryRecord {
     let tries = outcome.measures.tries;
     let per_try = |count: u64| count as f64 / tries.max(1) as f64;
     PerTryRecord {
@@ -215,7 +221,7 @@
     }
 }
 
-fn traffic_records(outcome: &Outcome) -> Vec<TrafficRecord> {
+fn traffic_records(outcome: &RunResult) -> Vec<TrafficRecord> {
     let record = |role, messages: f64, bytes: f64| TrafficRecord {
         role,
         messages_per_second: messages / outcome.configuration.seconds,
@@ -223,9 +229,9 @@
     };
     let whole = |role, traffic: Traffic| record(role, traffic.messages as f64, traffic.bytes as f64);
     let mut all = Traffic::default();
-    outcome.gatekeepers.iter().for_each(|gatekeeper| all += gatekeeper.traffic);
-    let count = outcome.gatekeepers.len().max(1) as f64;
-    let busiest = outcome.gatekeepers.iter().map(|g| g.traffic).max_by_key(|t| t.messages);
+    outcome.gateways.iter().for_each(|gateway| all += gateway.traffic);
+    let count = outcome.gateways.len().max(1) as f64;
+    let busiest = outcome.gateways.iter().map(|g| g.traffic).max_by_key(|t| t.messages);
     let traffic = &outcome.measures.traffic;
     vec![
         whole("gatekeepers", all),
@@ -233,21 +239,21 @@
         whole("gatekeeper_max", busiest.unwrap_or_default()),
         whole("counter", traffic.counter),
         whole("discovery", traffic.discovery),
-        whole("workers", traffic.workers),
+        whole("workers", traffic.endpoints),
     ]
 }
 
-fn state_record(outcome: &Outcome) -> StateRecord {
-    let gatekeepers = &outcome.gatekeepers;
-    let count = gatekeepers.len().max(1) as f64;
-    let targets: Vec<_> = gatekeepers.iter().map(|g| g.targets(outcome.end)).collect();
+fn state_record(outcome: &RunResult) -> StateRecord {
+    let gateways = &outcome.gateways;
+    let count = gateways.len().max(1) as f64;
+    let targets: Vec<_> = gateways.iter().map(|g| g.targets(outcome.end)).collect();
     StateRecord {
-        fleet_open_max: outcome.measures.most_open,
-        gatekeeper_open_max: gatekeepers.iter().map(|g| g.most_open).max().unwrap_or(0),
-        tenants_mean: gatekeepers.iter().map(|g| g.tenants()).sum::<usize>() as f64 / count,
-        tenants_max: gatekeepers.iter().map(|g| g.tenants()).max().unwrap_or(0),
-        workers_listed_mean: targets.iter().map(|t| t.listed).sum::<usize>() as f64 / count,
-        workers_avoided_mean: targets.iter().map(|t| t.avoided).sum::<usize>() as f64 / count,
+        fleet_open_max: outcome.measures.max_open,
+        gateway_open_max: gateways.iter().map(|g| g.max_open).max().unwrap_or(0),
+        tenants_mean: gateways.iter().map(|g| g.tenants()).sum::<usize>() as f64 / count,
+        tenants_max: gateways.iter().map(|g| g.tenants()).max().unwrap_or(0),
+        endpoints_listed_mean: targets.iter().map(|t| t.listed).sum::<usize>() as f64 / count,
+        endpoints_avoided_mean: targets.iter().map(|t| t.avoided).sum::<usize>() as f64 / count,
         counter_names: outcome.counter_names,
     }
 }
--- a/lab/src/fleet/requests.rs
+++ b/lab/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are open at gatekeepers, and their attempts.
+//! Requests that are open at gateways, and their attempts.
 
 use oliverack::{EndpointId, RequestId, Time};
 use std::collections::BTreeMap;
@@ -12,9 +12,9 @@
     pub attempt: u32,
 }
 
-/// What a client wants, over all its tries.
+/// What a client wants, finished all its tries.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish {
+pub struct Demand {
     /// The tenant.
     pub tenant: usize,
     /// The class.
@@ -22,51 +22,51 @@
     /// Units that it takes.
     pub units: f64,
     /// When it was first asked for.
-    pub since: Time,
+    pub submitted_at: Time,
     /// When the client gives up.
-    pub until: Time,
-    /// Seconds that a warm worker takes for it.
+    pub deadline: Time,
+    /// Seconds that a warm endpoint takes for it.
     pub work: f64,
     /// Its worth.
-    pub worth: f64,
+    pub weight: f64,
     /// It was inside the quota when it was first asked for.
-    pub inside: bool,
+    pub within_quota: bool,
     /// Tries before this one.
     pub retries: u32,
 }
 
 /// An attempt that was sent.
 #[derive(Debug, Clone)]
-pub struct Attempt {
-    /// The worker's id, as the policy knows it.
+pub struct SentAttempt {
+    /// The endpoint's id, as the policy knows it.
     pub endpoint: EndpointId,
     /// When it was sent.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Its outcome is still owed to the policy.
-    pub out: bool,
+    pub in_flight: bool,
 }
 
-/// One try of a client at one gatekeeper.
+/// One try of a client at one gateway.
 #[derive(Debug, Clone)]
 pub struct OpenRequest {
     /// What the client wants.
-    pub wish: Wish,
-    /// The gatekeeper.
-    pub gatekeeper: usize,
+    pub demand: Demand,
+    /// The gateway.
+    pub gateway: usize,
     /// The client has its answer, or has left.
     pub answered: bool,
     /// Its attempts.
-    pub attempts: Vec<Attempt>,
+    pub attempts: Vec<SentAttempt>,
 }
 
 impl OpenRequest {
-    fn is_over(&self) -> bool {
-        self.answered && self.attempts.iter().all(|attempt| !attempt.out)
+    fn is_finished(&self) -> bool {
+        self.answered && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 }
 
 /// The id by which the policy knows a request.
-pub fn job_id(number: u64) -> RequestId {
+pub fn request_id_of(number: u64) -> RequestId {
     number.to_string().into()
 }
 
@@ -74,7 +74,7 @@
 ///
 /// # Panics
 /// If the policy names a request that it was never given.
-pub fn number_of(request_id: &RequestId) -> u64 {
+pub fn request_number(request_id: &RequestId) -> u64 {
     request_id.parse().expect("the policy names no request but those that it was given")
 }
 
@@ -87,9 +87,9 @@
 
 impl RequestTable {
     /// Opens a request and gives its number.
-    pub fn open(&mut self, wish: Wish, gatekeeper: usize) -> u64 {
+    pub fn open(&mut self, demand: Demand, gateway: usize) -> u64 {
         self.created += 1;
-        let request = OpenRequest { wish, gatekeeper, answered: false, attempts: Vec::new() };
+        let request = OpenRequest { demand, gateway, answered: false, attempts: Vec::new() };
         self.open.insert(self.created, request);
         self.created
     }
@@ -105,24 +105,24 @@
     }
 
     /// An attempt whose outcome is still owed.
-    pub fn attempt_out(&self, key: AttemptKey) -> Option<&Attempt> {
+    pub fn attempt_in_flight(&self, key: AttemptKey) -> Option<&SentAttempt> {
         let request = self.open.get(&key.request)?;
-        request.attempts.get(key.attempt as usize).filter(|attempt| attempt.out)
+        request.attempts.get(key.attempt as usize).filter(|attempt| attempt.in_flight)
     }
 
     /// Drops a request that has its answer and nothing out; says whether it did.
-    pub fn close_if_over(&mut self, number: u64) -> bool {
-        let over = self.open.get(&number).is_some_and(OpenRequest::is_over);
-        if over {
+    pub fn close_if_finished(&mut self, number: u64) -> bool {
+        let finished = self.open.get(&number).is_some_and(OpenRequest::is_finished);
+        if finished {
             self.open.remove(&number);
         }
-        over
+        finished
     }
 
-    /// Drops all requests of a gatekeeper that has died, and gives them in the order of their numbers.
-    pub fn drop_all_of(&mut self, gatekeeper: usize) -> Vec<OpenRequest> {
+    /// Drops all requests of a gateway that has died, and gives them in the order of their numbers.
+    pub fn drop_all_of(&mut self, gateway: usize) -> Vec<OpenRequest> {
         let (lost, kept) =
-            std::mem::take(&mut self.open).into_iter().partition(|(_, r)| r.gatekeeper == gatekeeper);
+            std::mem::take(&mut self.open).into_iter().partition(|(_, r)| r.gateway == gateway);
         let lost: BTreeMap<u64, OpenRequest> = lost;
         self.open = kept;
         lost.into_values().collect()
--- a/lab/src/fleet/simulation/incidents.rs
+++ b/lab/src/fleet/simulation/incidents.rs
@@ -1,16 +1,16 @@
-//! What happens to the fleet: restarts, lost zones, and faults of workers and of the counter.
+//! What happens to the fleet: restarts, lost zones, and faults of endpoints and of the counter.
 
-use super::{Occurrence, Simulation, worker_id};
-use crate::fleet::faults::Incident;
-use crate::fleet::gatekeepers;
-use crate::fleet::workers::{Condition, Worker};
+use super::{ScheduledEvent, Simulation, endpoint_id};
+use crate::fleet::endpoints::{EndpointState, SimulatedEndpoint};
+use crate::fleet::gateways;
+use crate::fleet::incident_plan::Incident;
 use oliverack::{Lifecycle, SettingsError, Status};
 use rand::Rng;
 
 impl Simulation {
     pub(super) fn incident(&mut self, incident: Incident) {
         match incident {
-            Incident::RestartGatekeeper(gatekeeper) => self.restart(gatekeeper),
+            Incident::RestartGateway(gateway) => self.restart(gateway),
             Incident::LoseZone(zone) => self.lose_zone(zone),
             Incident::RestoreZone(zone) => self.restore_zone(zone),
             Incident::CutCounter { zone, cut } => self.zones_cut[zone as usize] = cut,
@@ -26,145 +26,147 @@
                     self.measures.counter_calls.names_lost += lost as u64;
                 }
             }
-            Incident::CrashWorker(worker) => self.crash(worker),
-            Incident::StartWorker(worker) => self.start_worker(worker),
-            Incident::HangWorker(worker) => self.hang(worker),
-            Incident::ResumeWorker(worker) => self.resume(worker),
-            Incident::DrainWorker(worker) => self.drain(worker),
-            Incident::RemoveWorker(worker) => self.remove(worker),
-            Incident::AddWorker => self.add_worker(),
+            Incident::CrashEndpoint(endpoint) => self.crash(endpoint),
+            Incident::StartEndpoint(endpoint) => self.start_endpoint(endpoint),
+            Incident::HangEndpoint(endpoint) => self.hang(endpoint),
+            Incident::ResumeEndpoint(endpoint) => self.resume(endpoint),
+            Incident::DrainEndpoint(endpoint) => self.drain(endpoint),
+            Incident::RemoveEndpoint(endpoint) => self.remove(endpoint),
+            Incident::AddEndpoint => self.add_endpoint(),
         }
     }
 
-    fn restart(&mut self, gatekeeper: usize) {
-        if self.gatekeepers[gatekeeper].down_since.is_some() {
+    fn restart(&mut self, gateway: usize) {
+        if self.gateways[gateway].down_since.is_some() {
             return;
         }
         self.measures.fleet.restarts += 1;
-        self.kill(gatekeeper);
-        let at = self.queue.now() + self.configuration.gatekeepers.restart_seconds;
-        self.queue.schedule(at, Occurrence::Start(gatekeeper));
+        self.kill(gateway);
+        let at = self.queue.now() + self.configuration.gateways.restart_seconds;
+        self.queue.schedule(at, ScheduledEvent::GatewayStarted(gateway));
     }
 
-    /// Ends a gatekeeper's life; its clients' requests are lost with it.
-    fn kill(&mut self, gatekeeper: usize) {
+    /// Ends a gateway's incarnation; its clients' requests are lost with it.
+    fn kill(&mut self, gateway: usize) {
         let now = self.queue.now();
-        self.count_watches(gatekeeper, now);
-        self.gatekeepers[gatekeeper].die(now);
-        for request in self.requests.drop_all_of(gatekeeper) {
+        self.count_watches(gateway, now);
+        self.gateways[gateway].stop(now);
+        for request in self.requests.drop_all_of(gateway) {
             if !request.answered {
-                self.lose(&request.wish);
+                self.lose(&request.demand);
             }
         }
     }
 
-    /// Starts a gatekeeper that is down, unless its zone is lost: then it starts when the zone is back.
-    pub(super) fn start(&mut self, gatekeeper: usize) -> Result<(), SettingsError> {
-        let zone = self.gatekeepers[gatekeeper].zone;
-        if self.zones_lost[zone as usize] || self.gatekeepers[gatekeeper].down_since.is_none() {
+    /// Starts a gateway that is down, unless its zone is lost: then it starts when the zone is back.
+    pub(super) fn start(&mut self, gateway: usize) -> Result<(), SettingsError> {
+        let zone = self.gateways[gateway].zone;
+        if self.zones_lost[zone as usize] || self.gateways[gateway].down_since.is_none() {
             return Ok(());
         }
-        let settings = gatekeepers::settings(&self.configuration, gatekeeper as u32, zone);
+        let settings = gateways::settings(&self.configuration, gateway as u32, zone);
         let seed = self.generators.policies.random();
-        self.gatekeepers[gatekeeper].start(settings, seed, self.queue.now())?;
-        self.begin_life(gatekeeper);
+        self.gateways[gateway].start(settings, seed, self.queue.now())?;
+        self.begin_incarnation(gateway);
         Ok(())
     }
 
     fn lose_zone(&mut self, zone: u32) {
         self.zones_lost[zone as usize] = true;
-        for gatekeeper in 0..self.gatekeepers.len() {
-            let lost = &self.gatekeepers[gatekeeper];
+        for gateway in 0..self.gateways.len() {
+            let lost = &self.gateways[gateway];
             if lost.zone == zone && lost.down_since.is_none() {
-                self.kill(gatekeeper);
+                self.kill(gateway);
             }
         }
-        let runs = |worker: &Worker| !matches!(worker.condition, Condition::Down | Condition::Gone);
-        for worker in self.workers.iter_mut().filter(|worker| worker.zone == zone && runs(worker)) {
+        let runs = |endpoint: &SimulatedEndpoint| {
+            !matches!(endpoint.state, EndpointState::Down | EndpointState::Gone)
+        };
+        for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.zone == zone && runs(endpoint)) {
             // Nobody hears of what it held.
-            worker.stop(Condition::Unreachable);
+            endpoint.stop(EndpointState::Unreachable);
         }
     }
 
     fn restore_zone(&mut self, zone: u32) {
         let now = self.queue.now();
         self.zones_lost[zone as usize] = false;
-        for gatekeeper in 0..self.gatekeepers.len() {
-            if self.gatekeepers[gatekeeper].zone == zone {
-                self.queue.schedule(now, Occurrence::Start(gatekeeper));
+        for gateway in 0..self.gateways.len() {
+            if self.gateways[gateway].zone == zone {
+                self.queue.schedule(now, ScheduledEvent::GatewayStarted(gateway));
             }
         }
-        for worker in 0..self.workers.len() {
-            let lost = &mut self.workers[worker];
-            if lost.zone == zone && lost.condition == Condition::Unreachable {
+        for endpoint in 0..self.endpoints.len() {
+            let lost = &mut self.endpoints[endpoint];
+            if lost.zone == zone && lost.state == EndpointState::Unreachable {
                 lost.resume(Some(now));
-                self.tell_change(worker, Lifecycle::Running);
+                self.publish_change(endpoint, Lifecycle::Running);
             }
         }
     }
 
-    fn crash(&mut self, worker: usize) {
-        if self.workers[worker].condition != Condition::Serving {
+    fn crash(&mut self, endpoint: usize) {
+        if self.endpoints[endpoint].state != EndpointState::Serving {
             return;
         }
-        for attempt in self.workers[worker].stop(Condition::Down) {
-            self.answer_attempt(attempt, worker, Status::Reset);
+        for attempt in self.endpoints[endpoint].stop(EndpointState::Down) {
+            self.answer_attempt(attempt, endpoint, Status::Reset);
         }
-        self.tell_change(worker, Lifecycle::Gone);
+        self.publish_change(endpoint, Lifecycle::Gone);
     }
 
-    fn start_worker(&mut self, worker: usize) {
-        if self.workers[worker].condition != Condition::Down {
+    fn start_endpoint(&mut self, endpoint: usize) {
+        if self.endpoints[endpoint].state != EndpointState::Down {
             return;
         }
-        if self.zones_lost[self.workers[worker].zone as usize] {
+        if self.zones_lost[self.endpoints[endpoint].zone as usize] {
             // It starts with its zone.
-            self.workers[worker].condition = Condition::Unreachable;
+            self.endpoints[endpoint].state = EndpointState::Unreachable;
         } else {
-            self.workers[worker].resume(Some(self.queue.now()));
-            self.tell_change(worker, Lifecycle::Running);
+            self.endpoints[endpoint].resume(Some(self.queue.now()));
+            self.publish_change(endpoint, Lifecycle::Running);
         }
     }
 
-    fn hang(&mut self, worker: usize) {
-        if self.workers[worker].condition == Condition::Serving {
+    fn hang(&mut self, endpoint: usize) {
+        if self.endpoints[endpoint].state == EndpointState::Serving {
             // What it held stays without an answer.
-            self.workers[worker].stop(Condition::Hung);
+            self.endpoints[endpoint].stop(EndpointState::Hung);
         }
     }
 
-    fn resume(&mut self, worker: usize) {
-        if self.workers[worker].condition == Condition::Hung {
-            self.workers[worker].resume(None);
+    fn resume(&mut self, endpoint: usize) {
+        if self.endpoints[endpoint].state == EndpointState::Hung {
+            self.endpoints[endpoint].resume(None);
         }
     }
 
-    fn drain(&mut self, worker: usize) {
-        if self.workers[worker].condition == Condition::Serving {
-            self.workers[worker].condition = Condition::Draining;
-            self.tell_change(worker, Lifecycle::Draining);
+    fn drain(&mut self, endpoint: usize) {
+        if self.endpoints[endpoint].state == EndpointState::Serving {
+            self.endpoints[endpoint].state = EndpointState::Draining;
+            self.publish_change(endpoint, Lifecycle::Draining);
         }
     }
 
-    fn remove(&mut self, worker: usize) {
-        if self.workers[worker].condition != Condition::Draining {
+    fn remove(&mut self, endpoint: usize) {
+        if self.endpoints[endpoint].state != EndpointState::Draining {
             return;
         }
-        for attempt in self.workers[worker].stop(Condition::Gone) {
-            self.answer_attempt(attempt, worker, Status::Reset);
+        for attempt in self.endpoints[endpoint].stop(EndpointState::Gone) {
+            self.answer_attempt(attempt, endpoint, Status::Reset);
         }
-        self.tell_change(worker, Lifecycle::Gone);
+        self.publish_change(endpoint, Lifecycle::Gone);
     }
 
-    /// Adds a worker, which starts cold.
-    fn add_worker(&mut self) {
-        let index = self.workers.len();
+    /// Adds a endpoint, which starts cold.
+    fn add_endpoint(&mut self) {
+        let index = self.endpoints.len();
         let zone = index as u32 % self.configuration.topology.zones;
-        let worker = Worker::new(&self.configuration.workers, zone, self.queue.now());
-        let id = worker_id(index);
-        self.workers.push(worker);
-        self.worker_ids.push(id.clone());
-        self.worker_index.insert(id, index);
-        self.tell_change(index, Lifecycle::Running);
+        let endpoint = SimulatedEndpoint::new(&self.configuration.endpoints, zone, self.queue.now());
+        let id = endpoint_id(index);
+        self.endpoints.push(endpoint);
+        self.endpoint_ids.push(id.clone());
+        self.endpoint_index.insert(id, index);
+        self.publish_change(index, Lifecycle::Running);
     }
 }
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -7,19 +7,19 @@
 mod incidents;
 mod lists;
 
-use super::clock::{EventQueue, START};
 use super::configuration::{Configuration, DiscoveryMode};
 use super::counter::Counter;
 use super::counter_calls::{CallEnd, CallKey};
 use super::discovery::{Discovery, SharedList};
-use super::faults::{self, Incident};
-use super::gatekeepers::{self, Address, Gatekeeper};
+use super::endpoints::SimulatedEndpoint;
+use super::event_queue::{EventQueue, RUN_START};
+use super::gateways::{self, GatewayAddress, SimulatedGateway};
+use super::incident_plan::{self, Incident};
 use super::measures::Measures;
 use super::processor::ProcessorTimes;
 use super::randomness::{Stream, between, stream};
-use super::requests::{AttemptKey, RequestTable, Wish};
+use super::requests::{AttemptKey, Demand, RequestTable};
 use super::tenants::{self, Tenant};
-use super::workers::Worker;
 use oliverack::{Endpoint, EndpointId, Event, Lifecycle, ListKind, SettingsError, Status, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -27,43 +27,43 @@
 use std::sync::Arc;
 
 /// Seconds that a run goes on after the longest deadline, for outcomes that are still owed.
-const LAST_OUTCOMES: f64 = 1.0;
+const DRAIN_WINDOW: f64 = 1.0;
 
 /// What the clock gives out.
 #[derive(Debug)]
-enum Occurrence {
+enum ScheduledEvent {
     /// A tenant may make a request.
-    Candidate(usize),
+    ArrivalCandidate(usize),
     /// A client comes again.
-    Retry(Box<Wish>),
+    ClientRetry(Box<Demand>),
     /// A client gives up.
-    Deadline(u64),
-    /// An attempt reaches its worker.
-    AttemptArrives { attempt: AttemptKey, worker: usize, work: f64 },
-    /// A worker has done its work for an attempt.
-    ServiceEnds { attempt: AttemptKey, worker: usize, life: u32 },
-    /// A worker's answer, or its failure, reaches the gatekeeper.
-    AttemptEnds { attempt: AttemptKey, status: Status },
+    ClientDeadline(u64),
+    /// An attempt reaches its endpoint.
+    AttemptArrived { attempt: AttemptKey, endpoint: usize, work: f64 },
+    /// A endpoint has done its work for an attempt.
+    ServiceCompleted { attempt: AttemptKey, endpoint: usize, incarnation: u32 },
+    /// A endpoint's answer, or its failure, reaches the gateway.
+    AttemptEnded { attempt: AttemptKey, status: Status },
     /// A call reaches the counter.
-    CallArrives { from: Address, call: CallKey, amount: f64, life: f64 },
+    CounterCallArrived { from: GatewayAddress, call: CallKey, amount: f64, incarnation: f64 },
     /// The counter has served a call.
-    CallServed { from: Address, call: CallKey, amount: f64, life: f64 },
-    /// A call's end reaches the gatekeeper.
-    CallEnds { to: Address, call: CallKey, end: CallEnd },
+    CounterCallServed { from: GatewayAddress, call: CallKey, amount: f64, incarnation: f64 },
+    /// A call's end reaches the gateway.
+    CounterCallEnded { to: GatewayAddress, call: CallKey, end: CallEnd },
     /// A timer of the policy is due.
-    Timer { to: Address, token: u64 },
+    PolicyTimer { to: GatewayAddress, token: u64 },
     /// A call for the list reaches the service.
-    ListAsked(Address),
+    PollArrived(GatewayAddress),
     /// The service's answer to such a call is ready. `false`: it failed.
-    ListAnswered { to: Address, served: bool },
-    /// News of the workers reaches the gatekeeper.
-    ListArrives { to: Address, kind: ListKind, list: Arc<SharedList> },
-    /// A gatekeeper starts anew.
-    Start(usize),
+    PollAnswered { to: GatewayAddress, served: bool },
+    /// News of the endpoints reaches the gateway.
+    EndpointListArrived { to: GatewayAddress, kind: ListKind, list: Arc<SharedList> },
+    /// A gateway starts anew.
+    GatewayStarted(usize),
     /// Something happens to the fleet.
     Incident(Incident),
     /// The policy is told an event that follows from its own action.
-    Told { to: Address, event: Box<Event> },
+    DeferredNotification { to: GatewayAddress, event: Box<Event> },
 }
 
 /// Independent random numbers for the parts that draw during a run.
@@ -79,13 +79,13 @@
 #[derive(Debug)]
 pub struct Simulation {
     configuration: Configuration,
-    queue: EventQueue<Occurrence>,
+    queue: EventQueue<ScheduledEvent>,
     generators: Generators,
-    gatekeepers: Vec<Gatekeeper>,
-    workers: Vec<Worker>,
-    /// Ids of the workers, by index, and indices by id.
-    worker_ids: Vec<EndpointId>,
-    worker_index: HashMap<EndpointId, usize>,
+    gateways: Vec<SimulatedGateway>,
+    endpoints: Vec<SimulatedEndpoint>,
+    /// Ids of the endpoints, by index, and indices by id.
+    endpoint_ids: Vec<EndpointId>,
+    endpoint_index: HashMap<EndpointId, usize>,
     discovery: Discovery,
     counter: Option<Counter>,
     /// By zone, whether it is out of reach, and whether it is cut off from the counter.
@@ -99,11 +99,11 @@
 
 /// The end of a run, from which reports are made.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct RunResult {
     /// What was run.
     pub configuration: Configuration,
-    /// The gatekeepers.
-    pub gatekeepers: Vec<Gatekeeper>,
+    /// The gateways.
+    pub gateways: Vec<SimulatedGateway>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
     /// Names that the counter holds.
@@ -116,8 +116,8 @@
     pub end: Time,
 }
 
-/// A worker's id: a number that tells nothing of its place in the list.
-fn worker_id(index: usize) -> EndpointId {
+/// A endpoint's id: a number that tells nothing of its place in the list.
+fn endpoint_id(index: usize) -> EndpointId {
     format!("s-{:08x}", (index as u32).wrapping_mul(0x9E37_79B1)).into()
 }
 
@@ -128,13 +128,15 @@
     /// Settings that the policy refuses.
     pub fn new(configuration: Configuration, seed: u64) -> Result<Self, SettingsError> {
         let zones = configuration.topology.zones;
-        let worker = |number| Worker::new(&configuration.workers, number % zones, 0.0);
-        let workers: Vec<Worker> = (0..configuration.workers.count).map(worker).collect();
-        let worker_ids: Vec<EndpointId> = (0..workers.len()).map(worker_id).collect();
-        let worker_index = worker_ids.iter().enumerate().map(|(i, id)| (id.clone(), i)).collect();
-        let cells = configuration.workers.cells;
-        let listed = |(index, worker): (usize, &Worker)| endpoint(&worker_ids[index], index, worker, cells);
-        let initial = workers.iter().enumerate().map(listed).collect();
+        let endpoint = |number| SimulatedEndpoint::new(&configuration.endpoints, number % zones, 0.0);
+        let endpoints: Vec<SimulatedEndpoint> = (0..configuration.endpoints.count).map(endpoint).collect();
+        let endpoint_ids: Vec<EndpointId> = (0..endpoints.len()).map(endpoint_id).collect();
+        let endpoint_index = endpoint_ids.iter().enumerate().map(|(i, id)| (id.clone(), i)).collect();
+        let cells = configuration.endpoints.cells;
+        let listed = |(index, endpoint): (usize, &SimulatedEndpoint)| {
+            list_entry(&endpoint_ids[index], index, endpoint, cells)
+        };
+        let initial = endpoints.iter().enumerate().map(listed).collect();
         let mut simulation = Self {
             queue: EventQueue::default(),
             generators: Generators {
@@ -143,7 +145,7 @@
                 clients: stream(seed, Stream::Clients),
                 counter: stream(seed, Stream::Counter),
             },
-            gatekeepers: Vec::new(),
+            gateways: Vec::new(),
             discovery: Discovery::new(&configuration.discovery, initial),
             counter: configuration.counter.as_ref().map(Counter::new),
             zones_lost: vec![false; zones as usize],
@@ -152,34 +154,34 @@
             requests: RequestTable::default(),
             measures: Measures::default(),
             times: ProcessorTimes::new(),
-            workers,
-            worker_ids,
-            worker_index,
+            endpoints,
+            endpoint_ids,
+            endpoint_index,
             configuration,
         };
-        simulation.add_gatekeepers(seed)?;
+        simulation.add_gateways(seed)?;
         simulation.schedule_beginnings(seed);
         Ok(simulation)
     }
 
-    fn add_gatekeepers(&mut self, seed: u64) -> Result<(), SettingsError> {
+    fn add_gateways(&mut self, seed: u64) -> Result<(), SettingsError> {
         let mut lateness = stream(seed, Stream::Discovery);
-        for number in 0..self.configuration.gatekeepers.count {
+        for number in 0..self.configuration.gateways.count {
             let zone = number % self.configuration.topology.zones;
-            let settings = gatekeepers::settings(&self.configuration, number, zone);
-            let late = between(&mut lateness, self.configuration.discovery.lateness);
+            let settings = gateways::settings(&self.configuration, number, zone);
+            let late = between(&mut lateness, self.configuration.discovery.propagation_delay);
             let seed = self.generators.policies.random();
-            self.gatekeepers.push(Gatekeeper::new(settings, seed, late, START)?);
+            self.gateways.push(SimulatedGateway::new(settings, seed, late, RUN_START)?);
         }
         Ok(())
     }
 
     fn schedule_beginnings(&mut self, seed: u64) {
-        for gatekeeper in 0..self.gatekeepers.len() {
-            self.begin_life(gatekeeper);
+        for gateway in 0..self.gateways.len() {
+            self.begin_incarnation(gateway);
         }
-        for planned in faults::plan(&self.configuration, &mut stream(seed, Stream::Faults)) {
-            self.queue.schedule(planned.at, Occurrence::Incident(planned.incident));
+        for planned in incident_plan::plan(&self.configuration, &mut stream(seed, Stream::Faults)) {
+            self.queue.schedule(planned.at, ScheduledEvent::Incident(planned.incident));
         }
         for tenant in 0..self.tenants.len() {
             self.schedule_candidate(tenant);
@@ -190,23 +192,23 @@
     ///
     /// # Errors
     /// Settings that the policy refuses at a restart.
-    pub fn run(mut self) -> Result<Outcome, SettingsError> {
+    pub fn run(mut self) -> Result<RunResult, SettingsError> {
         let longest = self.configuration.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        let end = START + self.configuration.seconds + longest + LAST_OUTCOMES;
-        while let Some(occurrence) = self.queue.next_until(end) {
-            self.occur(occurrence)?;
+        let end = RUN_START + self.configuration.seconds + longest + DRAIN_WINDOW;
+        while let Some(event) = self.queue.pop_until(end) {
+            self.dispatch(event)?;
         }
         Ok(self.finish())
     }
 
-    fn finish(mut self) -> Outcome {
+    fn finish(mut self) -> RunResult {
         let end = self.queue.now();
-        for gatekeeper in 0..self.gatekeepers.len() {
-            self.count_watches(gatekeeper, end);
+        for gateway in 0..self.gateways.len() {
+            self.count_watches(gateway, end);
         }
-        Outcome {
+        RunResult {
             configuration: self.configuration,
-            gatekeepers: self.gatekeepers,
+            gateways: self.gateways,
             tenants: self.tenants,
             counter_names: self.counter.as_ref().map_or(0, Counter::names),
             measures: self.measures,
@@ -215,53 +217,59 @@
         }
     }
 
-    fn occur(&mut self, occurrence: Occurrence) -> Result<(), SettingsError> {
-        match occurrence {
-            Occurrence::Candidate(tenant) => self.candidate(tenant),
-            Occurrence::Retry(wish) => self.try_wish(*wish),
-            Occurrence::Deadline(request) => self.deadline(request),
-            Occurrence::AttemptArrives { attempt, worker, work } => {
-                self.attempt_arrives(attempt, worker, work);
+    fn dispatch(&mut self, event: ScheduledEvent) -> Result<(), SettingsError> {
+        match event {
+            ScheduledEvent::ArrivalCandidate(tenant) => self.candidate(tenant),
+            ScheduledEvent::ClientRetry(demand) => self.submit(*demand),
+            ScheduledEvent::ClientDeadline(request) => self.deadline(request),
+            ScheduledEvent::AttemptArrived { attempt, endpoint, work } => {
+                self.attempt_arrives(attempt, endpoint, work);
+            }
+            ScheduledEvent::ServiceCompleted { attempt, endpoint, incarnation } => {
+                self.service_ends(attempt, endpoint, incarnation)
+            }
+            ScheduledEvent::AttemptEnded { attempt, status } => self.attempt_ends(attempt, status),
+            ScheduledEvent::CounterCallArrived { from, call, amount, incarnation } => {
+                self.call_arrives(from, call, amount, incarnation);
+            }
+            ScheduledEvent::CounterCallServed { from, call, amount, incarnation } => {
+                self.call_served(from, call, amount, incarnation)
             }
-            Occurrence::ServiceEnds { attempt, worker, life } => self.service_ends(attempt, worker, life),
-            Occurrence::AttemptEnds { attempt, status } => self.attempt_ends(attempt, status),
-            Occurrence::CallArrives { from, call, amount, life } => {
-                self.call_arrives(from, call, amount, life);
+            ScheduledEvent::CounterCallEnded { to, call, end } => self.call_ends(to, call, end),
+            ScheduledEvent::PolicyTimer { to, token } => self.notify(to, Event::Timer { token }),
+            ScheduledEvent::PollArrived(from) => self.poll_arrived(from),
+            ScheduledEvent::PollAnswered { to, served } => self.poll_answered(to, served),
+            ScheduledEvent::EndpointListArrived { to, kind, list } => {
+                self.endpoint_list_arrived(to, kind, &list)
             }
-            Occurrence::CallServed { from, call, amount, life } => self.call_served(from, call, amount, life),
-            Occurrence::CallEnds { to, call, end } => self.call_ends(to, call, end),
-            Occurrence::Timer { to, token } => self.tell(to, Event::Timer { token }),
-            Occurrence::ListAsked(from) => self.list_asked(from),
-            Occurrence::ListAnswered { to, served } => self.list_answered(to, served),
-            Occurrence::ListArrives { to, kind, list } => self.list_arrives(to, kind, &list),
-            Occurrence::Start(gatekeeper) => return self.start(gatekeeper),
-            Occurrence::Incident(incident) => self.incident(incident),
-            Occurrence::Told { to, event } => self.tell(to, *event),
+            ScheduledEvent::GatewayStarted(gateway) => return self.start(gateway),
+            ScheduledEvent::Incident(incident) => self.incident(incident),
+            ScheduledEvent::DeferredNotification { to, event } => self.notify(to, *event),
         }
         Ok(())
     }
 
     /// Gives an event to a policy and carries out what it wants done.
-    fn tell(&mut self, to: Address, event: Event) {
+    fn notify(&mut self, to: GatewayAddress, event: Event) {
         let now = self.queue.now();
-        let gatekeeper = &mut self.gatekeepers[to.gatekeeper];
-        if !gatekeeper.lives(to.life) {
+        let gateway = &mut self.gateways[to.gateway];
+        if !gateway.is_incarnation(to.incarnation) {
             return;
         }
-        for action in gatekeeper.handle(now, event, &mut self.times) {
-            self.carry_out(to, action);
+        for action in gateway.handle(now, event, &mut self.times) {
+            self.execute(to, action);
         }
     }
 
     /// Gives an event to a policy once it is done with what it does now.
-    fn tell_later(&mut self, to: Address, event: Event) {
+    fn notify_deferred(&mut self, to: GatewayAddress, event: Event) {
         let event = Box::new(event);
-        self.queue.schedule(self.queue.now(), Occurrence::Told { to, event });
+        self.queue.schedule(self.queue.now(), ScheduledEvent::DeferredNotification { to, event });
     }
 
-    /// The present life of a gatekeeper.
-    fn address(&self, gatekeeper: usize) -> Address {
-        Address { gatekeeper, life: self.gatekeepers[gatekeeper].life }
+    /// The present incarnation of a gateway.
+    fn address(&self, gateway: usize) -> GatewayAddress {
+        GatewayAddress { gateway, incarnation: self.gateways[gateway].incarnation }
     }
 
     /// Delay between two zones.
@@ -277,18 +285,18 @@
         }
     }
 
-    fn must_ask(&self) -> bool {
-        self.configuration.discovery.mode == DiscoveryMode::Ask
+    fn discovery_is_polled(&self) -> bool {
+        self.configuration.discovery.mode == DiscoveryMode::Poll
     }
 }
 
-/// A worker as the list shows it.
-fn endpoint(id: &EndpointId, index: usize, worker: &Worker, cells: u32) -> Endpoint {
+/// A endpoint as the list shows it.
+fn list_entry(id: &EndpointId, index: usize, endpoint: &SimulatedEndpoint, cells: u32) -> Endpoint {
     Endpoint {
         id: id.clone(),
-        zone: worker.zone,
+        zone: endpoint.zone,
         cell: (index % cells as usize) as u32,
-        started: worker.started,
+        started: endpoint.started,
         lifecycle: Lifecycle::Running,
     }
 }
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -1,6 +1,6 @@
 //! Prints the records of a run as a table.
 
-use super::measures::{AttemptCounts, CounterCallCounts, InsideWorth, WishCounts};
+use super::measures::{AttemptCounts, CounterCallCounts, DemandCounts, InsideWorth};
 use super::report::{LatencyRecord, ProcessorRecord, QuotaRecord, Record, RunRecord, StateRecord};
 use std::fmt::{self, Display};
 
@@ -37,10 +37,10 @@
 fn write_record(f: &mut fmt::Formatter<'_>, record: &Record) -> fmt::Result {
     match record {
         Record::Run(run) => write_run(f, run),
-        Record::Wishes(wishes) => write_wishes(f, wishes),
+        Record::Demands(demands) => write_demands(f, demands),
         Record::Latency(latency) => write_latency(f, latency),
         Record::Quotas(quotas) => write_quotas(f, quotas),
-        Record::InsideWorth(worth) => write_inside_worth(f, worth),
+        Record::InsideWorth(worth) => write_in_quota_weight(f, worth),
         Record::Attempts(attempts) => write_attempts(f, attempts),
         Record::CounterCalls(calls) => write_counter_calls(f, calls),
         Record::PerTry(per_try) => {
@@ -51,8 +51,12 @@
         }
         Record::Fleet(fleet) => {
             writeln!(f, "fleet")?;
-            row(f, "list changes / whole lists", format!("{} / {}", fleet.list_changes, fleet.lists_told))?;
-            row(f, "list calls failed", fleet.list_calls_failed)?;
+            row(
+                f,
+                "list changes / whole lists",
+                format!("{} / {}", fleet.list_changes, fleet.complete_lists_sent),
+            )?;
+            row(f, "list calls failed", fleet.polls_failed)?;
             row(f, "gatekeeper restarts", fleet.restarts)
         }
         Record::Traffic(traffic) => {
@@ -66,15 +70,15 @@
     }
 }
 
-fn write_wishes(f: &mut fmt::Formatter<'_>, wishes: &WishCounts) -> fmt::Result {
+fn write_demands(f: &mut fmt::Formatter<'_>, demands: &DemandCounts) -> fmt::Result {
     writeln!(f, "requests of clients, retries included in them")?;
-    row(f, "asked", wishes.asked)?;
-    row(f, "served in time", share(wishes.served, wishes.asked))?;
-    row(f, "served late", share(wishes.served_late, wishes.asked))?;
-    row(f, "refused", share(wishes.refused, wishes.asked))?;
-    row(f, "failed", share(wishes.failed, wishes.asked))?;
-    row(f, "abandoned", share(wishes.abandoned, wishes.asked))?;
-    row(f, "lost with a gatekeeper", share(wishes.lost, wishes.asked))
+    row(f, "asked", demands.asked)?;
+    row(f, "served in time", share(demands.served, demands.asked))?;
+    row(f, "served late", share(demands.served_late, demands.asked))?;
+    row(f, "refused", share(demands.rejected, demands.asked))?;
+    row(f, "failed", share(demands.failed, demands.asked))?;
+    row(f, "abandoned", share(demands.abandoned, demands.asked))?;
+    row(f, "lost with a gatekeeper", share(demands.lost, demands.asked))
 }
 
 fn write_latency(f: &mut fmt::Formatter<'_>, latency: &LatencyRecord) -> fmt::Result {
@@ -85,11 +89,11 @@
     row(f, "max", number(latency.max))
 }
 
-fn write_inside_worth(f: &mut fmt::Formatter<'_>, worth: &InsideWorth) -> fmt::Result {
+fn write_in_quota_weight(f: &mut fmt::Formatter<'_>, worth: &InsideWorth) -> fmt::Result {
     writeln!(f, "worth asked for inside quotas")?;
     row(f, "asked", format!("{:.1}", worth.asked))?;
     row(f, "served in time", worth_share(worth.served, worth.asked))?;
-    row(f, "refused", worth_share(worth.refused, worth.asked))?;
+    row(f, "refused", worth_share(worth.rejected, worth.asked))?;
     row(f, "late, failed, abandoned or lost", worth_share(worth.otherwise, worth.asked))
 }
 
@@ -115,7 +119,7 @@
 fn write_run(f: &mut fmt::Formatter<'_>, run: &RunRecord) -> fmt::Result {
     writeln!(f, "run")?;
     row(f, "seed / seconds", format!("{} / {}", run.seed, run.seconds))?;
-    let sizes = format!("{} / {} / {}", run.gatekeepers, run.workers, run.tenants);
+    let sizes = format!("{} / {} / {}", run.gateways, run.endpoints, run.tenants);
     row(f, "gatekeepers / workers / tenants", sizes)?;
     row(f, "nominal requests a second", format!("{:.1}", run.nominal_requests_per_second))
 }
@@ -132,13 +136,13 @@
 }
 
 fn write_state(f: &mut fmt::Formatter<'_>, state: &StateRecord) -> fmt::Result {
-    let open = format!("{} / {}", state.fleet_open_max, state.gatekeeper_open_max);
+    let open = format!("{} / {}", state.fleet_open_max, state.gateway_open_max);
     let tenants = format!("{:.1} / {}", state.tenants_mean, state.tenants_max);
-    let workers = format!("{:.1} / {:.1}", state.workers_listed_mean, state.workers_avoided_mean);
+    let endpoints = format!("{:.1} / {:.1}", state.endpoints_listed_mean, state.endpoints_avoided_mean);
     writeln!(f, "state")?;
     row(f, "most open: fleet / one gatekeeper", open)?;
     row(f, "tenants met: mean / max", tenants)?;
-    row(f, "workers: listed / avoided, mean", workers)?;
+    row(f, "workers: listed / avoided, mean", endpoints)?;
     row(f, "names at the counter", state.counter_names)
 }
 
--- a/lab/src/fleet/tenants.rs
+++ b/lab/src/fleet/tenants.rs
@@ -1,7 +1,7 @@
-//! The tenants: what they ask for and when, and their true quotas, as one that saw everything would keep them.
+//! The tenants: what they poll for and when, and their true quotas, as one that saw everything would keep them.
 
-use super::clock::START;
 use super::configuration::{self, Configuration, Usage};
+use super::event_queue::RUN_START;
 use super::randomness::{self, between, weighted};
 use oliverack::{CustomerId, Time};
 use rand::Rng;
@@ -19,7 +19,7 @@
 impl TokenBucket {
     /// A full bucket.
     pub fn full(rate: f64, burst: f64) -> Self {
-        Self { rate, burst, level: burst, at: START }
+        Self { rate, burst, level: burst, at: RUN_START }
     }
 
     fn refill(&mut self, now: Time) {
@@ -56,7 +56,7 @@
 
 impl Spikes {
     fn factor_at(&self, now: Time) -> f64 {
-        let spikes = self.every > 0.0 && (now - START + self.offset) % self.every < self.seconds;
+        let spikes = self.every > 0.0 && (now - RUN_START + self.offset) % self.every < self.seconds;
         if spikes { self.factor } else { 1.0 }
     }
 }
@@ -68,20 +68,20 @@
     pub id: CustomerId,
     /// Its plan's index.
     pub plan: usize,
-    /// How many gatekeepers carry it.
+    /// How many gateways carry it.
     pub spread: u32,
     /// The first of them.
     pub first: u32,
-    /// Weights of these gatekeepers.
+    /// Weights of these gateways.
     pub weights: Vec<f64>,
     /// Requests a second outside of spikes.
     pub requests_per_second: f64,
     spikes: Spikes,
     /// The quota, drawn on by what is asked for first.
     pub asked: TokenBucket,
-    /// The quota, drawn on by what is sent to workers.
+    /// The quota, drawn on by what is sent to endpoints.
     pub sent: TokenBucket,
-    /// The ceiling, drawn on by what is sent to workers.
+    /// The ceiling, drawn on by what is sent to endpoints.
     pub ceiling: Option<TokenBucket>,
     /// The lowest level of the ceiling, as a share of its burst.
     pub lowest_ceiling: f64,
@@ -130,8 +130,8 @@
 ) -> Tenant {
     let figures = &configuration.tenants;
     let plan: &configuration::Plan = &configuration.plans[plan_index];
-    let spread = generator.random_range(figures.spread[0]..=figures.spread[1]);
-    let first = generator.random_range(0..configuration.gatekeepers.count);
+    let spread = generator.random_range(figures.gateways_per_tenant[0]..=figures.gateways_per_tenant[1]);
+    let first = generator.random_range(0..configuration.gateways.count);
     let skew = between(generator, figures.skew);
     let mut weights: Vec<f64> = (1..=spread).map(|n| f64::from(n).powf(-skew)).collect();
     weights.rotate_left(generator.random_range(0..spread) as usize);
@@ -151,7 +151,7 @@
         spread,
         first,
         weights,
-        requests_per_second: between(generator, usage.of_rate) * plan.rate / mean_units,
+        requests_per_second: between(generator, usage.load_factor) * plan.rate / mean_units,
         spikes,
         asked: quota,
         sent: quota,
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -3,10 +3,10 @@
 use super::configuration::{Configuration, Fault};
 use std::fmt;
 
-/// Most gatekeepers of a run.
-pub const MAX_GATEKEEPERS: u32 = 1_024;
-/// Most workers of a run.
-pub const MAX_WORKERS: u32 = 16_384;
+/// Most gateways of a run.
+pub const MAX_GATEWAYS: u32 = 1_024;
+/// Most endpoints of a run.
+pub const MAX_ENDPOINTS: u32 = 16_384;
 /// Most tenants of a run.
 pub const MAX_TENANTS: u32 = 65_536;
 /// Most zones of a run.
@@ -15,10 +15,10 @@
 pub const MAX_SECONDS: f64 = 3_600.0;
 /// Most units of one request.
 pub const MAX_UNITS: u32 = 1_000;
-/// Most requests a second that all tenants may be expected to ask for.
+/// Most requests a second that all tenants may be expected to poll for.
 pub const MAX_REQUESTS_PER_SECOND: f64 = 1_000_000.0;
 /// Largest rate, burst or factor.
-const MAX_FIGURE: f64 = 1e9;
+const MAX_VALUE: f64 = 1e9;
 /// Largest body, as the protocol has it.
 const MAX_BODY: u64 = 65_536;
 /// Most restarts of one fault.
@@ -26,7 +26,7 @@
 
 /// A figure that no run can have.
 #[derive(Debug, Clone, PartialEq)]
-pub struct InvalidFigure {
+pub struct InvalidValue {
     /// The key in the file.
     pub key: &'static str,
     /// What it holds.
@@ -35,18 +35,18 @@
     pub wanted: &'static str,
 }
 
-impl fmt::Display for InvalidFigure {
+impl fmt::Display for InvalidValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} is {}, but must be {}", self.key, self.value, self.wanted)
     }
 }
 
-impl std::error::Error for InvalidFigure {}
+impl std::error::Error for InvalidValue {}
 
-type Check = Result<(), InvalidFigure>;
+type Check = Result<(), InvalidValue>;
 
 fn require(holds: bool, key: &'static str, value: f64, wanted: &'static str) -> Check {
-    if holds { Ok(()) } else { Err(InvalidFigure { key, value, wanted }) }
+    if holds { Ok(()) } else { Err(InvalidValue { key, value, wanted }) }
 }
 
 fn count(key: &'static str, value: u32, most: u32) -> Check {
@@ -54,11 +54,11 @@
 }
 
 fn positive(key: &'static str, value: f64) -> Check {
-    require(value > 0.0 && value <= MAX_FIGURE, key, value, "above 0 and at most 1e9")
+    require(value > 0.0 && value <= MAX_VALUE, key, value, "above 0 and at most 1e9")
 }
 
 fn not_negative(key: &'static str, value: f64) -> Check {
-    require((0.0..=MAX_FIGURE).contains(&value), key, value, "from 0 to 1e9")
+    require((0.0..=MAX_VALUE).contains(&value), key, value, "from 0 to 1e9")
 }
 
 fn share(key: &'static str, value: f64) -> Check {
@@ -88,7 +88,7 @@
     require(configuration.seconds > 0.0, "seconds", configuration.seconds, "above 0")?;
     seconds("seconds", configuration.seconds)?;
     check_topology(configuration)?;
-    check_workers(configuration)?;
+    check_endpoints(configuration)?;
     check_services(configuration)?;
     check_tenants(configuration)?;
     check_clients(configuration)?;
@@ -106,38 +106,43 @@
     seconds("topology.delay_in_zone", topology.delay_in_zone)?;
     seconds("topology.delay_in_region", topology.delay_in_region)?;
     seconds("topology.delay_between_regions", topology.delay_between_regions)?;
-    count("gatekeepers.count", configuration.gatekeepers.count, MAX_GATEKEEPERS)?;
-    seconds("gatekeepers.restart_seconds", configuration.gatekeepers.restart_seconds)?;
-    require(configuration.policy.count_limit > 0.0, "policy.count_limit", 0.0, "above 0")?;
-    seconds("policy.count_limit", configuration.policy.count_limit)?;
+    count("gatekeepers.count", configuration.gateways.count, MAX_GATEWAYS)?;
+    seconds("gatekeepers.restart_seconds", configuration.gateways.restart_seconds)?;
+    require(configuration.policy.counter_timeout > 0.0, "policy.count_limit", 0.0, "above 0")?;
+    seconds("policy.count_limit", configuration.policy.counter_timeout)?;
     count("policy.max_attempts", configuration.policy.max_attempts, 100)?;
     seconds("policy.max_retry_after", configuration.policy.max_retry_after)
 }
 
-fn check_workers(configuration: &Configuration) -> Check {
-    let workers = &configuration.workers;
-    count("workers.count", workers.count, MAX_WORKERS)?;
-    count("workers.cells", workers.cells, MAX_WORKERS)?;
-    count("workers.slots", workers.slots, 10_000)?;
-    require(workers.queue <= 1_000_000, "workers.queue", f64::from(workers.queue), "at most 1000000")?;
-    seconds("workers.service_seconds", workers.service_seconds)?;
-    seconds("workers.service_seconds_per_unit", workers.service_seconds_per_unit)?;
-    share("workers.service_variation", workers.service_variation)?;
-    require(workers.cold_from > 0.0, "workers.cold_from", workers.cold_from, "above 0")?;
-    share("workers.cold_from", workers.cold_from)?;
-    seconds("workers.cold_seconds", workers.cold_seconds)?;
-    not_negative("workers.fall_multiple", workers.fall_multiple)?;
-    seconds("workers.fall_seconds", workers.fall_seconds)
+fn check_endpoints(configuration: &Configuration) -> Check {
+    let endpoints = &configuration.endpoints;
+    count("workers.count", endpoints.count, MAX_ENDPOINTS)?;
+    count("workers.cells", endpoints.cells, MAX_ENDPOINTS)?;
+    count("workers.slots", endpoints.slots, 10_000)?;
+    require(endpoints.queue <= 1_000_000, "workers.queue", f64::from(endpoints.queue), "at most 1000000")?;
+    seconds("workers.service_seconds", endpoints.service_seconds)?;
+    seconds("workers.service_seconds_per_unit", endpoints.service_seconds_per_unit)?;
+    share("workers.service_variation", endpoints.service_variation)?;
+    require(
+        endpoints.slow_start_initial_share > 0.0,
+        "workers.cold_from",
+        endpoints.slow_start_initial_share,
+        "above 0",
+    )?;
+    share("workers.cold_from", endpoints.slow_start_initial_share)?;
+    seconds("workers.cold_seconds", endpoints.slow_start_window)?;
+    not_negative("workers.fall_multiple", endpoints.overload_multiple)?;
+    seconds("workers.fall_seconds", endpoints.overload_window)
 }
 
 fn check_services(configuration: &Configuration) -> Check {
     let discovery = &configuration.discovery;
-    range("discovery.lateness", discovery.lateness)?;
+    range("discovery.lateness", discovery.propagation_delay)?;
     positive("discovery.calls_per_second", discovery.calls_per_second)?;
-    seconds("discovery.give_up_after", discovery.give_up_after)?;
-    positive("discovery.watch_seconds", discovery.watch_seconds)?;
+    seconds("discovery.give_up_after", discovery.poll_timeout)?;
+    positive("discovery.watch_seconds", discovery.watch_hold)?;
     let Some(counter) = &configuration.counter else { return Ok(()) };
-    count("counter.parts", counter.parts, 1_000)?;
+    count("counter.parts", counter.shards, 1_000)?;
     positive("counter.calls_per_second", counter.calls_per_second)?;
     seconds("counter.delay", counter.delay)
 }
@@ -146,11 +151,11 @@
     let tenants = &configuration.tenants;
     count("tenants.count", tenants.count, MAX_TENANTS)?;
     count("tenants.max_units", tenants.max_units, MAX_UNITS)?;
-    let [least, most] = tenants.spread;
+    let [least, most] = tenants.gateways_per_tenant;
     require(least >= 1, "tenants.spread", f64::from(least), "1 at least")?;
     require(least <= most, "tenants.spread", f64::from(least), "a range in rising order")?;
-    let gatekeepers = configuration.gatekeepers.count;
-    require(most <= gatekeepers, "tenants.spread", f64::from(most), "no more than gatekeepers.count")?;
+    let gateways = configuration.gateways.count;
+    require(most <= gateways, "tenants.spread", f64::from(most), "no more than gatekeepers.count")?;
     range("tenants.skew", tenants.skew)
 }
 
@@ -159,7 +164,7 @@
     require(clients.max_retries <= 100, "clients.max_retries", clients.max_retries.into(), "at most 100")?;
     share("clients.retry_share", clients.retry_share)?;
     seconds("clients.retry_seconds", clients.retry_seconds)?;
-    seconds("clients.front_notices_after", clients.front_notices_after)?;
+    seconds("clients.front_notices_after", clients.failure_detection_delay)?;
     for (key, body) in
         [("clients.request_body", clients.request_body), ("clients.answer_body", clients.answer_body)]
     {
@@ -171,12 +176,12 @@
 fn check_classes(configuration: &Configuration) -> Check {
     weights("classes.share", configuration.classes.iter().map(|c| c.share))?;
     for class in &configuration.classes {
-        positive("classes.aim", class.aim)?;
-        share("classes.late_worth", class.late_worth)?;
+        positive("classes.aim", class.latency_objective)?;
+        share("classes.late_worth", class.late_weight_share)?;
         positive("classes.deadline", class.deadline)?;
         seconds("classes.deadline", class.deadline)?;
-        not_negative("classes.worth", class.worth)?;
-        seconds("classes.window", class.window)?;
+        not_negative("classes.worth", class.unit_weight)?;
+        seconds("classes.window", class.idempotency_window)?;
     }
     Ok(())
 }
@@ -188,9 +193,9 @@
         positive("plans.rate", plan.rate)?;
         not_negative("plans.burst", plan.burst)?;
         require(plan.burst >= largest, "plans.burst", plan.burst, "at least tenants.max_units")?;
-        not_negative("plans.pays", plan.pays)?;
-        not_negative("plans.excess_worth", plan.excess_worth)?;
-        not_negative("plans.overrun_cost", plan.overrun_cost)?;
+        not_negative("plans.pays", plan.priority_weight)?;
+        not_negative("plans.excess_worth", plan.over_quota_weight_share)?;
+        not_negative("plans.overrun_cost", plan.over_quota_cost_share)?;
         not_negative("plans.ceiling_rate", plan.ceiling_rate)?;
         not_negative("plans.ceiling_burst", plan.ceiling_burst)?;
         let has_burst = plan.ceiling_rate == 0.0 || plan.ceiling_burst > 0.0;
@@ -202,7 +207,7 @@
 fn check_usage(configuration: &Configuration) -> Check {
     weights("usage.share", configuration.usage.iter().map(|u| u.share))?;
     for usage in &configuration.usage {
-        range("usage.of_rate", usage.of_rate)?;
+        range("usage.of_rate", usage.load_factor)?;
         require(usage.spike_factor >= 1.0, "usage.spike_factor", usage.spike_factor, "1 at least")?;
         positive("usage.spike_factor", usage.spike_factor)?;
         seconds("usage.spike_every", usage.spike_every)?;
@@ -223,7 +228,7 @@
     let rate = weighted_mean(configuration.plans.iter().map(|plan| (plan.share, plan.rate)));
     let use_of_rate = weighted_mean(configuration.usage.iter().map(|usage| {
         let spiky = if usage.spike_every > 0.0 { usage.spike_seconds / usage.spike_every } else { 0.0 };
-        let mean = (usage.of_rate[0] + usage.of_rate[1]) / 2.0;
+        let mean = (usage.load_factor[0] + usage.load_factor[1]) / 2.0;
         (usage.share, mean * (1.0 + spiky * (usage.spike_factor - 1.0)))
     }));
     let mean_units = f64::from(1 + configuration.tenants.max_units) / 2.0;
@@ -253,9 +258,9 @@
             span(from, until)?;
             require(count <= MAX_RESTARTS, "faults.count", f64::from(count), "at most 100000")
         }
-        Fault::ReplaceWorkers { from, until, count } => {
+        Fault::ReplaceEndpoints { from, until, count } => {
             span(from, until)?;
-            let fits = count <= configuration.workers.count;
+            let fits = count <= configuration.endpoints.count;
             require(fits, "faults.count", f64::from(count), "no more than workers.count")
         }
         Fault::LoseZone { at, until, zone } | Fault::CutCounter { at, until, zone } => {
@@ -267,9 +272,9 @@
             positive("faults.factor", factor)
         }
         Fault::SilenceCounter { at, until } => span(at, until),
-        Fault::CrashWorkers { at, until, share: part }
-        | Fault::HangWorkers { at, until, share: part }
-        | Fault::DrainWorkers { at, until, share: part } => {
+        Fault::CrashEndpoints { at, until, share: part }
+        | Fault::HangEndpoints { at, until, share: part }
+        | Fault::DrainEndpoints { at, until, share: part } => {
             span(at, until)?;
             share("faults.share", part)
         }
--- a/lab/src/fleet/wire_size.rs
+++ b/lab/src/fleet/wire_size.rs
@@ -1,6 +1,6 @@
 //! Bytes of each message as it would stand on the wire. Nothing is kept: texts are measured as they are formatted.
 
-use super::configuration::Repeat;
+use super::configuration::RepeatEffect;
 use oliverack::{Endpoint, Lifecycle};
 use std::fmt::{self, Write};
 
@@ -8,7 +8,7 @@
 const TRANSACTION: usize = 16;
 /// Bytes of the value of `Idempotency-Key`.
 const IDEMPOTENCY_KEY: usize = 32;
-/// The longest life of a name at the counter, in milliseconds.
+/// The longest incarnation of a name at the counter, in milliseconds.
 const LONGEST_LIFE_MS: f64 = 60_000.0;
 
 /// Counts the bytes that are written to it.
@@ -35,7 +35,7 @@
     /// The class's name.
     pub class: &'a str,
     /// What a repeat may do: decides method, key and body.
-    pub repeat: Repeat,
+    pub repeat: RepeatEffect,
     /// Seconds that are left.
     pub remaining: f64,
     /// Bytes of the body, where there is one.
@@ -44,13 +44,13 @@
 
 impl RequestHead<'_> {
     fn common(&self) -> u64 {
-        let method = if self.repeat == Repeat::Safe { "GET" } else { "POST" };
-        let key = if self.repeat == Repeat::Keyed {
+        let method = if self.repeat == RepeatEffect::Idempotent { "GET" } else { "POST" };
+        let key = if self.repeat == RepeatEffect::IdempotencyKey {
             length(format_args!("Idempotency-Key: {:IDEMPOTENCY_KEY$}\r\n", ""))
         } else {
             0
         };
-        let body = if self.repeat == Repeat::Safe {
+        let body = if self.repeat == RepeatEffect::Idempotent {
             0
         } else {
             length(format_args!("Content-Length: {}\r\n", self.body)) + self.body
@@ -69,7 +69,7 @@
     pub plan: &'a str,
     /// Units that the request takes.
     pub units: f64,
-    /// How many gatekeepers carry the customer.
+    /// How many gateways carry the customer.
     pub spread: u32,
     /// The first of them.
     pub first: u32,
@@ -77,7 +77,7 @@
     pub resent: bool,
 }
 
-/// A client's request to a gatekeeper.
+/// A client's request to a gateway.
 pub fn client_request(head: &RequestHead<'_>, quota: &Quota<'_>) -> u64 {
     let names = length(format_args!(
         "X-Lane: {}\r\nX-Plan: {}\r\nX-Customer: 0123456789abcdef\r\n",
@@ -91,7 +91,7 @@
     head.common() + names + figures + resent
 }
 
-/// An attempt from a gatekeeper to a worker.
+/// An attempt from a gateway to a endpoint.
 pub fn attempt(head: &RequestHead<'_>) -> u64 {
     head.common()
 }
@@ -102,7 +102,7 @@
 }
 
 /// A refusal, with the advice to stay away if there is any.
-pub fn refused(retry_after: f64) -> u64 {
+pub fn rejected(retry_after: f64) -> u64 {
     let advice =
         if retry_after > 0.0 { length(format_args!("Retry-After: {retry_after:.3}\r\n")) } else { 0 };
     length(format_args!("HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n")) + advice
@@ -113,14 +113,14 @@
     length(format_args!("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"))
 }
 
-/// A worker's answer that turns an attempt away.
-pub fn turned_away() -> u64 {
+/// A endpoint's answer that turns an attempt away.
+pub fn endpoint_rejected() -> u64 {
     length(format_args!("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"))
 }
 
 /// A call to the counter.
-pub fn counter_call(name: u64, amount: f64, life: f64) -> u64 {
-    let milliseconds = (life * 1000.0).round().clamp(1.0, LONGEST_LIFE_MS) as u64;
+pub fn counter_call(name: u64, amount: f64, incarnation: f64) -> u64 {
+    let milliseconds = (incarnation * 1000.0).round().clamp(1.0, LONGEST_LIFE_MS) as u64;
     length(format_args!("bump {name} {amount} {milliseconds}\r\n"))
 }
 
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -1,21 +1,21 @@
 //! The models of the simulated fleet, one by one.
 
 use oliverack::{Endpoint, Event, Lifecycle, Status};
-use oliverack_lab::fleet::clock::{EventQueue, START};
 use oliverack_lab::fleet::configuration::{Counter as CounterFigures, Discovery as DiscoveryFigures};
-use oliverack_lab::fleet::configuration::{DiscoveryMode, Workers as WorkerFigures};
+use oliverack_lab::fleet::configuration::{DiscoveryMode, Endpoints as EndpointFigures};
 use oliverack_lab::fleet::counter::{Admission, Counter};
 use oliverack_lab::fleet::counter_calls::{CallEnd, CounterCalls};
-use oliverack_lab::fleet::discovery::{Discovery, Turn};
+use oliverack_lab::fleet::discovery::{Discovery, PollOutcome};
+use oliverack_lab::fleet::endpoints::{EndpointState, Reception, SimulatedEndpoint};
+use oliverack_lab::fleet::event_queue::{EventQueue, RUN_START};
 use oliverack_lab::fleet::randomness::{Stream, stream};
 use oliverack_lab::fleet::requests::AttemptKey;
 use oliverack_lab::fleet::tenants::TokenBucket;
 use oliverack_lab::fleet::wire_size;
-use oliverack_lab::fleet::workers::{Condition, Reception, Worker};
 
 /// A counter of one part that serves 100 calls a second and lets two wait.
 fn counter() -> Counter {
-    Counter::new(&CounterFigures { parts: 1, calls_per_second: 100.0, queue: 2, delay: 0.0 })
+    Counter::new(&CounterFigures { shards: 1, calls_per_second: 100.0, queue: 2, delay: 0.0 })
 }
 
 fn assert_close(left: f64, right: f64) {
@@ -26,63 +26,63 @@
 fn events_come_by_time_and_those_of_one_time_in_their_order() {
     let mut queue = EventQueue::default();
     for (at, event) in [(3.0, 'd'), (1.0, 'a'), (2.0, 'b'), (2.0, 'c'), (9.0, 'e')] {
-        queue.schedule(START + at, event);
+        queue.schedule(RUN_START + at, event);
     }
-    let order: String = std::iter::from_fn(|| queue.next_until(START + 5.0)).collect();
+    let order: String = std::iter::from_fn(|| queue.pop_until(RUN_START + 5.0)).collect();
     assert_eq!(order, "abcd");
-    assert_close(queue.now(), START + 3.0);
+    assert_close(queue.now(), RUN_START + 3.0);
 }
 
 #[test]
 fn an_event_of_the_past_is_due_at_once() {
     let mut queue = EventQueue::default();
-    queue.schedule(START + 2.0, 'a');
-    queue.next_until(START + 2.0);
-    queue.schedule(START + 1.0, 'b');
-    assert_eq!(queue.next_until(START + 2.0), Some('b'));
-    assert_close(queue.now(), START + 2.0);
+    queue.schedule(RUN_START + 2.0, 'a');
+    queue.pop_until(RUN_START + 2.0);
+    queue.schedule(RUN_START + 1.0, 'b');
+    assert_eq!(queue.pop_until(RUN_START + 2.0), Some('b'));
+    assert_close(queue.now(), RUN_START + 2.0);
 }
 
 #[test]
 fn the_counter_serves_calls_in_turn_and_turns_away_beyond_its_queue() {
     let mut counter = counter();
-    let at: Vec<Admission> = (0..4).map(|_| counter.admit(START, 1)).collect();
+    let at: Vec<Admission> = (0..4).map(|_| counter.admit(RUN_START, 1)).collect();
     let Admission::Served { at: third } = at[2] else { panic!("{at:?}") };
-    assert_close(third, START + 0.03);
+    assert_close(third, RUN_START + 0.03);
     assert_eq!(at[3], Admission::Full);
-    assert!(matches!(counter.admit(START + 0.02, 1), Admission::Served { .. }));
+    assert!(matches!(counter.admit(RUN_START + 0.02, 1), Admission::Served { .. }));
 }
 
 #[test]
 fn parts_of_the_counter_have_lines_of_their_own() {
     let mut counter =
-        Counter::new(&CounterFigures { parts: 2, calls_per_second: 100.0, queue: 0, delay: 0.0 });
-    assert!(matches!(counter.admit(START, 0), Admission::Served { .. }));
-    assert!(matches!(counter.admit(START, 1), Admission::Served { .. }));
-    assert_eq!(counter.admit(START, 2), Admission::Full);
+        Counter::new(&CounterFigures { shards: 2, calls_per_second: 100.0, queue: 0, delay: 0.0 });
+    assert!(matches!(counter.admit(RUN_START, 0), Admission::Served { .. }));
+    assert!(matches!(counter.admit(RUN_START, 1), Admission::Served { .. }));
+    assert_eq!(counter.admit(RUN_START, 2), Admission::Full);
 }
 
 #[test]
 fn a_slow_counter_takes_longer_for_each_call() {
     let mut counter = counter();
     counter.set_slowdown(5.0);
-    let Admission::Served { at } = counter.admit(START, 1) else { panic!("turned away") };
-    assert_close(at, START + 0.05);
+    let Admission::Served { at } = counter.admit(RUN_START, 1) else { panic!("turned away") };
+    assert_close(at, RUN_START + 0.05);
 }
 
 #[test]
 fn a_name_lives_for_the_life_that_its_first_call_gave() {
     let mut counter = counter();
-    assert_close(counter.add(START, 7, 2.0, 4.0), 2.0);
-    assert_close(counter.add(START + 3.9, 7, 1.0, 4.0), 3.0);
-    assert_close(counter.add(START + 4.0, 7, 1.0, 4.0), 1.0);
+    assert_close(counter.add(RUN_START, 7, 2.0, 4.0), 2.0);
+    assert_close(counter.add(RUN_START + 3.9, 7, 1.0, 4.0), 3.0);
+    assert_close(counter.add(RUN_START + 4.0, 7, 1.0, 4.0), 1.0);
 }
 
 #[test]
 fn the_counter_forgets_the_given_share_of_its_names() {
     let mut counter = counter();
     for name in 0..1000 {
-        counter.add(START, name, 1.0, 60.0);
+        counter.add(RUN_START, name, 1.0, 60.0);
     }
     let mut generator = stream(1, Stream::Counter);
     let lost = counter.forget(0.3, &mut generator);
@@ -96,23 +96,23 @@
 fn a_silent_counter_takes_no_calls() {
     let mut counter = counter();
     counter.set_silent(true);
-    assert_eq!(counter.admit(START, 1), Admission::Silent);
+    assert_eq!(counter.admit(RUN_START, 1), Admission::Silent);
     counter.set_silent(false);
-    assert!(matches!(counter.admit(START, 1), Admission::Served { .. }));
+    assert!(matches!(counter.admit(RUN_START, 1), Admission::Served { .. }));
 }
 
 #[test]
 fn answers_for_one_name_are_told_in_the_order_of_the_calls() {
     let mut calls = CounterCalls::default();
-    let (first, second) = (calls.begin(START, 1), calls.begin(START, 1));
+    let (first, second) = (calls.begin(RUN_START, 1), calls.begin(RUN_START, 1));
     let full = CallEnd { status: Status::Rejected, total: 0.0 };
     let ok = CallEnd { status: Status::Ok, total: 3.0 };
-    assert!(calls.end(START + 0.01, second, full).is_empty());
-    let told: Vec<Status> = calls.end(START + 0.02, first, ok).iter().map(status).collect();
+    assert!(calls.end(RUN_START + 0.01, second, full).is_empty());
+    let told: Vec<Status> = calls.end(RUN_START + 0.02, first, ok).iter().map(status).collect();
     assert_eq!(told, [Status::Ok, Status::Rejected]);
     // An answer that comes after the time-out is not told again.
     assert!(!calls.awaits(first));
-    assert!(calls.end(START + 0.03, first, ok).is_empty());
+    assert!(calls.end(RUN_START + 0.03, first, ok).is_empty());
 }
 
 fn status(event: &Event) -> Status {
@@ -122,8 +122,8 @@
     }
 }
 
-fn worker_figures() -> WorkerFigures {
-    WorkerFigures {
+fn endpoint_figures() -> EndpointFigures {
+    EndpointFigures {
         count: 1,
         cells: 1,
         slots: 1,
@@ -131,10 +131,10 @@
         service_seconds: 0.1,
         service_seconds_per_unit: 0.0,
         service_variation: 0.0,
-        cold_from: 0.2,
-        cold_seconds: 10.0,
-        fall_multiple: 3.0,
-        fall_seconds: 1.0,
+        slow_start_initial_share: 0.2,
+        slow_start_window: 10.0,
+        overload_multiple: 3.0,
+        overload_window: 1.0,
     }
 }
 
@@ -144,47 +144,47 @@
 
 #[test]
 fn a_worker_serves_queues_and_then_turns_away() {
-    let mut worker = Worker::new(&worker_figures(), 0, 0.0);
-    let receptions: Vec<Reception> = (0..3).map(|number| worker.receive(attempt(number))).collect();
-    assert_eq!(receptions, [Reception::Begins, Reception::Waits, Reception::Rejected(Status::Rejected)]);
-    assert_eq!(worker.begin_next(|_| true), None);
-    worker.finish(attempt(0));
-    assert_eq!(worker.begin_next(|_| true), Some(attempt(1)));
+    let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
+    let receptions: Vec<Reception> = (0..3).map(|number| endpoint.receive(attempt(number))).collect();
+    assert_eq!(receptions, [Reception::Started, Reception::Queued, Reception::Rejected(Status::Rejected)]);
+    assert_eq!(endpoint.begin_next(|_| true), None);
+    endpoint.finish(attempt(0));
+    assert_eq!(endpoint.begin_next(|_| true), Some(attempt(1)));
 }
 
 #[test]
 fn a_worker_passes_over_what_nobody_waits_for() {
-    let mut worker = Worker::new(&worker_figures(), 0, 0.0);
-    worker.receive(attempt(0));
-    worker.receive(attempt(1));
-    worker.finish(attempt(0));
-    assert_eq!(worker.begin_next(|_| false), None);
-    assert_eq!(worker.receive(attempt(2)), Reception::Begins);
+    let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
+    endpoint.receive(attempt(0));
+    endpoint.receive(attempt(1));
+    endpoint.finish(attempt(0));
+    assert_eq!(endpoint.begin_next(|_| false), None);
+    assert_eq!(endpoint.receive(attempt(2)), Reception::Started);
 }
 
 #[test]
 fn workers_fail_in_their_different_ways() {
-    let mut worker = Worker::new(&worker_figures(), 0, 0.0);
-    worker.condition = Condition::Draining;
-    assert_eq!(worker.receive(attempt(0)), Reception::Rejected(Status::Rejected));
-    worker.stop(Condition::Hung);
-    assert_eq!(worker.receive(attempt(0)), Reception::Silent);
-    worker.stop(Condition::Unreachable);
-    assert_eq!(worker.receive(attempt(0)), Reception::Silent);
-    worker.resume(None);
-    worker.receive(attempt(1));
-    assert_eq!(worker.stop(Condition::Down), [attempt(1)]);
-    assert_eq!(worker.receive(attempt(2)), Reception::Rejected(Status::ConnectFailed));
+    let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
+    endpoint.state = EndpointState::Draining;
+    assert_eq!(endpoint.receive(attempt(0)), Reception::Rejected(Status::Rejected));
+    endpoint.stop(EndpointState::Hung);
+    assert_eq!(endpoint.receive(attempt(0)), Reception::NoResponse);
+    endpoint.stop(EndpointState::Unreachable);
+    assert_eq!(endpoint.receive(attempt(0)), Reception::NoResponse);
+    endpoint.resume(None);
+    endpoint.receive(attempt(1));
+    assert_eq!(endpoint.stop(EndpointState::Down), [attempt(1)]);
+    assert_eq!(endpoint.receive(attempt(2)), Reception::Rejected(Status::ConnectFailed));
 }
 
 #[test]
 fn a_started_worker_climbs_from_its_cold_share() {
-    let figures = worker_figures();
-    let worker = Worker::new(&figures, 0, START);
-    assert_close(worker.capacity(START, &figures), 0.2);
-    assert_close(worker.capacity(START + 5.0, &figures), 0.6);
-    assert_close(worker.capacity(START + 10.0, &figures), 1.0);
-    assert_close(Worker::new(&figures, 0, 0.0).capacity(START, &figures), 1.0);
+    let figures = endpoint_figures();
+    let endpoint = SimulatedEndpoint::new(&figures, 0, RUN_START);
+    assert_close(endpoint.capacity(RUN_START, &figures), 0.2);
+    assert_close(endpoint.capacity(RUN_START + 5.0, &figures), 0.6);
+    assert_close(endpoint.capacity(RUN_START + 10.0, &figures), 1.0);
+    assert_close(SimulatedEndpoint::new(&figures, 0, 0.0).capacity(RUN_START, &figures), 1.0);
 }
 
 fn endpoint(id: &str, lifecycle: Lifecycle) -> Endpoint {
@@ -193,11 +193,11 @@
 
 fn discovery() -> Discovery {
     let figures = DiscoveryFigures {
-        mode: DiscoveryMode::Ask,
-        lateness: [0.0, 0.0],
+        mode: DiscoveryMode::Poll,
+        propagation_delay: [0.0, 0.0],
         calls_per_second: 10.0,
-        give_up_after: 0.15,
-        watch_seconds: 2.5,
+        poll_timeout: 0.15,
+        watch_hold: 2.5,
     };
     Discovery::new(&figures, vec![endpoint("a", Lifecycle::Running), endpoint("b", Lifecycle::Running)])
 }
@@ -205,19 +205,19 @@
 #[test]
 fn calls_for_the_list_wait_in_turn_and_fail_after_the_limit() {
     let mut discovery = discovery();
-    let turns: Vec<Turn> = (0..3).map(|_| discovery.ask(START)).collect();
-    assert_eq!(turns[0], Turn::Answered(START + 0.1));
-    assert!(matches!(turns[1], Turn::Answered(at) if (at - START - 0.2).abs() < 1e-9));
-    assert_eq!(turns[2], Turn::Failed(START + 0.15));
+    let turns: Vec<PollOutcome> = (0..3).map(|_| discovery.poll(RUN_START)).collect();
+    assert_eq!(turns[0], PollOutcome::Answered(RUN_START + 0.1));
+    assert!(matches!(turns[1], PollOutcome::Answered(at) if (at - RUN_START - 0.2).abs() < 1e-9));
+    assert_eq!(turns[2], PollOutcome::Failed(RUN_START + 0.15));
 }
 
 #[test]
 fn the_list_of_a_past_time_holds_what_was_known_then() {
     let mut discovery = discovery();
-    discovery.change(START + 1.0, endpoint("a", Lifecycle::Gone));
-    discovery.change(START + 2.0, endpoint("c", Lifecycle::Running));
+    discovery.change(RUN_START + 1.0, endpoint("a", Lifecycle::Gone));
+    discovery.change(RUN_START + 2.0, endpoint("c", Lifecycle::Running));
     let mut names = |at: f64| -> Vec<String> {
-        discovery.list_at(START + at).endpoints.iter().map(|s| s.id.to_string()).collect()
+        discovery.list_at(RUN_START + at).endpoints.iter().map(|s| s.id.to_string()).collect()
     };
     assert_eq!(names(0.5), ["a", "b"]);
     assert_eq!(names(1.0), ["b"]);
@@ -228,10 +228,10 @@
 #[test]
 fn a_bucket_refills_to_its_burst_and_a_ceiling_may_be_overdrawn() {
     let mut bucket = TokenBucket::full(1.0, 4.0);
-    assert!(bucket.try_take(START, 4.0));
-    assert!(!bucket.try_take(START + 0.5, 1.0));
-    assert!(bucket.try_take(START + 100.0, 4.0));
-    assert_close(bucket.draw(START + 100.0, 1.0), -0.25);
+    assert!(bucket.try_take(RUN_START, 4.0));
+    assert!(!bucket.try_take(RUN_START + 0.5, 1.0));
+    assert!(bucket.try_take(RUN_START + 100.0, 4.0));
+    assert_close(bucket.draw(RUN_START + 100.0, 1.0), -0.25);
 }
 
 #[test]
--- a/lab/tests/fleet_runs.rs
+++ b/lab/tests/fleet_runs.rs
@@ -2,7 +2,7 @@
 
 use oliverack_lab::fleet::configuration::{Configuration, DiscoveryMode, Fault};
 use oliverack_lab::fleet::measures::{
-    AttemptCounts, CounterCallCounts, FleetCounts, InsideWorth, WishCounts,
+    AttemptCounts, CounterCallCounts, DemandCounts, FleetCounts, InsideWorth,
 };
 use oliverack_lab::fleet::report::{PerTryRecord, QuotaRecord, Record, StateRecord};
 use oliverack_lab::fleet::{parse, simulate};
@@ -15,7 +15,7 @@
     configuration
 }
 
-/// Tenants that ask for a part of their quota only.
+/// Tenants that poll for a part of their quota only.
 fn quiet() -> Configuration {
     let mut configuration = small();
     configuration.usage.truncate(1);
@@ -42,9 +42,9 @@
     };
 }
 
-fn ended(wishes: &WishCounts) -> u64 {
-    let WishCounts { served, served_late, refused, failed, abandoned, lost, .. } = *wishes;
-    served + served_late + refused + failed + abandoned + lost
+fn ended(demands: &DemandCounts) -> u64 {
+    let DemandCounts { served, served_late, rejected, failed, abandoned, lost, .. } = *demands;
+    served + served_late + rejected + failed + abandoned + lost
 }
 
 /// All kinds of faults, within eight seconds.
@@ -57,10 +57,10 @@
         Fault::SlowCounter { at: 1.0, until: 2.0, factor: 100.0 },
         Fault::SilenceCounter { at: 3.0, until: 4.0 },
         Fault::ForgetCounts { at: 3.5, share: 0.5 },
-        Fault::CrashWorkers { at: 1.0, until: 4.5, share: 0.1 },
-        Fault::HangWorkers { at: 2.0, until: 6.0, share: 0.1 },
-        Fault::DrainWorkers { at: 1.0, until: 3.0, share: 0.1 },
-        Fault::ReplaceWorkers { from: 2.0, until: 4.0, count: 4 },
+        Fault::CrashEndpoints { at: 1.0, until: 4.5, share: 0.1 },
+        Fault::HangEndpoints { at: 2.0, until: 6.0, share: 0.1 },
+        Fault::DrainEndpoints { at: 1.0, until: 3.0, share: 0.1 },
+        Fault::ReplaceEndpoints { from: 2.0, until: 4.0, count: 4 },
     ]
 }
 
@@ -83,7 +83,7 @@
 #[test]
 fn a_quiet_fleet_under_ceilings_serves_what_is_inside_quotas_and_breaks_none() {
     let mut configuration = quiet();
-    // A gatekeeper starts with nothing of a ceiling: what that costs is spread over a longer run.
+    // A gateway starts with nothing of a ceiling: what that costs is spread over a longer run.
     configuration.seconds = 30.0;
     configuration.plans.iter_mut().for_each(|plan| {
         (plan.ceiling_rate, plan.ceiling_burst) = (2.0 * plan.rate, 2.0 * plan.burst);
@@ -101,9 +101,10 @@
     let mut configuration = small();
     configuration.faults = every_fault();
     let records = run(configuration, 5);
-    let (wishes, fleet): (&WishCounts, &FleetCounts) = (record!(records, Wishes), record!(records, Fleet));
-    assert_eq!(ended(wishes), wishes.asked, "{wishes:?}");
-    assert!(wishes.lost > 0 && wishes.served > wishes.asked / 2, "{wishes:?}");
+    let (demands, fleet): (&DemandCounts, &FleetCounts) =
+        (record!(records, Demands), record!(records, Fleet));
+    assert_eq!(ended(demands), demands.asked, "{demands:?}");
+    assert!(demands.lost > 0 && demands.served > demands.asked / 2, "{demands:?}");
     assert!(fleet.restarts >= 6 && fleet.list_changes >= 12, "{fleet:?}");
     let attempts: &AttemptCounts = record!(records, Attempts);
     assert!(attempts.connect_failed + attempts.reset + attempts.timeout > 0, "{attempts:?}");
@@ -112,17 +113,17 @@
 #[test]
 fn seconds_add_up_to_the_whole() {
     let records = run(small(), 7);
-    let wishes: &WishCounts = record!(records, Wishes);
+    let demands: &DemandCounts = record!(records, Demands);
     let attempts: &AttemptCounts = record!(records, Attempts);
     let (mut asked, mut done, mut sent) = (0, 0, 0);
     for record in &records {
         if let Record::Second { counts, .. } = record {
-            asked += counts.wishes.asked;
-            done += ended(&counts.wishes);
+            asked += counts.demands.asked;
+            done += ended(&counts.demands);
             sent += counts.attempts;
         }
     }
-    assert_eq!((asked, done, sent), (wishes.asked, ended(wishes), attempts.sent));
+    assert_eq!((asked, done, sent), (demands.asked, ended(demands), attempts.sent));
 }
 
 #[test]
@@ -162,11 +163,11 @@
 #[test]
 fn an_asked_list_reaches_every_gatekeeper_in_the_end() {
     let mut configuration = quiet();
-    configuration.discovery.mode = DiscoveryMode::Ask;
-    configuration.faults = vec![Fault::ReplaceWorkers { from: 3.0, until: 3.5, count: 3 }];
+    configuration.discovery.mode = DiscoveryMode::Poll;
+    configuration.faults = vec![Fault::ReplaceEndpoints { from: 3.0, until: 3.5, count: 3 }];
     let records = run(configuration, 1);
     let (fleet, state): (&FleetCounts, &StateRecord) = (record!(records, Fleet), record!(records, State));
-    assert!(fleet.lists_told >= 12, "{fleet:?}");
+    assert!(fleet.complete_lists_sent >= 12, "{fleet:?}");
     assert_eq!(fleet.list_changes, 9);
-    assert_eq!((state.workers_listed_mean, state.workers_avoided_mean), (24.0, 0.0));
+    assert_eq!((state.endpoints_listed_mean, state.endpoints_avoided_mean), (24.0, 0.0));
 }
