--- a/lab/src/fleet/gateways.rs
+++ b/lab/src/fleet/gateways.rs
@@ -116,7 +116,7 @@
     }
 
     /// Endpoints that the policy lists, and those of them that it avoids.
-    pub fn targets(&self, now: Time) -> oliverack::EndpointCounts {
+    pub fn endpoint_counts(&self, now: Time) -> oliverack::EndpointCounts {
         self.policy.endpoint_counts(now)
     }
 }
--- a/lab/src/fleet/incident_plan.rs
+++ b/lab/src/fleet/incident_plan.rs
@@ -2,7 +2,7 @@
 
 use super::configuration::{Configuration, Fault};
 use super::event_queue::RUN_START;
-use super::randomness::{between, sample};
+use super::randomness::{sample, uniform};
 use oliverack::Time;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -100,7 +100,7 @@
         Fault::RestartOneByOne { from, until, count } => {
             for _ in 0..count {
                 let gateway = generator.random_range(0..gateways);
-                plan.add(between(generator, [from, until]), Incident::RestartGateway(gateway));
+                plan.add(uniform(generator, [from, until]), Incident::RestartGateway(gateway));
             }
         }
         Fault::LoseZone { at, until, zone } => {
@@ -149,7 +149,7 @@
         }
         Fault::ReplaceEndpoints { from, until, count } => {
             for endpoint in sample(generator, endpoints, f64::from(count) / endpoints as f64) {
-                let at = between(generator, [from, until]);
+                let at = uniform(generator, [from, until]);
                 let gone = at + REPLACEMENT_DRAIN_SECONDS;
                 plan.add_span(
                     at,
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -45,7 +45,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct DemandCounts {
     /// Asked for.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub submitted: u64,
     /// Answered within the aim of their class.
     pub served: u64,
     /// Answered later.
@@ -93,9 +94,10 @@
 
 /// Worth that was asked for inside quotas, and what became of it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct InsideWorth {
+pub struct InQuotaWeight {
     /// Asked for.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub submitted: f64,
     /// Answered within the aim.
     pub served: f64,
     /// Refused.
@@ -109,11 +111,14 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct QuotaCounts {
     /// Units sent inside quotas.
-    pub units_inside: f64,
+    #[serde(rename = "units_inside")]
+    pub units_within_quota: f64,
     /// Units sent beyond them.
-    pub units_beyond: f64,
+    #[serde(rename = "units_beyond")]
+    pub units_over_quota: f64,
     /// Worth sent beyond them.
-    pub worth_beyond: f64,
+    #[serde(rename = "worth_beyond")]
+    pub weight_over_quota: f64,
     /// What that costs by the plans' prices.
     pub overrun_cost: f64,
 }
@@ -126,7 +131,8 @@
     /// Served.
     pub ok: u64,
     /// Turned away.
-    pub full: u64,
+    #[serde(rename = "full")]
+    pub rejected: u64,
     /// Without an answer in time.
     pub timeout: u64,
     /// Without a connection.
@@ -142,7 +148,7 @@
     pub fn count(&mut self, status: Status) {
         let counted = match status {
             Status::Ok => &mut self.ok,
-            Status::Rejected => &mut self.full,
+            Status::Rejected => &mut self.rejected,
             Status::Timeout => &mut self.timeout,
             Status::ConnectFailed => &mut self.connect_failed,
             Status::Error | Status::Reset => &mut self.reset,
@@ -160,13 +166,16 @@
     /// Answered in time with a total.
     pub ok: u64,
     /// Answered in time that the counter is full.
-    pub full: u64,
+    #[serde(rename = "full")]
+    pub rejected: u64,
     /// Not answered in time.
     pub timeout: u64,
     /// Added though nobody waited any more.
-    pub added_in_vain: u64,
+    #[serde(rename = "added_in_vain")]
+    pub added_after_timeout: u64,
     /// Names lost.
-    pub names_lost: u64,
+    #[serde(rename = "names_lost")]
+    pub entries_lost: u64,
 }
 
 /// What happened to the list of endpoints and to the gateways.
@@ -204,9 +213,9 @@
     /// Demands.
     pub demands: DemandCounts,
     /// Tries that reached a gateway: demands and their retries.
-    pub tries: u64,
+    pub submissions: u64,
     /// Worth inside quotas.
-    pub inside: InsideWorth,
+    pub in_quota_weight: InQuotaWeight,
     /// Units sent.
     pub quotas: QuotaCounts,
     /// Attempts.
@@ -233,8 +242,8 @@
         let latency = Histogram::new_with_bounds(1, LONGEST_LATENCY, 3).expect("constant bounds are usable");
         Self {
             demands: DemandCounts::default(),
-            tries: 0,
-            inside: InsideWorth::default(),
+            submissions: 0,
+            in_quota_weight: InQuotaWeight::default(),
             quotas: QuotaCounts::default(),
             attempts: AttemptCounts::default(),
             counter_calls: CounterCallCounts::default(),
@@ -263,10 +272,10 @@
 impl QuotaCounts {
     fn count(&mut self, sent: Forwarded) {
         if sent.within_quota {
-            self.units_inside += sent.units;
+            self.units_within_quota += sent.units;
         } else {
-            self.units_beyond += sent.units;
-            self.worth_beyond += sent.weight;
+            self.units_over_quota += sent.units;
+            self.weight_over_quota += sent.weight;
             self.overrun_cost += sent.weight * sent.over_quota_cost_share;
         }
     }
@@ -284,9 +293,9 @@
 
     /// Counts a demand; `in_quota_weight` is its worth where the quota holds it, else 0.
     pub fn count_demand(&mut self, now: Time, in_quota_weight: f64) {
-        self.demands.asked += 1;
-        self.second(now).demands.asked += 1;
-        self.inside.asked += in_quota_weight;
+        self.demands.submitted += 1;
+        self.second(now).demands.submitted += 1;
+        self.in_quota_weight.submitted += in_quota_weight;
     }
 
     /// Counts the end of a demand.
@@ -294,9 +303,9 @@
         *self.demands.of(outcome) += 1;
         *self.second(now).demands.of(outcome) += 1;
         let worth = match outcome {
-            DemandOutcome::Served => &mut self.inside.served,
-            DemandOutcome::Rejected => &mut self.inside.rejected,
-            _ => &mut self.inside.otherwise,
+            DemandOutcome::Served => &mut self.in_quota_weight.served,
+            DemandOutcome::Rejected => &mut self.in_quota_weight.rejected,
+            _ => &mut self.in_quota_weight.otherwise,
         };
         *worth += in_quota_weight;
     }
--- a/lab/src/fleet/randomness.rs
+++ b/lab/src/fleet/randomness.rs
@@ -37,12 +37,12 @@
 }
 
 /// A number from a range, both ends included.
-pub fn between(generator: &mut ChaCha8Rng, [least, most]: [f64; 2]) -> f64 {
+pub fn uniform(generator: &mut ChaCha8Rng, [least, most]: [f64; 2]) -> f64 {
     least + (most - least) * generator.random::<f64>()
 }
 
 /// An index, drawn by weight. The last one if rounding leaves none.
-pub fn weighted(generator: &mut ChaCha8Rng, weights: &[f64]) -> usize {
+pub fn weighted_index(generator: &mut ChaCha8Rng, weights: &[f64]) -> usize {
     let mut left = generator.random::<f64>() * weights.iter().sum::<f64>();
     for (index, weight) in weights.iter().enumerate() {
         left -= weight;
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -1,7 +1,7 @@
 //! The results of a run: records for the JSON file, and a table for people.
 
 use super::measures::{
-    AttemptCounts, CounterCallCounts, DemandCounts, FleetCounts, InsideWorth, QuotaCounts, SecondCounts,
+    AttemptCounts, CounterCallCounts, DemandCounts, FleetCounts, InQuotaWeight, QuotaCounts, SecondCounts,
     Traffic,
 };
 use super::processor::ProcessorSummary;
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 /// Share of its burst by which a ceiling may be overdrawn.
-pub const CEILING_SLACK: f64 = 0.1;
+pub const MAX_CEILING_OVERDRAFT_SHARE: f64 = 0.1;
 
 /// Sizes of the run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -58,7 +58,8 @@
     /// Tenants under a ceiling.
     pub ceilings: usize,
     /// Those of them whose ceiling was overdrawn by more than its slack.
-    pub ceilings_broken: usize,
+    #[serde(rename = "ceilings_broken")]
+    pub ceilings_exceeded: usize,
     /// The lowest level of any ceiling, as a share of its burst; 1 without any.
     pub lowest_ceiling: f64,
 }
@@ -76,9 +77,10 @@
 
 /// Calls a try.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct PerTryRecord {
+pub struct PerSubmissionRecord {
     /// Tries that reached a gateway.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub submissions: u64,
     /// Attempts at endpoints.
     pub attempts: f64,
     /// Counter calls.
@@ -104,7 +106,8 @@
     #[serde(rename = "workers_avoided_mean")]
     pub endpoints_avoided_mean: f64,
     /// Names that the counter holds at the end.
-    pub counter_names: usize,
+    #[serde(rename = "counter_names")]
+    pub counter_entries: usize,
 }
 
 /// Processor time; the only record that differs between two runs of one file and seed.
@@ -131,13 +134,15 @@
     /// Quotas and ceilings.
     Quotas(QuotaRecord),
     /// Worth inside quotas.
-    InsideWorth(InsideWorth),
+    #[serde(rename = "inside_worth")]
+    InQuotaWeight(InQuotaWeight),
     /// Attempts at endpoints.
     Attempts(AttemptCounts),
     /// Counter calls.
     CounterCalls(CounterCallCounts),
     /// Calls a try.
-    PerTry(PerTryRecord),
+    #[serde(rename = "per_try")]
+    PerSubmission(PerSubmissionRecord),
     /// Lists and restarts.
     Fleet(FleetCounts),
     /// Messages of a role.
@@ -164,10 +169,10 @@
         Record::Demands(measures.demands),
         Record::Latency(latency_record(&measures.latency)),
         Record::Quotas(quota_record(measures.quotas, &outcome.tenants)),
-        Record::InsideWorth(measures.inside),
+        Record::InQuotaWeight(measures.in_quota_weight),
         Record::Attempts(measures.attempts),
         Record::CounterCalls(measures.counter_calls),
-        Record::PerTry(per_try_record(outcome)),
+        Record::PerSubmission(per_submission_record(outcome)),
         Record::Fleet(measures.fleet),
     ];
     records.extend(traffic_records(outcome).into_iter().map(Record::Traffic));
@@ -206,18 +211,18 @@
     QuotaRecord {
         counts,
         ceilings: levels.len(),
-        ceilings_broken: levels.iter().filter(|level| **level < -CEILING_SLACK).count(),
+        ceilings_exceeded: levels.iter().filter(|level| **level < -MAX_CEILING_OVERDRAFT_SHARE).count(),
         lowest_ceiling: levels.iter().copied().fold(1.0, f64::min),
     }
 }
 
-fn per_try_record(outcome: &RunResult) -> PerTryRecord {
-    let tries = outcome.measures.tries;
-    let per_try = |count: u64| count as f64 / tries.max(1) as f64;
-    PerTryRecord {
-        tries,
-        attempts: per_try(outcome.measures.attempts.sent),
-        counter_calls: per_try(outcome.measures.counter_calls.made),
+fn per_submission_record(outcome: &RunResult) -> PerSubmissionRecord {
+    let submissions = outcome.measures.submissions;
+    let per_submission = |count: u64| count as f64 / submissions.max(1) as f64;
+    PerSubmissionRecord {
+        submissions,
+        attempts: per_submission(outcome.measures.attempts.sent),
+        counter_calls: per_submission(outcome.measures.counter_calls.made),
     }
 }
 
@@ -246,14 +251,14 @@
 fn state_record(outcome: &RunResult) -> StateRecord {
     let gateways = &outcome.gateways;
     let count = gateways.len().max(1) as f64;
-    let targets: Vec<_> = gateways.iter().map(|g| g.targets(outcome.end)).collect();
+    let endpoint_counts: Vec<_> = gateways.iter().map(|g| g.endpoint_counts(outcome.end)).collect();
     StateRecord {
         fleet_open_max: outcome.measures.max_open,
         gateway_open_max: gateways.iter().map(|g| g.max_open).max().unwrap_or(0),
         tenants_mean: gateways.iter().map(|g| g.tenants()).sum::<usize>() as f64 / count,
         tenants_max: gateways.iter().map(|g| g.tenants()).max().unwrap_or(0),
-        endpoints_listed_mean: targets.iter().map(|t| t.listed).sum::<usize>() as f64 / count,
-        endpoints_avoided_mean: targets.iter().map(|t| t.avoided).sum::<usize>() as f64 / count,
-        counter_names: outcome.counter_names,
+        endpoints_listed_mean: endpoint_counts.iter().map(|t| t.listed).sum::<usize>() as f64 / count,
+        endpoints_avoided_mean: endpoint_counts.iter().map(|t| t.avoided).sum::<usize>() as f64 / count,
+        counter_entries: outcome.counter_entries,
     }
 }
--- a/lab/src/fleet/requests.rs
+++ b/lab/src/fleet/requests.rs
@@ -12,7 +12,7 @@
     pub attempt: u32,
 }
 
-/// What a client wants, finished all its tries.
+/// What a client wants, finished all its submissions.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand {
     /// The tenant.
--- a/lab/src/fleet/simulation/attempts.rs
+++ b/lab/src/fleet/simulation/attempts.rs
@@ -7,7 +7,7 @@
 use oliverack::{Event, LoadReport, Status};
 
 impl Simulation {
-    pub(super) fn attempt_arrives(&mut self, attempt: AttemptKey, endpoint: usize, work: f64) {
+    pub(super) fn attempt_arrived(&mut self, attempt: AttemptKey, endpoint: usize, work: f64) {
         if self.requests.attempt_in_flight(attempt).is_none() {
             return;
         }
@@ -35,7 +35,7 @@
             .schedule(now + seconds, ScheduledEvent::ServiceCompleted { attempt, endpoint, incarnation });
     }
 
-    pub(super) fn service_ends(&mut self, attempt: AttemptKey, endpoint: usize, incarnation: u32) {
+    pub(super) fn service_completed(&mut self, attempt: AttemptKey, endpoint: usize, incarnation: u32) {
         if self.endpoints[endpoint].incarnation != incarnation {
             return;
         }
@@ -77,7 +77,7 @@
     }
 
     /// An attempt ends at its gateway, however that comes; only the first end counts.
-    pub(super) fn attempt_ends(&mut self, key: AttemptKey, status: Status) {
+    pub(super) fn attempt_ended(&mut self, key: AttemptKey, status: Status) {
         let now = self.queue.now();
         let bytes = self.answer_bytes(status);
         let Some(request) = self.requests.get_mut(key.request) else { return };
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -4,7 +4,7 @@
 use crate::fleet::event_queue::RUN_START;
 use crate::fleet::gateways::GatewayAddress;
 use crate::fleet::measures::{DemandOutcome, Forwarded};
-use crate::fleet::randomness::{exponential, weighted};
+use crate::fleet::randomness::{exponential, weighted_index};
 use crate::fleet::requests::{Demand, request_id_of};
 use crate::fleet::wire_size::{self, Quota, RequestHead};
 use oliverack::{Event, Request};
@@ -49,7 +49,7 @@
         let now = self.queue.now();
         let generator = &mut self.generators.arrivals;
         let shares: Vec<f64> = self.configuration.classes.iter().map(|class| class.share).collect();
-        let class = weighted(generator, &shares);
+        let class = weighted_index(generator, &shares);
         let units = f64::from(generator.random_range(1..=self.configuration.tenants.max_units));
         let endpoints = &self.configuration.endpoints;
         let mean = endpoints.service_seconds + endpoints.service_seconds_per_unit * units;
@@ -64,7 +64,7 @@
             deadline: now + figures.deadline,
             work: mean * (1.0 - endpoints.service_variation) + varied,
             weight: figures.unit_weight * plan.priority_weight * units,
-            within_quota: self.tenants[tenant].asked.try_take(now, units),
+            within_quota: self.tenants[tenant].submitted.try_take(now, units),
             retries: 0,
         }
     }
@@ -74,7 +74,7 @@
         let now = self.queue.now();
         let count = self.gateways.len();
         let tenant = &self.tenants[tenant];
-        let start = weighted(&mut self.generators.clients, &tenant.weights);
+        let start = weighted_index(&mut self.generators.clients, &tenant.weights);
         let spread = tenant.spread as usize;
         for step in 0..spread {
             let gateway = (tenant.first as usize + (start + step) % spread) % count;
@@ -95,7 +95,7 @@
         let Route::Up(gateway) = self.route(demand.tenant) else {
             return self.measures.count_outcome(now, DemandOutcome::Lost, in_quota_weight(&demand));
         };
-        self.measures.tries += 1;
+        self.measures.submissions += 1;
         let number = self.requests.open(demand, gateway);
         self.measures.max_open = self.measures.max_open.max(self.requests.len());
         let bytes = self.client_request_bytes(&demand);
--- a/lab/src/fleet/simulation/counting.rs
+++ b/lab/src/fleet/simulation/counting.rs
@@ -39,7 +39,7 @@
         self.zones_cut[self.gateways[address.gateway].zone as usize]
     }
 
-    pub(super) fn call_arrives(
+    pub(super) fn counter_call_arrived(
         &mut self,
         from: GatewayAddress,
         call: CallKey,
@@ -65,13 +65,19 @@
         }
     }
 
-    pub(super) fn call_served(&mut self, from: GatewayAddress, call: CallKey, amount: f64, incarnation: f64) {
+    pub(super) fn counter_call_served(
+        &mut self,
+        from: GatewayAddress,
+        call: CallKey,
+        amount: f64,
+        incarnation: f64,
+    ) {
         let now = self.queue.now();
         let Some(counter) = &mut self.counter else { return };
         let total = counter.add(now, call.name, amount, incarnation);
         let gateway = &self.gateways[from.gateway];
         if !gateway.is_incarnation(from.incarnation) || !gateway.calls.awaits(call) {
-            self.measures.counter_calls.added_in_vain += 1;
+            self.measures.counter_calls.added_after_timeout += 1;
         }
         let end = CallEnd { status: Status::Ok, total };
         self.answer_call(from, call, end, wire_size::counter_total(total));
@@ -91,7 +97,7 @@
         self.queue.schedule(self.queue.now() + delay, ScheduledEvent::CounterCallEnded { to, call, end });
     }
 
-    pub(super) fn call_ends(&mut self, to: GatewayAddress, call: CallKey, end: CallEnd) {
+    pub(super) fn counter_call_ended(&mut self, to: GatewayAddress, call: CallKey, end: CallEnd) {
         let now = self.queue.now();
         let gateway = &mut self.gateways[to.gateway];
         if !gateway.is_incarnation(to.incarnation) || !gateway.calls.awaits(call) {
@@ -100,7 +106,7 @@
         let counts = &mut self.measures.counter_calls;
         match end.status {
             Status::Ok => counts.ok += 1,
-            Status::Rejected => counts.full += 1,
+            Status::Rejected => counts.rejected += 1,
             _ => counts.timeout += 1,
         }
         for event in gateway.calls.end(now, call, end) {
--- a/lab/src/fleet/simulation/incidents.rs
+++ b/lab/src/fleet/simulation/incidents.rs
@@ -23,7 +23,7 @@
             Incident::ForgetCounts(share) => {
                 if let Some(counter) = &mut self.counter {
                     let lost = counter.forget(share, &mut self.generators.counter);
-                    self.measures.counter_calls.names_lost += lost as u64;
+                    self.measures.counter_calls.entries_lost += lost as u64;
                 }
             }
             Incident::CrashEndpoint(endpoint) => self.crash(endpoint),
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -17,7 +17,7 @@
 use super::incident_plan::{self, Incident};
 use super::measures::Measures;
 use super::processor::ProcessorTimes;
-use super::randomness::{Stream, between, stream};
+use super::randomness::{Stream, stream, uniform};
 use super::requests::{AttemptKey, Demand, RequestTable};
 use super::tenants::{self, Tenant};
 use oliverack::{Endpoint, EndpointId, Event, Lifecycle, ListKind, SettingsError, Status, Time};
@@ -107,7 +107,7 @@
     /// The tenants.
     pub tenants: Vec<Tenant>,
     /// Names that the counter holds.
-    pub counter_names: usize,
+    pub counter_entries: usize,
     /// What was counted.
     pub measures: Measures,
     /// Processor times.
@@ -169,7 +169,7 @@
         for number in 0..self.configuration.gateways.count {
             let zone = number % self.configuration.topology.zones;
             let settings = gateways::settings(&self.configuration, number, zone);
-            let late = between(&mut lateness, self.configuration.discovery.propagation_delay);
+            let late = uniform(&mut lateness, self.configuration.discovery.propagation_delay);
             let seed = self.generators.policies.random();
             self.gateways.push(SimulatedGateway::new(settings, seed, late, RUN_START)?);
         }
@@ -210,7 +210,7 @@
             configuration: self.configuration,
             gateways: self.gateways,
             tenants: self.tenants,
-            counter_names: self.counter.as_ref().map_or(0, Counter::names),
+            counter_entries: self.counter.as_ref().map_or(0, Counter::names),
             measures: self.measures,
             times: self.times,
             end,
@@ -223,19 +223,19 @@
             ScheduledEvent::ClientRetry(demand) => self.submit(*demand),
             ScheduledEvent::ClientDeadline(request) => self.deadline(request),
             ScheduledEvent::AttemptArrived { attempt, endpoint, work } => {
-                self.attempt_arrives(attempt, endpoint, work);
+                self.attempt_arrived(attempt, endpoint, work);
             }
             ScheduledEvent::ServiceCompleted { attempt, endpoint, incarnation } => {
-                self.service_ends(attempt, endpoint, incarnation)
+                self.service_completed(attempt, endpoint, incarnation)
             }
-            ScheduledEvent::AttemptEnded { attempt, status } => self.attempt_ends(attempt, status),
+            ScheduledEvent::AttemptEnded { attempt, status } => self.attempt_ended(attempt, status),
             ScheduledEvent::CounterCallArrived { from, call, amount, incarnation } => {
-                self.call_arrives(from, call, amount, incarnation);
+                self.counter_call_arrived(from, call, amount, incarnation);
             }
             ScheduledEvent::CounterCallServed { from, call, amount, incarnation } => {
-                self.call_served(from, call, amount, incarnation)
+                self.counter_call_served(from, call, amount, incarnation)
             }
-            ScheduledEvent::CounterCallEnded { to, call, end } => self.call_ends(to, call, end),
+            ScheduledEvent::CounterCallEnded { to, call, end } => self.counter_call_ended(to, call, end),
             ScheduledEvent::PolicyTimer { to, token } => self.notify(to, Event::Timer { token }),
             ScheduledEvent::PollArrived(from) => self.poll_arrived(from),
             ScheduledEvent::PollAnswered { to, served } => self.poll_answered(to, served),
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -1,6 +1,6 @@
 //! Prints the records of a run as a table.
 
-use super::measures::{AttemptCounts, CounterCallCounts, DemandCounts, InsideWorth};
+use super::measures::{AttemptCounts, CounterCallCounts, DemandCounts, InQuotaWeight};
 use super::report::{LatencyRecord, ProcessorRecord, QuotaRecord, Record, RunRecord, StateRecord};
 use std::fmt::{self, Display};
 
@@ -29,7 +29,7 @@
     format!("{part} ({:.2}%)", 100.0 * part as f64 / whole.max(1) as f64)
 }
 
-fn worth_share(part: f64, whole: f64) -> String {
+fn weight_share(part: f64, whole: f64) -> String {
     let percent = if whole > 0.0 { 100.0 * part / whole } else { 0.0 };
     format!("{part:.1} ({percent:.2}%)")
 }
@@ -40,14 +40,14 @@
         Record::Demands(demands) => write_demands(f, demands),
         Record::Latency(latency) => write_latency(f, latency),
         Record::Quotas(quotas) => write_quotas(f, quotas),
-        Record::InsideWorth(worth) => write_in_quota_weight(f, worth),
+        Record::InQuotaWeight(worth) => write_in_quota_weight(f, worth),
         Record::Attempts(attempts) => write_attempts(f, attempts),
         Record::CounterCalls(calls) => write_counter_calls(f, calls),
-        Record::PerTry(per_try) => {
+        Record::PerSubmission(per_submission) => {
             writeln!(f, "per try at a gatekeeper")?;
-            row(f, "tries", per_try.tries)?;
-            row(f, "attempts a try", number(per_try.attempts))?;
-            row(f, "counter calls a try", number(per_try.counter_calls))
+            row(f, "tries", per_submission.submissions)?;
+            row(f, "attempts a try", number(per_submission.attempts))?;
+            row(f, "counter calls a try", number(per_submission.counter_calls))
         }
         Record::Fleet(fleet) => {
             writeln!(f, "fleet")?;
@@ -72,13 +72,13 @@
 
 fn write_demands(f: &mut fmt::Formatter<'_>, demands: &DemandCounts) -> fmt::Result {
     writeln!(f, "requests of clients, retries included in them")?;
-    row(f, "asked", demands.asked)?;
-    row(f, "served in time", share(demands.served, demands.asked))?;
-    row(f, "served late", share(demands.served_late, demands.asked))?;
-    row(f, "refused", share(demands.rejected, demands.asked))?;
-    row(f, "failed", share(demands.failed, demands.asked))?;
-    row(f, "abandoned", share(demands.abandoned, demands.asked))?;
-    row(f, "lost with a gatekeeper", share(demands.lost, demands.asked))
+    row(f, "asked", demands.submitted)?;
+    row(f, "served in time", share(demands.served, demands.submitted))?;
+    row(f, "served late", share(demands.served_late, demands.submitted))?;
+    row(f, "refused", share(demands.rejected, demands.submitted))?;
+    row(f, "failed", share(demands.failed, demands.submitted))?;
+    row(f, "abandoned", share(demands.abandoned, demands.submitted))?;
+    row(f, "lost with a gatekeeper", share(demands.lost, demands.submitted))
 }
 
 fn write_latency(f: &mut fmt::Formatter<'_>, latency: &LatencyRecord) -> fmt::Result {
@@ -89,19 +89,19 @@
     row(f, "max", number(latency.max))
 }
 
-fn write_in_quota_weight(f: &mut fmt::Formatter<'_>, worth: &InsideWorth) -> fmt::Result {
+fn write_in_quota_weight(f: &mut fmt::Formatter<'_>, worth: &InQuotaWeight) -> fmt::Result {
     writeln!(f, "worth asked for inside quotas")?;
-    row(f, "asked", format!("{:.1}", worth.asked))?;
-    row(f, "served in time", worth_share(worth.served, worth.asked))?;
-    row(f, "refused", worth_share(worth.rejected, worth.asked))?;
-    row(f, "late, failed, abandoned or lost", worth_share(worth.otherwise, worth.asked))
+    row(f, "asked", format!("{:.1}", worth.submitted))?;
+    row(f, "served in time", weight_share(worth.served, worth.submitted))?;
+    row(f, "refused", weight_share(worth.rejected, worth.submitted))?;
+    row(f, "late, failed, abandoned or lost", weight_share(worth.otherwise, worth.submitted))
 }
 
 fn write_attempts(f: &mut fmt::Formatter<'_>, attempts: &AttemptCounts) -> fmt::Result {
     writeln!(f, "attempts at workers")?;
     row(f, "sent", attempts.sent)?;
     row(f, "ok", share(attempts.ok, attempts.sent))?;
-    row(f, "full", share(attempts.full, attempts.sent))?;
+    row(f, "full", share(attempts.rejected, attempts.sent))?;
     row(f, "timeout", share(attempts.timeout, attempts.sent))?;
     row(f, "connection failed / reset", format!("{} / {}", attempts.connect_failed, attempts.reset))?;
     row(f, "cancelled", attempts.cancelled)
@@ -111,9 +111,9 @@
     writeln!(f, "counter calls")?;
     row(f, "made", calls.made)?;
     row(f, "ok", share(calls.ok, calls.made))?;
-    row(f, "full", share(calls.full, calls.made))?;
+    row(f, "full", share(calls.rejected, calls.made))?;
     row(f, "timeout", share(calls.timeout, calls.made))?;
-    row(f, "added in vain / names lost", format!("{} / {}", calls.added_in_vain, calls.names_lost))
+    row(f, "added in vain / names lost", format!("{} / {}", calls.added_after_timeout, calls.entries_lost))
 }
 
 fn write_run(f: &mut fmt::Formatter<'_>, run: &RunRecord) -> fmt::Result {
@@ -126,12 +126,16 @@
 
 fn write_quotas(f: &mut fmt::Formatter<'_>, quotas: &QuotaRecord) -> fmt::Result {
     let counts = &quotas.counts;
-    let units = counts.units_inside + counts.units_beyond;
+    let units = counts.units_within_quota + counts.units_over_quota;
     writeln!(f, "units sent to workers, against the true quotas")?;
-    row(f, "inside", worth_share(counts.units_inside, units))?;
-    row(f, "beyond", worth_share(counts.units_beyond, units))?;
-    row(f, "worth beyond / its price", format!("{:.1} / {:.1}", counts.worth_beyond, counts.overrun_cost))?;
-    row(f, "ceilings / broken", format!("{} / {}", quotas.ceilings, quotas.ceilings_broken))?;
+    row(f, "inside", weight_share(counts.units_within_quota, units))?;
+    row(f, "beyond", weight_share(counts.units_over_quota, units))?;
+    row(
+        f,
+        "worth beyond / its price",
+        format!("{:.1} / {:.1}", counts.weight_over_quota, counts.overrun_cost),
+    )?;
+    row(f, "ceilings / broken", format!("{} / {}", quotas.ceilings, quotas.ceilings_exceeded))?;
     row(f, "lowest ceiling, share of its burst", number(quotas.lowest_ceiling))
 }
 
@@ -143,7 +147,7 @@
     row(f, "most open: fleet / one gatekeeper", open)?;
     row(f, "tenants met: mean / max", tenants)?;
     row(f, "workers: listed / avoided, mean", endpoints)?;
-    row(f, "names at the counter", state.counter_names)
+    row(f, "names at the counter", state.counter_entries)
 }
 
 fn write_processor(f: &mut fmt::Formatter<'_>, processor: &ProcessorRecord) -> fmt::Result {
--- a/lab/src/fleet/tenants.rs
+++ b/lab/src/fleet/tenants.rs
@@ -2,7 +2,7 @@
 
 use super::configuration::{self, Configuration, Usage};
 use super::event_queue::RUN_START;
-use super::randomness::{self, between, weighted};
+use super::randomness::{self, uniform, weighted_index};
 use oliverack::{CustomerId, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -78,7 +78,7 @@
     pub requests_per_second: f64,
     spikes: Spikes,
     /// The quota, drawn on by what is asked for first.
-    pub asked: TokenBucket,
+    pub submitted: TokenBucket,
     /// The quota, drawn on by what is sent to endpoints.
     pub sent: TokenBucket,
     /// The ceiling, drawn on by what is sent to endpoints.
@@ -114,8 +114,8 @@
     let usages: Vec<f64> = configuration.usage.iter().map(|usage| usage.share).collect();
     (0..configuration.tenants.count)
         .map(|number| {
-            let plan = weighted(generator, &plans);
-            let usage = &configuration.usage[weighted(generator, &usages)];
+            let plan = weighted_index(generator, &plans);
+            let usage = &configuration.usage[weighted_index(generator, &usages)];
             draw_one(configuration, number, plan, usage, generator)
         })
         .collect()
@@ -132,7 +132,7 @@
     let plan: &configuration::Plan = &configuration.plans[plan_index];
     let spread = generator.random_range(figures.gateways_per_tenant[0]..=figures.gateways_per_tenant[1]);
     let first = generator.random_range(0..configuration.gateways.count);
-    let skew = between(generator, figures.skew);
+    let skew = uniform(generator, figures.skew);
     let mut weights: Vec<f64> = (1..=spread).map(|n| f64::from(n).powf(-skew)).collect();
     weights.rotate_left(generator.random_range(0..spread) as usize);
     let mean_units = f64::from(1 + figures.max_units) / 2.0;
@@ -151,9 +151,9 @@
         spread,
         first,
         weights,
-        requests_per_second: between(generator, usage.load_factor) * plan.rate / mean_units,
+        requests_per_second: uniform(generator, usage.load_factor) * plan.rate / mean_units,
         spikes,
-        asked: quota,
+        submitted: quota,
         sent: quota,
         ceiling: (plan.ceiling_rate > 0.0).then_some(ceiling),
         lowest_ceiling: 1.0,
--- a/lab/tests/fleet_runs.rs
+++ b/lab/tests/fleet_runs.rs
@@ -2,9 +2,9 @@
 
 use oliverack_lab::fleet::configuration::{Configuration, DiscoveryMode, Fault};
 use oliverack_lab::fleet::measures::{
-    AttemptCounts, CounterCallCounts, DemandCounts, FleetCounts, InsideWorth,
+    AttemptCounts, CounterCallCounts, DemandCounts, FleetCounts, InQuotaWeight,
 };
-use oliverack_lab::fleet::report::{PerTryRecord, QuotaRecord, Record, StateRecord};
+use oliverack_lab::fleet::report::{PerSubmissionRecord, QuotaRecord, Record, StateRecord};
 use oliverack_lab::fleet::{parse, simulate};
 
 /// The small example for a few seconds.
@@ -76,8 +76,8 @@
 #[test]
 fn a_quiet_fleet_serves_what_is_inside_quotas() {
     let records = run(quiet(), 3);
-    let inside: &InsideWorth = record!(records, InsideWorth);
-    assert!(inside.served >= 0.98 * inside.asked, "{inside:?}");
+    let inside: &InQuotaWeight = record!(records, InQuotaWeight);
+    assert!(inside.served >= 0.98 * inside.submitted, "{inside:?}");
 }
 
 #[test]
@@ -89,11 +89,11 @@
         (plan.ceiling_rate, plan.ceiling_burst) = (2.0 * plan.rate, 2.0 * plan.burst);
     });
     let records = run(configuration, 3);
-    let (inside, quotas): (&InsideWorth, &QuotaRecord) =
-        (record!(records, InsideWorth), record!(records, Quotas));
-    assert!(inside.served >= 0.95 * inside.asked, "{inside:?}");
+    let (inside, quotas): (&InQuotaWeight, &QuotaRecord) =
+        (record!(records, InQuotaWeight), record!(records, Quotas));
+    assert!(inside.served >= 0.95 * inside.submitted, "{inside:?}");
     assert!(quotas.ceilings > 100, "{quotas:?}");
-    assert_eq!(quotas.ceilings_broken, 0, "{quotas:?}");
+    assert_eq!(quotas.ceilings_exceeded, 0, "{quotas:?}");
 }
 
 #[test]
@@ -103,8 +103,8 @@
     let records = run(configuration, 5);
     let (demands, fleet): (&DemandCounts, &FleetCounts) =
         (record!(records, Demands), record!(records, Fleet));
-    assert_eq!(ended(demands), demands.asked, "{demands:?}");
-    assert!(demands.lost > 0 && demands.served > demands.asked / 2, "{demands:?}");
+    assert_eq!(ended(demands), demands.submitted, "{demands:?}");
+    assert!(demands.lost > 0 && demands.served > demands.submitted / 2, "{demands:?}");
     assert!(fleet.restarts >= 6 && fleet.list_changes >= 12, "{fleet:?}");
     let attempts: &AttemptCounts = record!(records, Attempts);
     assert!(attempts.connect_failed + attempts.reset + attempts.timeout > 0, "{attempts:?}");
@@ -118,12 +118,12 @@
     let (mut asked, mut done, mut sent) = (0, 0, 0);
     for record in &records {
         if let Record::Second { counts, .. } = record {
-            asked += counts.demands.asked;
+            asked += counts.demands.submitted;
             done += ended(&counts.demands);
             sent += counts.attempts;
         }
     }
-    assert_eq!((asked, done, sent), (demands.asked, ended(demands), attempts.sent));
+    assert_eq!((asked, done, sent), (demands.submitted, ended(demands), attempts.sent));
 }
 
 #[test]
@@ -138,8 +138,8 @@
     narrow.counter.iter_mut().for_each(|counter| (counter.calls_per_second, counter.queue) = (20.0, 1));
     let records = run(narrow, 1);
     let calls: &CounterCallCounts = record!(records, CounterCalls);
-    assert!(calls.full > 0 && calls.ok > 0, "{calls:?}");
-    assert_eq!(calls.ok + calls.full + calls.timeout, calls.made);
+    assert!(calls.rejected > 0 && calls.ok > 0, "{calls:?}");
+    assert_eq!(calls.ok + calls.rejected + calls.timeout, calls.made);
 }
 
 #[test]
@@ -148,7 +148,7 @@
     slow.faults = vec![Fault::SlowCounter { at: 0.0, until: 60.0, factor: 50.0 }];
     let records = run(slow, 1);
     let calls: &CounterCallCounts = record!(records, CounterCalls);
-    assert!(calls.timeout > 0 && calls.added_in_vain > 0, "{calls:?}");
+    assert!(calls.timeout > 0 && calls.added_after_timeout > 0, "{calls:?}");
 }
 
 #[test]
@@ -156,8 +156,8 @@
     let mut alone = quiet();
     alone.counter = None;
     let records = run(alone, 1);
-    let per_try: &PerTryRecord = record!(records, PerTry);
-    assert!(per_try.counter_calls == 0.0 && per_try.attempts > 0.0, "{per_try:?}");
+    let per_submission: &PerSubmissionRecord = record!(records, PerSubmission);
+    assert!(per_submission.counter_calls == 0.0 && per_submission.attempts > 0.0, "{per_submission:?}");
 }
 
 #[test]
