--- a/lab/src/fleet/tenants.rs
+++ b/lab/src/fleet/tenants.rs
@@ -1,8 +1,8 @@
-//! The tenants: what they ask for and when, and their true quotas, as one that saw everything would keep them.
+//! The tenants: what they poll for and when, and their true quotas, as one that saw everything would keep them.
 
-use super::clock::START;
 use super::configuration::{self, Configuration, Usage};
-use super::randomness::{self, between, weighted};
+use super::event_queue::RUN_START;
+use super::randomness::{self, uniform, weighted_index};
 use oliverack::{CustomerId, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,7 @@
 impl TokenBucket {
     /// A full bucket.
     pub fn full(rate: f64, burst: f64) -> Self {
-        Self { rate, burst, level: burst, at: START }
+        Self { rate, burst, level: burst, at: RUN_START }
     }
 
     fn refill(&mut self, now: Time) {
@@ -56,7 +56,7 @@
 
 impl Spikes {
     fn factor_at(&self, now: Time) -> f64 {
-        let spikes = self.every > 0.0 && (now - START + self.offset) % self.every < self.seconds;
+        let spikes = self.every > 0.0 && (now - RUN_START + self.offset) % self.every < self.seconds;
         if spikes { self.factor } else { 1.0 }
     }
 }
@@ -68,20 +68,20 @@
     pub id: CustomerId,
     /// Its plan's index.
     pub plan: usize,
-    /// How many gatekeepers carry it.
+    /// How many gateways carry it.
     pub spread: u32,
     /// The first of them.
     pub first: u32,
-    /// Weights of these gatekeepers.
+    /// Weights of these gateways.
     pub weights: Vec<f64>,
     /// Requests a second outside of spikes.
     pub requests_per_second: f64,
     spikes: Spikes,
     /// The quota, drawn on by what is asked for first.
-    pub asked: TokenBucket,
-    /// The quota, drawn on by what is sent to workers.
+    pub submitted: TokenBucket,
+    /// The quota, drawn on by what is sent to endpoints.
     pub sent: TokenBucket,
-    /// The ceiling, drawn on by what is sent to workers.
+    /// The ceiling, drawn on by what is sent to endpoints.
     pub ceiling: Option<TokenBucket>,
     /// The lowest level of the ceiling, as a share of its burst.
     pub lowest_ceiling: f64,
@@ -114,8 +114,8 @@
     let usages: Vec<f64> = configuration.usage.iter().map(|usage| usage.share).collect();
     (0..configuration.tenants.count)
         .map(|number| {
-            let plan = weighted(generator, &plans);
-            let usage = &configuration.usage[weighted(generator, &usages)];
+            let plan = weighted_index(generator, &plans);
+            let usage = &configuration.usage[weighted_index(generator, &usages)];
             draw_one(configuration, number, plan, usage, generator)
         })
         .collect()
@@ -130,9 +130,9 @@
 ) -> Tenant {
     let figures = &configuration.tenants;
     let plan: &configuration::Plan = &configuration.plans[plan_index];
-    let spread = generator.random_range(figures.spread[0]..=figures.spread[1]);
-    let first = generator.random_range(0..configuration.gatekeepers.count);
-    let skew = between(generator, figures.skew);
+    let spread = generator.random_range(figures.gateways_per_tenant[0]..=figures.gateways_per_tenant[1]);
+    let first = generator.random_range(0..configuration.gateways.count);
+    let skew = uniform(generator, figures.skew);
     let mut weights: Vec<f64> = (1..=spread).map(|n| f64::from(n).powf(-skew)).collect();
     weights.rotate_left(generator.random_range(0..spread) as usize);
     let mean_units = f64::from(1 + figures.max_units) / 2.0;
@@ -151,9 +151,9 @@
         spread,
         first,
         weights,
-        requests_per_second: between(generator, usage.of_rate) * plan.rate / mean_units,
+        requests_per_second: uniform(generator, usage.load_factor) * plan.rate / mean_units,
         spikes,
-        asked: quota,
+        submitted: quota,
         sent: quota,
         ceiling: (plan.ceiling_rate > 0.0).then_some(ceiling),
         lowest_ceiling: 1.0,
