--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_is_clean() {
+fn empty_batch_gets_empty_reply_and_end_of_input_exits_cleanly() {
     let output = run("{\"Moment\":8.4,\"n\":1,\"groups\":[]}\n");
     assert!(output.status.success());
     let reply: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one reply");
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn what_is_not_json_ends_the_run() {
+fn invalid_json_exits_with_error() {
     let output = run("nonsense\n");
     assert!(!output.status.success() && output.stdout.is_empty());
     assert_eq!(String::from_utf8(output.stderr).expect("text").lines().count(), 1);
 }
 
 #[test]
-fn bad_events_name_the_batch_and_the_field() {
+fn invalid_event_error_names_batch_and_field() {
     let start = r#"["NEW_INSTANCE",5,{"Unknown":1}]"#;
     fails(r#"["ELAPSED",1]"#, "unknown instance");
     fails(r#"["NEW_INSTANCE",5]"#, "Options");
--- a/tests/by_hand.rs
+++ b/tests/by_hand.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn no_news_of_the_list_lifts_what_operators_have_left_out() {
+fn endpoint_list_update_does_not_end_maintenance() {
     let mut rig = rig();
     by_hand(&mut rig, "a", true);
     by_hand(&mut rig, "a", true);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn further_attempts_heed_a_call_that_came_meanwhile() {
+fn retry_avoids_endpoint_put_into_maintenance_meanwhile() {
     let mut rig = rig();
     let out = rig.ask("j");
     let [(request_id, first)] = &sends(&out)[..] else { panic!("one send") };
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_worker_that_is_put_back_is_cold_but_used_within_seconds() {
+fn endpoint_out_of_maintenance_starts_slowly_and_is_used_within_seconds() {
     let mut rig = rig();
     let ask = |rig: &mut Rig, tag: &str| {
         // Twenty requests a second, each answered at once.
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn slow_answers_of_cold_workers_are_not_taken_for_pressure() {
+fn slow_responses_of_endpoint_in_slow_start_do_not_raise_median_latency() {
     let mut rig = rig();
     // A hundred requests a second, answered quickly by all but "a".
     let answer = |rig: &mut Rig, tag: &str, slow: f64| {
--- a/tests/ceiling.rs
+++ b/tests/ceiling.rs
@@ -183,29 +183,29 @@
 }
 
 #[test]
-fn a_small_fleet_keeps_ceilings() {
+fn small_fleet_with_counter_stays_under_ceilings() {
     for n in [1, 3, 30] {
         keeps_ceilings(n, true);
     }
 }
 
 #[test]
-fn a_fleet_of_100_keeps_ceilings() {
+fn fleet_of_100_with_counter_stays_under_ceilings() {
     keeps_ceilings(100, true);
 }
 
 #[test]
-fn a_fleet_of_327_keeps_ceilings() {
+fn fleet_of_327_with_counter_stays_under_ceilings() {
     keeps_ceilings(327, true);
 }
 
 #[test]
-fn a_fleet_of_680_keeps_ceilings() {
+fn fleet_of_680_with_counter_stays_under_ceilings() {
     keeps_ceilings(680, true);
 }
 
 #[test]
-fn fleets_without_a_counter_keep_ceilings() {
+fn fleets_without_counter_stay_under_ceilings() {
     for n in [1, 3, 60, 680] {
         keeps_ceilings(n, false);
     }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -151,17 +151,16 @@
 }
 
 #[test]
-fn in_sum_a_third_of_the_endpoints_restarted_stay_under_their_budget_in_every_window() {
+fn third_of_endpoints_restarted_fleet_stays_within_slow_start_allowance() {
     fleets(3, 0.6, 1.0);
 }
 
 #[test]
-fn in_sum_all_endpoints_restarted_under_a_surge_stay_under_their_budget_in_every_window() {
+fn all_endpoints_restarted_under_surge_fleet_stays_within_slow_start_allowance() {
     fleets(1, 0.9, 2.0);
 }
 
 #[test]
-fn in_sum_half_of_the_endpoints_restarted_under_a_surge_with_errors_stay_under_their_budget_in_every_window()
-{
+fn half_of_endpoints_restarted_under_surge_with_errors_fleet_stays_within_slow_start_allowance() {
     fleets(2, 0.9, 2.0);
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_usable_configuration_passes_and_only_keys_that_nobody_knows_are_named() {
+fn check_of_valid_configuration_succeeds_and_lists_only_unknown_keys() {
     let mut config = usable();
     // The protocol has these; the gateway has no use for them.
     config["settings"]["Prices"] = json!({"Waste": 0.08});
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said_in_one_line_with_the_path_of_the_key() {
+fn check_of_invalid_configuration_prints_one_line_with_key_path() {
     let bad = [
         ("listen", with("/listen", json!("nowhere"))),
         ("seed", with("/seed", json!("xyz"))),
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_schema_names_every_key_of_a_configuration() {
+fn schema_covers_every_configuration_key() {
     let output = program(&["schema"]);
     assert!(output.status.success());
     let schema: Value = serde_json::from_slice(&output.stdout).expect("a schema is JSON");
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn help_and_version_are_told_and_a_command_that_is_none_fails() {
+fn help_and_version_are_printed_and_unknown_command_fails() {
     let help = program(&["--help"]);
     let text = String::from_utf8(help.stdout).expect("text");
     assert!(help.status.success());
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_attempt_that_waits_for_its_connection_ends_when_its_client_leaves() {
+fn client_disconnect_cancels_attempt_that_awaits_connection() {
     let Scene { late, node: _node, mut client, .. } = Scene::new();
     client.send(&ask("gone"));
     late.awaited(1);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_behind_more_than_is_read_is_seen_to_leave() {
+fn disconnect_behind_pipelined_requests_beyond_read_buffer_is_detected() {
     let Scene { late, node: _node, mut client, .. } = Scene::new();
     // More requests than the gateway reads while one is in hand.
     for i in 0..100 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_behind_more_than_the_system_holds_is_seen_to_leave() {
+fn disconnect_behind_pipelined_requests_beyond_socket_buffers_is_detected() {
     let Scene { late, node: _node, mut client, .. } = Scene::new();
     let pieces = client.reader.get_ref().try_clone().expect("a socket");
     // The close stands behind what the client's own system holds for ours.
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn requests_read_ahead_of_their_turn_are_answered_in_it() {
+fn pipelined_requests_read_ahead_are_answered_in_order() {
     let Scene { late, node: _node, mut client, .. } = Scene::new();
     client.send(&ask("first"));
     late.awaited(1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_body_waits_for_a_connection_is_seen_to_leave() {
+fn disconnect_during_upload_that_awaits_connection_is_detected() {
     let Scene { late, node: _node, mut client, .. } = Scene::new();
     // Too large to be gathered; some of it has been read, some waits in the socket, the end never comes.
     let mut upload = Ask::submit("body").with("X-Remaining", "100.0").with("Content-Length", "4000000");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_behind_more_of_its_body_than_the_system_holds_is_seen_to_leave() {
+fn disconnect_behind_upload_beyond_socket_buffers_is_detected() {
     let Scene { late, node: _node, mut client, .. } = Scene::new();
     let pieces = client.reader.get_ref().try_clone().expect("a socket");
     SockRef::from(&pieces).set_send_buffer_size(1 << 20).expect("a socket");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_body_read_ahead_of_its_worker_goes_on_whole() {
+fn body_read_before_endpoint_connects_is_forwarded_complete() {
     let Scene { late, node: _node, mut client, .. } = Scene::new();
     let mut upload = Ask::submit("body").with("X-Remaining", "100.0");
     upload.body = (0..900_000u32).map(|i| (i % 251) as u8).collect();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_close_that_comes_with_the_request_lets_nothing_go_on() {
+fn request_followed_by_close_is_not_forwarded() {
     let late = Late::start();
     let (setup, _discovery) = only(&late);
     let node = setup.start();
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_copy_that_waits_for_its_connection_ends_with_the_answer_to_the_other() {
+fn response_cancels_hedged_request_that_awaits_connection() {
     let late = Late::start();
     let gate = Arc::new(Gate::default());
     let well = Worker::start(Does::Waits(gate.clone()));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_copy_whose_connection_has_not_come_up_by_the_end_of_the_window_of_repeats_is_given_up() {
+fn hedged_request_awaiting_connection_past_idempotency_window_is_cancelled() {
     let (late, well) = (Late::start(), Worker::start(Does::Holds));
     let (_setup, _node, _client, _discovery) = copied(&late, &well);
     late.given_up();
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_with_the_end_of_the_window_of_repeats_carries_no_copy() {
+fn connection_opened_at_end_of_idempotency_window_carries_no_hedged_request() {
     let (late, gate) = (Late::start(), Arc::new(Gate::default()));
     let well = Worker::start(Does::Waits(gate.clone()));
     let sent = Instant::now();
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn an_attempt_that_waits_for_its_connection_goes_elsewhere_when_its_worker_may_have_nothing_new() {
+fn attempt_that_awaits_connection_moves_when_endpoint_becomes_unavailable() {
     for news in ["DRAINING", "DELETED", "restarted", "by hand"] {
         let (late, well) = (Late::start(), Worker::start(Does::Serves("elsewhere")));
         let (mut setup, discovery) = only(&late);
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_connection_whose_worker_may_say_its_answer_again_carries_no_request_yet() {
+fn connection_that_may_repeat_its_response_is_not_reused_immediately() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (mut setup, discovery) = Setup::new(&[]);
     setup.known.push(entry("w0", listener.local_addr().expect("bound"), "SERVING"));
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_discovery_that_is_down_is_called_again_well_within_the_grace_of_its_return() {
+fn unavailable_discovery_is_polled_again_within_grace_period() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, discovery) = Setup::new(&[&worker]);
     discovery.garbage(true);
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn an_answer_written_before_discovery_moves_is_taken_in() {
+fn response_written_before_discovery_address_change_is_applied() {
     for half in [false, true] {
         let (left, well) = (Worker::start(Does::Serves("left")), Worker::start(Does::Serves("well")));
         let (mut setup, _unused) = Setup::new(&[&left, &well]);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -113,12 +113,12 @@
 }
 
 #[test]
-fn where_lists_are_pushed_a_watch_that_fails_at_any_stage_is_made_good_in_time() {
+fn failed_watch_in_push_mode_is_retried_in_time_at_every_stage() {
     at_each_stage("push", 2);
 }
 
 #[test]
-fn where_lists_are_asked_for_a_watch_that_fails_at_any_stage_is_made_good_in_time() {
+fn failed_watch_in_poll_mode_is_retried_in_time_at_every_stage() {
     at_each_stage("ask", 2);
     at_each_stage("ask", 350);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn hundreds_told_of_a_cold_endpoint_at_one_instant_do_not_push_it_over() {
+fn endpoint_restart_seen_by_200_gateways_at_once_does_not_overload_it() {
     let mut s = settings();
     s.plans = vec![Plan::default()];
     let (n, warm) = (200, endpoints(9));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_gateway_of_many_keeps_to_few_endpoints() {
+fn gateway_of_large_fleet_uses_small_subset_of_endpoints() {
     let mut s = settings();
     s.plans = vec![Plan::default()];
     let mut rigs = fleet(100, &s, &endpoints(60));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn lost_answers_are_no_overload_but_a_fleet_that_times_out_is() {
+fn lost_responses_do_not_shed_load_but_timeouts_of_most_endpoints_do() {
     assert!(refused_when_lost(4) <= 3, "four lost in ten turn nearly nobody away: {}", refused_when_lost(4));
     let turned_away = refused_when_lost(8);
     assert!(turned_away >= 30, "{turned_away} turned away at once when eight in ten time out");
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn gateways_that_start_together_do_not_fill_the_line_of_the_service_that_tells_the_list() {
+fn simultaneous_start_does_not_overload_discovery() {
     for n in [1, 3, 12, 30, 100] {
         let (last, calls) = told(n);
         assert!(last <= 0.1 * f64::from(n).max(3.0), "{n} gateways: the last is told after {last} s");
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_service_that_is_lost_is_asked_at_growing_times() {
+fn unavailable_discovery_is_polled_with_backoff() {
     let mut s = settings();
     (s.discovery_is_polled, s.max_poll_interval, s.gateway_count) = (true, 10.0, 1);
     let mut rig = Rig::new(s);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn however_often_calls_for_the_list_fail_the_next_turn_comes_before_its_news_counts_as_told() {
+fn repeated_poll_failures_keep_next_poll_within_notification_limit() {
     // Told after 6 s; a call that is refused takes none of them, a connection that comes up late 1.5 s.
     let most = 6.0 - 1.5;
     for n in [1, 3, 12, 30, 100, 350, 1024] {
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn cold_endpoints_carry_their_share_whatever_the_size_of_the_fleet() {
+fn endpoints_in_slow_start_carry_their_share_at_every_fleet_size() {
     for (n, all, new) in [(3, 9, 5), (12, 20, 12), (100, 60, 36)] {
         let (mean, most, before) = sent_to_cold(n, all, new);
         // At an age of 3 to 6 s of 10 it surely has 0.44 to 0.68 of its capacity.
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn gateways_together_load_endpoints_evenly() {
+fn fleet_distributes_load_evenly_over_endpoints() {
     let mut s = settings();
     s.plans = vec![Plan::default()];
     for (n, all) in [(1, 9), (3, 9), (12, 20), (100, 60)] {
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn a_counter_too_slow_for_the_fleet_is_not_kept_crowded() {
+fn overloaded_counter_gets_limited_call_rate() {
     for n in [1, 3, 12, 100] {
         let (share, well) = counted_in_time(n);
         assert!(share >= 0.5, "{n} gateways: {share} of their calls are answered in time");
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn what_many_gateways_send_off_the_count_is_told_to_it_once() {
+fn unreported_units_are_reported_to_counter_once() {
     let mut s = settings();
     s.gateway_count = 100;
     let mut rig = Rig::new(s);
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn an_unseen_customer_starts_on_the_safe_share() {
+fn new_customer_is_admitted_by_even_share_while_counter_is_called() {
     let mut rig = Rig::new(settings());
     let out = rig.ask("j");
     assert_eq!((sends(&out).len(), counts(&out).len()), (1, 1), "sent at once, while the count is asked");
 }
 
 #[test]
-fn the_burst_is_granted_once_and_the_rest_refused_without_a_call() {
+fn burst_is_leased_once_and_further_requests_are_rejected_without_counter_call() {
     let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
     assert_eq!(counter.ask_many(&mut rig, "a", 60), 20, "the burst, to the unit");
     let out = rig.ask("b");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn two_gateways_share_one_burst() {
+fn two_gateways_admit_one_burst_together() {
     let (mut one, mut two, mut counter) = (Rig::new(settings()), Rig::new(settings()), Counter::default());
     let mut sent = 0;
     for i in 0..40 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_window_turn_brings_no_second_burst() {
+fn window_change_grants_no_second_burst() {
     let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
     let mut sent = 0;
     for step in 0..100 {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_emptied_counter_brings_no_second_burst() {
+fn counter_reset_grants_no_second_burst() {
     let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
     counter.ask_many(&mut rig, "a", 60);
     counter.0.clear();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_lost_answer_leaves_no_request_waiting_and_no_debt_paid_twice() {
+fn counter_timeout_ends_waiting_request_once() {
     let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
     counter.ask_many(&mut rig, "a", 60);
     rig.now += 1.0;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn what_a_call_that_was_turned_away_should_have_told_the_next_one_tells() {
+fn units_of_rejected_counter_call_are_reported_by_next_call() {
     for status in [Status::Rejected, Status::ConnectFailed] {
         let mut rig = Rig::new(settings());
         let (mut sent, mut told) = (0, 0.0);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_block_that_a_spoilt_answer_hid_is_taken_off_the_count_again() {
+fn units_leased_by_unreadable_reply_are_returned_to_counter() {
     let mut s = settings();
     s.plans[0].rate = 1.0;
     let (mut rig, mut counter) = (Rig::new(s), Counter::default());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_silent_counter_leaves_the_even_share() {
+fn silent_counter_falls_back_to_even_share() {
     let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
     counter.ask_many(&mut rig, "a", 60);
     let mut sent = 0;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn an_unspent_lease_lapses_with_its_window() {
+fn unused_lease_expires_with_its_window() {
     let (mut rig, mut counter) = (Rig::new(settings()), Counter::default());
     counter.ask_many(&mut rig, "a", 15);
     rig.now += 30.0; // Windows are eight seconds here; what is left of the block is of an old one.
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn an_open_cap_is_an_even_share_of_it_and_what_is_covered_waits_its_turn() {
+fn concurrency_limit_is_shared_evenly_and_leased_requests_queue() {
     let (mut rig, mut counter, out) = six_for_two_slots();
     assert_eq!((sends(&out).len(), refused(&out)), (2, 0), "two of four at one of two gateways");
     let mut out = sends(&out);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn the_shares_of_an_open_cap_make_up_the_cap() {
+fn concurrency_limit_shares_add_up_to_limit() {
     for first in [0, 1] {
         let at_once = |me: u32| {
             let mut s = settings();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_slot_that_does_not_come_free_in_time_is_not_waited_for() {
+fn queued_requests_are_rejected_when_no_slot_frees_in_time() {
     let (mut rig, mut counter, out) = six_for_two_slots();
     let running = sends(&out);
     pass(&mut rig, &mut counter, 100.5);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn who_would_wait_too_long_for_a_slot_is_refused_at_once() {
+fn request_with_too_long_expected_queue_time_is_rejected_at_once() {
     let (mut rig, mut counter, out) = six_for_two_slots();
     let (request_id, endpoint) = sends(&out).remove(0);
     let (status, load) = (Status::Ok, LoadReport::default());
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn calls_come_back_soon_after_a_silence() {
+fn counter_call_rate_recovers_soon_after_timeouts() {
     let mut rig = Rig::new(settings());
     let well = |rig: &mut Rig, name: u64| drop(rig.counted(name, Status::Ok, 1.0));
     let silent = |rig: &mut Rig, counter: u64| {
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn spoilt_answers_and_broken_lines_cut_no_calls() {
+fn unreadable_replies_and_resets_do_not_lower_counter_call_rate() {
     for status in [Status::Error, Status::Reset] {
         let mut rig = Rig::new(settings());
         let first = calls_in_a_second(&mut rig, "a", |rig, name| drop(rig.counted(name, status, 0.0)));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_long_answer_that_has_begun_frees_its_slot_once() {
+fn streamed_response_start_frees_concurrency_slot_once() {
     let mut capped = plan(0.0, 0.0);
     (capped.max_concurrent_attempts, capped.rate, capped.burst) = (2, 1000.0, 1000.0);
     let mut settings = settings();
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn at_the_default_level_nothing_is_logged_of_a_request() {
+fn default_level_logs_no_requests() {
     let lines = lines("info");
     assert!(lines.iter().any(|line| line.contains("stopped")), "{lines:?}");
     assert!(!lines.iter().any(|line| line.contains("request") || line.contains("attempt")), "{lines:?}");
 }
 
 #[test]
-fn as_json_each_line_is_an_object_and_a_request_can_be_followed_by_its_name() {
+fn json_log_lines_are_objects_and_requests_are_traceable_by_id() {
     let lines: Vec<BTreeMap<String, Value>> = lines("debug,json").iter().map(|line| json(line)).collect();
     let of = |name: &str| -> Vec<&BTreeMap<String, Value>> {
         let name = format!("\"{name}\"");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_takes_ends_nothing() {
+fn closed_log_pipe_does_not_stop_process() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let (mut child, path) =
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_setting_that_is_none_is_one_plain_line_and_a_failing_exit() {
+fn invalid_log_setting_prints_one_line_and_fails() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oliverack"));
     let output = command.env("OLIVERACK_LOG", "info,xml").output().expect("the program starts");
     assert!(!output.status.success());
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -17,7 +17,7 @@
 const UNMARKED: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn a_request_goes_on_unchanged_and_connections_are_kept() {
+fn request_is_forwarded_unchanged_and_connections_are_reused() {
     let worker = Worker::start(Does::Serves("marked: 7"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_key_by_which_workers_tell_a_repeat_goes_on_unchanged() {
+fn idempotency_key_is_forwarded_unchanged() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn two_gateways_hold_one_quota_and_refuse_with_advice() {
+fn two_gateways_share_one_quota_and_reject_with_retry_after() {
     let worker = Worker::start(Does::Serves("ok"));
     let counter = Counter::start(Counts::Well);
     let (mut setup, _discovery) = Setup::new(&[&worker]);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_where_a_repeat_would_do_harm() {
+fn at_most_once_request_that_may_have_run_is_not_retried() {
     for does in [Does::Resets, Does::Says(ERROR), Does::Says(UNMARKED), Does::Says("nonsense\r\n\r\n")] {
         let (one, two) = (Worker::start(does.clone()), Worker::start(does));
         let (setup, _discovery) = Setup::new(&[&one, &two]);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_repeat_that_only_its_zone_knows_stays_there_also_in_a_zone_that_the_settings_do_not_name() {
+fn retry_with_zone_scoped_idempotency_key_stays_in_unlisted_zone() {
     for (other, status, sent) in [("hall-y", 502, 0), ("hall-x", 200, 1)] {
         let (first, second) = (Worker::start(Does::Resets), Worker::start(Does::Serves("second")));
         let (mut setup, discovery) = Setup::new(&[]);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn what_never_ran_is_sent_again_even_then() {
+fn at_most_once_request_that_never_ran_is_retried() {
     let (full, well) = (Worker::start(Does::Says(TURNED_AWAY)), Worker::start(Does::Serves("ok")));
     let (mut setup, discovery) = Setup::new(&[&full, &well]);
     // A port that was free a moment ago and that nobody listens on.
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_reset_of_a_safe_request_is_made_good_elsewhere() {
+fn idempotent_request_is_retried_after_reset() {
     let (breaks, well) = (Worker::start(Does::Resets), Worker::start(Does::Serves("ok")));
     let (setup, _discovery) = Setup::new(&[&breaks, &well]);
     let node = setup.start();
@@ -151,14 +151,14 @@
 }
 
 #[test]
-fn when_every_attempt_ends_badly_a_safe_request_is_refused() {
+fn idempotent_request_with_only_failed_attempts_is_rejected() {
     let worker = Worker::start(Does::Says(ERROR));
     let (setup, _discovery) = Setup::new(&[&worker]);
     assert_eq!(setup.start().ask(&Ask::new("e")).status(), 429);
 }
 
 #[test]
-fn a_kept_connection_that_is_dead_is_replaced_not_reported() {
+fn dead_pooled_connection_is_replaced_without_error() {
     let worker = Worker::start(Does::ServesAndEnds);
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_connection_that_idles_for_as_long_as_one_that_was_reset_is_not_used_again() {
+fn connection_idle_as_long_as_one_that_was_reset_is_not_reused() {
     let worker = Worker::start(Does::ServesOnce);
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_workers_limit() {
+fn idle_connection_is_closed_before_endpoint_idle_limit() {
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, _discovery) = Setup::new(&[&worker]);
     setup.settings["Limits"]["ConnIdle"] = json!(2.0);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_silent_worker_times_out_and_the_connection_is_closed() {
+fn silent_endpoint_times_out_and_connection_is_closed() {
     let worker = Worker::start(Does::Holds);
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_owed_nothing_more() {
+fn client_disconnect_prevents_retry() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Does::WaitsAndResets(gate.clone()));
     let other = Worker::start(Does::WaitsAndResets(gate.clone()));
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn bad_input_is_answered_and_never_reaches_a_worker() {
+fn invalid_request_is_rejected_and_not_forwarded() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_counter_that_is_silent_busy_or_mad_leaves_the_even_share() {
+fn silent_busy_or_invalid_counter_falls_back_to_even_share() {
     for how in [Counts::Never, Counts::Busy, Counts::Garbage] {
         let worker = Worker::start(Does::Serves("ok"));
         let counter = Counter::start(how);
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_late_answer_of_the_counter_is_not_taken_for_another_calls() {
+fn late_counter_reply_is_not_matched_to_another_call() {
     let worker = Worker::start(Does::Serves("ok"));
     // The first customer's count stands far beyond its quota; the second's is new.
     let counter = Counter::with(Counts::FirstWaitsForSecond, 1000.0);
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn one_stuck_connection_to_the_counter_does_not_stall_the_rest() {
+fn stuck_counter_connection_does_not_block_other_calls() {
     let worker = Worker::start(Does::Serves("ok"));
     let counter = Counter::start(Counts::FirstIsStuck);
     let (mut setup, _discovery) = Setup::new(&[&worker]);
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn connections_to_the_counter_that_have_gone_silent_are_soon_replaced() {
+fn silent_counter_connections_are_replaced() {
     let counter = Counter::start(Counts::AllAreStuck);
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, _discovery) = Setup::new(&[&worker]);
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn the_line_to_the_counter_is_kept_from_idling_out() {
+fn idle_counter_connections_are_kept_alive_by_pings() {
     let worker = Worker::start(Does::Serves("ok"));
     let counter = Counter::start(Counts::Well);
     let (mut setup, _discovery) = Setup::new(&[&worker]);
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_worker_that_drains_or_is_gone() {
+fn draining_or_deleted_endpoint_gets_no_requests() {
     for state in ["DRAINING", "DELETED"] {
         let (one, two) = (Worker::start(Does::Serves("ok")), Worker::start(Does::Serves("ok")));
         let (setup, discovery) = Setup::new(&[&one, &two]);
@@ -413,7 +413,7 @@
 }
 
 #[test]
-fn discovery_may_be_silent_or_mad_and_is_followed_when_it_is_back() {
+fn silent_or_invalid_discovery_is_followed_again_after_recovery() {
     let (old, new) = (Worker::start(Does::Serves("old")), Worker::start(Does::Serves("new")));
     let (setup, discovery) = Setup::new(&[&old]);
     discovery.silent(true);
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn where_the_list_must_be_asked_for_a_call_turned_away_is_made_again_from_the_version_known() {
+fn rejected_poll_is_retried_from_known_version() {
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, discovery) = Setup::new(&[&worker]);
     setup.settings["Discovery"] = "ask".into();
@@ -446,7 +446,7 @@
 }
 
 #[test]
-fn after_sigterm_what_is_in_hand_is_answered_and_the_end_is_clean() {
+fn sigterm_answers_requests_in_flight_and_exits_cleanly() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Does::Waits(gate.clone()));
     let (setup, _discovery) = Setup::new(&[&worker]);
@@ -465,7 +465,7 @@
 }
 
 #[test]
-fn after_sigterm_what_no_worker_answers_is_failed_before_the_kill() {
+fn sigterm_fails_unanswered_requests_before_forced_exit() {
     let worker = Worker::start(Does::Holds);
     let (setup, _discovery) = Setup::new(&[&worker]);
     let mut node = setup.start();
@@ -478,7 +478,7 @@
 }
 
 #[test]
-fn at_the_limit_of_descriptors_idle_connections_make_room() {
+fn idle_connections_are_closed_at_descriptor_limit() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, _discovery) = Setup::new(&[&worker]);
@@ -509,7 +509,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_one_plain_line_and_a_failing_exit() {
+fn invalid_configuration_prints_one_line_and_fails() {
     let worker = Worker::start(Does::Holds);
     let (setup, _discovery) = Setup::new(&[&worker]);
     let broken = |key: &str, value: serde_json::Value| {
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn a_reload_moves_to_the_new_discovery_and_counter_and_loses_nothing_in_hand() {
+fn reload_switches_discovery_and_counter_without_losing_requests() {
     let gate = Arc::new(Gate::default());
     let (old, new) = (Worker::start(Does::Waits(gate.clone())), Worker::start(Does::Serves("new")));
     let (one, two) = (Counter::start(Counts::Well), Counter::start(Counts::Well));
@@ -564,7 +564,7 @@
 }
 
 #[test]
-fn a_bad_file_changes_nothing_and_the_next_good_one_counts() {
+fn invalid_reload_keeps_old_configuration_and_next_valid_one_applies() {
     let (old, new) = (Worker::start(Does::Serves("old")), Worker::start(Does::Serves("new")));
     let (mut setup, discovery) = Setup::new(&[&old]);
     let node = setup.start();
@@ -586,7 +586,7 @@
 }
 
 #[test]
-fn reloads_in_a_row_under_load_cost_no_request_and_leave_no_descriptor() {
+fn repeated_reloads_under_load_lose_no_request_and_leak_no_descriptor() {
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, _discovery) = Setup::new(&[&worker]);
     let entries = setup.known.clone();
@@ -629,7 +629,7 @@
 }
 
 #[test]
-fn a_list_longer_than_a_body_is_read() {
+fn endpoint_list_longer_than_body_limit_is_read() {
     let (mut setup, discovery) = Setup::new(&[]);
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = nobody.local_addr().expect("bound");
@@ -656,7 +656,7 @@
 }
 
 #[test]
-fn a_request_with_two_lengths_is_turned_away_and_nothing_of_it_goes_on() {
+fn request_with_conflicting_lengths_is_rejected_and_not_forwarded() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -681,7 +681,7 @@
 }
 
 #[test]
-fn the_name_of_an_open_request_is_refused_to_others_until_it_is_answered() {
+fn duplicate_id_of_request_in_flight_is_rejected_until_it_is_answered() {
     let gate = Arc::new(Gate::default());
     let worker = Worker::start(Does::Waits(gate.clone()));
     let (setup, _discovery) = Setup::new(&[&worker]);
@@ -697,7 +697,7 @@
 }
 
 #[test]
-fn silent_and_half_open_clients_are_closed_and_do_not_crowd_out_others() {
+fn silent_and_incomplete_clients_are_closed_and_others_are_served() {
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, _discovery) = Setup::new(&[&worker]);
     setup.sockets = 64;
@@ -723,7 +723,7 @@
 }
 
 #[test]
-fn a_huge_body_is_answered_or_closed_without_being_read() {
+fn oversized_body_is_rejected_without_being_read() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -742,7 +742,7 @@
 }
 
 #[test]
-fn pipelined_requests_are_answered_in_their_order() {
+fn pipelined_requests_are_answered_in_order() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -755,7 +755,7 @@
 }
 
 #[test]
-fn a_body_in_chunks_goes_on_whole() {
+fn chunked_body_is_forwarded_complete() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -780,7 +780,7 @@
 ];
 
 #[test]
-fn a_spoilt_answer_is_never_served_and_counts_as_one_that_may_have_run() {
+fn malformed_response_is_not_delivered_and_at_most_once_request_fails() {
     for said in SPOILT {
         let worker = Worker::start(Does::Says(said));
         let (setup, _discovery) = Setup::new(&[&worker]);
@@ -794,7 +794,7 @@
 }
 
 #[test]
-fn an_endless_head_or_body_is_cut() {
+fn endless_head_or_body_is_cut_off() {
     let endless: [&'static str; 2] = [
         format!("HTTP/1.1 200 OK\r\n{}", "X-More: of the same\r\n".repeat(4000)).leak(),
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", "5\r\nagain\r\n".repeat(20_000))
@@ -819,7 +819,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_to_a_safe_request_is_made_good_elsewhere() {
+fn idempotent_request_is_retried_after_malformed_response() {
     let (mad, well) = (Worker::start(Does::Says(SPOILT[2])), Worker::start(Does::Serves("ok")));
     let (setup, _discovery) = Setup::new(&[&mad, &well]);
     let node = setup.start();
@@ -832,7 +832,7 @@
 }
 
 #[test]
-fn what_stands_before_or_behind_a_good_answer_is_not_handed_on() {
+fn bytes_around_valid_response_are_not_delivered() {
     for said in [
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok noise",
@@ -850,7 +850,7 @@
 }
 
 #[test]
-fn what_comes_later_on_an_idle_connection_is_not_the_next_requests_answer() {
+fn unsolicited_bytes_on_idle_connection_do_not_answer_next_request() {
     let gate = Arc::new(Gate::default());
     let more = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
     let worker = Worker::start(Does::ServesAndSays(gate.clone(), more));
@@ -865,7 +865,7 @@
 }
 
 #[test]
-fn a_worker_at_the_address_of_one_that_is_gone_gets_connections_of_its_own() {
+fn endpoint_reusing_address_of_deleted_one_gets_new_connections() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, discovery) = Setup::new(&[&worker]);
     let node = setup.start();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_process_that_takes_clients_says_so_and_other_calls_get_their_error() {
+fn health_check_succeeds_while_accepting_and_invalid_calls_get_errors() {
     let (setup, _discovery) = operated(&[]);
     let node = setup.start();
     // The yes is due once clients are taken; what is bound before may still say no.
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn callers_that_hold_connections_and_clients_at_their_limit_delay_no_call() {
+fn operator_calls_succeed_at_connection_limits() {
     let worker = Worker::start(Does::Holds);
     let (mut setup, _discovery) = operated(&[&worker]);
     setup.sockets = 96;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_stopping_process_says_no() {
+fn health_check_fails_during_shutdown() {
     let worker = Worker::start(Does::Holds);
     let (setup, _discovery) = operated(&[&worker]);
     let node = setup.start();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn clients_come_in_by_the_descriptor_that_the_platform_holds_and_it_outlives_the_process() {
+fn inherited_listening_descriptor_accepts_clients_and_outlives_process() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = operated(&[&worker]);
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_is_one_plain_line_and_a_failing_exit() {
+fn inherited_descriptor_that_is_not_listening_prints_one_line_and_fails() {
     let (setup, _discovery) = operated(&[]);
     for fd in ["2", "77", "x", "-1"] {
         let path = std::env::temp_dir().join(format!("oliverack-fd-{}{fd}.json", std::process::id()));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_worker_left_out_by_hand_gets_nothing_until_it_is_put_back() {
+fn endpoint_in_maintenance_gets_no_requests_until_ready() {
     let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
     let (setup, discovery) = operated(&[&one, &two]);
     let node = setup.start();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn workers_left_out_stay_out_after_a_kill_and_a_torn_file_is_no_crash() {
+fn maintenance_survives_kill_and_corrupt_file_does_not_crash() {
     let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
     let (setup, _discovery) = operated(&[&one, &two]);
     let folder = Folder::new("kept");
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn an_upgrade_from_a_program_of_another_name_keeps_workers_out_and_meets_its_process() {
+fn hot_restart_from_renamed_program_keeps_maintenance_and_finds_predecessor() {
     let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
     let (setup, _discovery) = operated(&[&one, &two]);
     let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("renamed"));
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn figures_tell_what_clients_and_workers_have_seen() {
+fn stats_match_client_and_endpoint_observations() {
     let (one, two) = (Worker::start(Does::Serves("ok")), Worker::start(Does::Serves("ok")));
     let (setup, _discovery) = operated(&[&one, &two]);
     let node = setup.start();
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn in_an_upgrade_what_is_known_of_10000_workers_is_handed_over_with_32_mb() {
+fn hot_restart_hands_over_10000_endpoints_within_32_mb() {
     let worker = Worker::start(Does::Serves("ok"));
     let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let (mut setup, _discovery) = operated(&[]);
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn in_an_upgrade_both_heed_a_call_to_either_and_a_file_torn_meanwhile_does_no_harm() {
+fn maintenance_call_during_hot_restart_reaches_both_processes_despite_corrupt_file() {
     let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
     let (setup, _discovery) = operated(&[&one, &two]);
     let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("both"));
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn after_sigterm_the_new_process_takes_clients_and_the_old_serves_those_it_has() {
+fn sigterm_during_hot_restart_sends_new_clients_to_successor() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = operated(&[&worker]);
     let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("drained"));
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn when_the_new_process_dies_the_old_one_goes_on_with_its_whole_share() {
+fn successor_death_returns_full_share_to_predecessor() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = operated(&[&worker]);
     let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("killed"));
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn a_caller_that_is_no_sibling_changes_nothing() {
+fn invalid_handover_message_is_ignored() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = operated(&[&worker]);
     let folder = Folder::new("foreign");
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn bodies_that_are_only_announced_take_no_room_from_others() {
+fn announced_bodies_do_not_reserve_memory() {
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, _discovery) = Setup::new(&[&worker]);
     setup.sockets = 1024;
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -142,13 +142,13 @@
 }
 
 #[test]
-fn random_legal_days_keep_the_rules() {
+fn random_valid_event_sequences_keep_invariants() {
     for seed in 0..60 {
         play(seed);
     }
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     assert_eq!(play(5), play(5));
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -152,12 +152,12 @@
 }
 
 #[test]
-fn what_a_small_fleet_sends_beyond_quotas_costs_little() {
+fn small_fleet_over_quota_cost_stays_within_limit() {
     costs(&[1, 3, 12]);
 }
 
 #[test]
-fn what_a_large_fleet_sends_beyond_quotas_costs_little() {
+fn large_fleet_over_quota_cost_stays_within_limit() {
     costs(&[30, 100, 300]);
 }
 
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_cap_far_thinner_than_the_fleet_is_kept_on_average_and_leaves_light_customers_alone() {
+fn concurrency_limit_below_gateway_count_holds_on_average_and_admits_light_customers() {
     for n in [30, 100, 300] {
         // Four times what would keep the cap busy.
         let (beyond, sent) = beyond_a_cap(n, 240.0);
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn the_choice_of_endpoints_is_as_recorded() {
+fn endpoint_selection_matches_recorded_digests() {
     let days = [
         (1, 0, 0x6493_9a6b_4a52_c7da),
         (1, 1, 0x940b_91cf_16f9_1ac2),
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn with_quotas_all_decisions_are_as_recorded() {
+fn quota_decisions_match_recorded_digests() {
     let days = [
         (1, 1, 0xf52c_d5bf_3a6a_6371),
         (3, 9, 0xb207_0c78_d389_c84b),
@@ -436,7 +436,7 @@
 }
 
 #[test]
-fn with_ceilings_all_decisions_are_as_recorded() {
+fn ceiling_decisions_match_recorded_digests() {
     let days = [
         (1, 3, 0x746d_1307_8e08_abea),
         (3, 9, 0x19f5_92d2_5439_1633),
@@ -447,14 +447,14 @@
 }
 
 #[test]
-fn with_a_full_customer_table_all_decisions_are_as_recorded() {
+fn full_customer_table_decisions_match_recorded_digests() {
     let days =
         [(1, 3, 0x7c04_4cb1_0e4c_6936), (3, 9, 0x7906_add2_2016_3300), (12, 100, 0xa15a_b59d_c864_afa2)];
     check(&days, Kind::FullTable);
 }
 
 #[test]
-fn with_settled_units_all_decisions_are_as_recorded() {
+fn settled_unit_decisions_match_recorded_digests() {
     let days =
         [(1, 3, 0x8030_5918_37c2_8c4f), (3, 9, 0x7140_185d_cd8a_cc52), (12, 100, 0x74f5_303d_820b_8a8b)];
     check(&days, Kind::Settled);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_request_ends_once_whatever_comes_later() {
+fn finished_request_ignores_later_events() {
     let mut rig = Rig::new(plain(Effect::Idempotent));
     let (_, endpoint) = sends(&rig.ask("j")).remove(0);
     assert!(rig.ask("j").is_empty(), "an id is taken once");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_held_request_is_answered_within_the_hold() {
+fn request_awaiting_counter_is_answered_within_hold_time() {
     let mut s = settings();
     s.plans[0].burst = 1.0; // Of a burst under a request for each gateway nothing goes before the counter's answer.
     let mut rig = Rig::new(s);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_deadline_nearer_than_the_holds_is_refused_at_once() {
+fn request_with_deadline_within_hold_time_is_rejected_at_once() {
     let mut rig = Rig::new(settings());
     let mut near = request("j", rig.now);
     near.deadline = rig.now + 0.003;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
+fn at_most_once_request_that_may_have_run_is_neither_retried_nor_rejected() {
     let mut rig = Rig::new(plain(Effect::AtMostOnce));
     let (_, endpoint) = sends(&rig.ask("j")).remove(0);
     let out = rig.outcome("j", 0, &endpoint, Status::Reset);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_group_and_window() {
+fn request_with_idempotency_key_is_retried_only_within_scope_and_window() {
     let mut s = plain(Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: 1.0 });
     s.max_attempts = 9;
     let mut rig = Rig::empty(s);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn no_attempt_of_a_keyed_request_is_written_past_what_the_endpoints_remember() {
+fn attempts_with_idempotency_key_carry_end_of_deduplication_window() {
     let until = |actions: &[Action]| {
         let until = |a: &Action| {
             if let Action::StartAttempt { dedup_until, .. } = a { Some(*dedup_until) } else { None }
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn nothing_goes_out_for_a_client_that_has_left_whatever_it_waited_for() {
+fn disconnected_client_causes_no_attempt_in_any_waiting_state() {
     let left = |rig: &mut Rig, request_id: &str| {
         let out = rig.event(Event::ClientDisconnected { request_id: request_id.into() });
         assert!(sends(&out).is_empty() && refused(&out) + failed(&out) == 0, "nothing is owed");
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn no_second_copy_where_none_is_allowed() {
+fn disabled_hedging_schedules_no_hedged_request() {
     let mut s = plain(Effect::Idempotent);
     s.hedging_enabled = false;
     let mut rig = Rig::new(s);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_draining_or_missing_endpoint_gets_nothing_new() {
+fn draining_or_unlisted_endpoint_gets_no_new_attempts() {
     let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(ListKind::Changes, vec![endpoint("a", Lifecycle::Draining, 0.0)]);
     rig.list(
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_cold_endpoint_gets_a_small_part() {
+fn endpoint_in_slow_start_gets_reduced_share() {
     let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(ListKind::Changes, vec![endpoint("a", Lifecycle::Running, 99.9)]);
     let mut cold = 0;
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn an_endpoint_that_comes_back_untold_is_suspected_cold() {
+fn endpoint_back_after_unannounced_outage_enters_slow_start() {
     let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(ListKind::Full, vec![endpoint("a", Lifecycle::Running, 0.0)]);
     // Out of reach for a second and more: before it is put out, and after.
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn connections_that_fail_by_chance_make_no_endpoint_cold() {
+fn sporadic_connect_failures_do_not_cause_slow_start() {
     let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(ListKind::Full, vec![endpoint("a", Lifecycle::Running, 0.0)]);
     for round in 0..5 {
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn one_connection_that_breaks_puts_no_endpoint_out_and_two_in_a_row_do() {
+fn two_consecutive_connect_failures_eject_endpoint_but_one_does_not() {
     let mut rig = Rig::new(plain(Effect::Idempotent));
     rig.list(
         ListKind::Full,
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_restarted_gateway_spends_nothing_of_a_ceiling_at_first() {
+fn restarted_gateway_starts_with_empty_ceiling_share() {
     for has_counter in [false, true] {
         let (mut rig, mut counter) = under_a_ceiling(has_counter);
         assert_eq!(
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_count_that_is_lost_grants_no_more_than_the_share_of_the_ceiling() {
+fn counter_reset_grants_no_more_than_ceiling_share() {
     let (mut rig, mut counter) = under_a_ceiling(true);
     rig.now += 100.0;
     let before = counter.ask_many(&mut rig, "a", 60);
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn what_is_dealt_under_a_ceiling_is_not_dealt_again_when_processes_share_or_customers_are_forgotten() {
+fn ceiling_share_is_not_granted_again_after_replica_change() {
     let (mut rig, mut counter) = under_a_ceiling(true);
     rig.now += 100.0;
     let before = counter.ask_many(&mut rig, "a", 60);
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn time_outs_in_overload_do_not_put_the_fleet_out() {
+fn timeouts_under_overload_do_not_eject_all_endpoints() {
     let mut rig = Rig::new(plain(Effect::Idempotent));
     for i in 0..12 {
         for (request_id, to) in sends(&rig.ask(&format!("j{i}"))) {
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn workers_that_are_gone_are_forgotten_once_nothing_is_out_to_them() {
+fn removed_endpoints_are_forgotten_after_last_attempt() {
     let mut rig = Rig::new(plain(Effect::Idempotent));
     let before = held(&rig);
     let names: Vec<String> = (0..500).map(|i| format!("new-{i}")).collect();
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn customers_that_come_once_do_not_pile_up() {
+fn one_time_customers_do_not_accumulate() {
     let mut s = settings();
     s.max_customers = 64;
     let (mut rig, mut counter) = (Rig::new(s), Counter::default());
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn an_endpoint_that_errs_on_one_class_gets_little_of_it_and_its_part_of_the_others() {
+fn endpoint_failing_one_class_gets_little_of_it_and_full_share_of_others() {
     let mut s = plain(Effect::Idempotent);
     let mut unsafe_class = Class::default();
     unsafe_class.effect = Effect::AtMostOnce;
@@ -452,7 +452,7 @@
 }
 
 #[test]
-fn the_time_of_an_idle_fleets_answers_is_no_pressure() {
+fn idle_response_time_is_not_taken_for_overload() {
     let (slow, pressed) = (sent_at_once(0.15, 0.15, 40), sent_at_once(0.15, 0.9, 40));
     assert!(
         slow >= 6,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
+fn idle_clients_at_descriptor_limit_do_not_block_discovery_recovery() {
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, discovery) = Setup::new(&[&worker]);
     let counter = Counter::start(Counts::Well);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn nine_in_ten_of_many_that_start_together_are_ready_in_time_whatever_discovery_and_the_counter_do() {
+fn nine_in_ten_of_350_processes_are_ready_in_time_without_discovery_and_counter() {
     let worker = Worker::start(Does::Serves("ok"));
     let (mut setup, _unused) = Setup::new(&[&worker]);
     let down = Down::new();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_list_of_1024_workers_and_a_fleet_of_1024_are_taken_in() {
+fn list_of_1024_endpoints_in_fleet_of_1024_is_applied() {
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = nobody.local_addr().expect("bound");
     let worker = Worker::start(Does::Serves("ok"));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn an_indented_list_of_9200_workers_is_taken_in_with_32_mb() {
+fn indented_list_of_9200_endpoints_is_applied_within_32_mb() {
     let worker = Worker::start(Does::Serves("ok"));
     // Before the gateway asks, as it waits for seconds only.
     let body = indented(9200, 7, &worker);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_list_that_is_too_long_is_said_so_in_one_line_and_the_next_is_taken_in() {
+fn too_long_list_is_logged_in_one_line_and_next_list_is_applied() {
     let worker = Worker::start(Does::Serves("ok"));
     let (long, short) = (indented(20_000, 7, &worker), indented(2, 8, &worker));
     let (node, listener) = small_gateway();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_long_list_that_comes_slowly_in_chunks_is_taken_in() {
+fn long_list_in_slow_chunks_is_applied() {
     let worker = Worker::start(Does::Serves("ok"));
     // Before the gateway asks, as it waits for seconds only.
     let body = indented(9200, 7, &worker);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn impossible_settings_are_a_typed_error() {
+fn invalid_settings_return_typed_error() {
     assert_eq!(refused_settings(|s| s.gateway_count = 0), SettingsError::NoGateways);
     assert_eq!(refused_settings(|s| s.gateway_index = 2), SettingsError::GatewayIndexOutOfRange);
     assert_eq!(refused_settings(|s| s.plans[0].rate = -1.0), SettingsError::BadNumber("rate"));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn odd_events_end_the_request_once_and_send_nothing() {
+fn unexpected_events_end_request_once_and_start_no_attempt() {
     let mut rig = Rig::new(settings());
     for (i, change) in [
         (|r: &mut Request| r.class = 9) as fn(&mut Request),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_group_of_no_known_name_promises_no_more_than_the_narrowest() {
+fn unknown_idempotency_group_gets_narrowest_scope() {
     let effect = |class: serde_json::Value| {
         let options = Options::read(&serde_json::json!({ "Classes": [class] })).expect("readable");
         options.settings.classes[0].effect
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn two_processes_have_no_more_of_the_even_share_than_one() {
+fn two_replicas_have_even_share_of_one() {
     let mut alone = quiet(plan(10.0, 20.0));
     let whole = sent(&mut alone, "a", 30);
     assert_eq!(whole, 10, "half of the burst, as two gateways carry it");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_cap_on_what_is_out_is_dealt_out_among_processes() {
+fn concurrency_limit_is_divided_among_replicas() {
     let open = |place, of| {
         let mut plan = plan(1000.0, 1000.0);
         plan.max_concurrent_attempts = 8;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_an_elder_process_knows_of_workers_holds_in_the_new_one() {
+fn predecessor_snapshot_of_endpoints_applies_in_successor() {
     let mut settings = settings();
     settings.plans = vec![plan(0.0, 0.0)];
     let mut old = Rig::new(settings.clone());
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_answer_of_any_length_and_form_reaches_the_client_whole() {
+fn response_of_any_length_and_framing_is_delivered_complete() {
     for length in [70_000, LARGE] {
         let body = text(length);
         let closing = leak(format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}"));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_body_of_any_length_and_form_reaches_the_worker_whole() {
+fn request_body_of_any_length_and_framing_is_forwarded_complete() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_first_bytes_go_on_before_the_last_have_come() {
+fn first_response_bytes_are_delivered_before_last_arrive() {
     let body = text(200_000);
     let gate = Arc::new(Gate::default());
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_break_half_way_shows_at_the_client_and_is_not_made_good_elsewhere() {
+fn response_broken_midway_is_visible_to_client_and_not_retried() {
     let gate = Arc::new(Gate::default());
     gate.open();
     let half = text(100_000);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_break_before_the_first_byte_of_a_body_is_answered_as_failed() {
+fn response_broken_before_first_body_byte_is_answered_as_failed() {
     let gate = Arc::new(Gate::default());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let worker = Worker::start(Does::SaysInTwo(head, gate.clone(), ""));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_up_the_worker_and_costs_little_memory() {
+fn client_that_does_not_read_applies_backpressure_and_uses_little_memory() {
     let worker = Worker::start(Does::Says(sized(&text(LARGE))));
     let (mut setup, _discovery) = Setup::new(&[&worker]);
     setup.sockets = 256;
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_body_that_is_cut_never_counts_as_sent_and_the_worker_sees_the_cut() {
+fn truncated_request_body_is_truncated_at_endpoint() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn who_expects_a_word_before_a_large_body_gets_it_or_the_refusal() {
+fn expect_100_continue_gets_interim_response_or_rejection() {
     let worker = Worker::start(Does::Serves("ok"));
     let (setup, _discovery) = Setup::new(&[&worker]);
     let node = setup.start();
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_request_turned_away_half_way_is_answered_and_its_client_may_send_on() {
+fn request_rejected_during_upload_is_answered_while_client_sends_on() {
     let full = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     let (listener, addr) = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
