--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -152,3 +152,33 @@
     let errors = String::from_utf8(program(&[]).stderr).expect("text");
     assert_eq!(errors, "oliverack: NODE_CONFIG names no file\n");
 }
+
+#[test]
+fn invalid_configuration_prints_one_line_and_fails() {
+    let worker = Worker::start(Does::Holds);
+    let (setup, _discovery) = Setup::new(&[&worker]);
+    let broken = |key: &str, value: serde_json::Value| {
+        let mut config = setup.config();
+        *config.pointer_mut(key).expect("a key") = value;
+        config.to_string()
+    };
+    let bad = [
+        "{".to_owned(),
+        broken("/listen", json!("nowhere")),
+        broken("/listen", json!(worker.addr.to_string())),
+        broken("/seed", json!("xyz")),
+        broken("/limits/sockets", json!(3)),
+        broken("/settings/PeersTotal", json!(0)),
+        broken("/settings/Step", json!("soon")),
+        broken("/settings/Limits/ConnIdle", json!(-1)),
+        broken("/settings/Domain/CountLimit", json!(-1)),
+    ];
+    for config in bad {
+        let (child, path) = run(&config);
+        let output = child.wait_with_output().expect("it ends");
+        let _ = std::fs::remove_file(path);
+        let said = String::from_utf8(output.stderr).expect("text");
+        assert!(!output.status.success() && said.lines().count() == 1, "{config}: {said}");
+        assert!(said.starts_with("oliverack: ") && !said.contains("panicked"), "{said}");
+    }
+}
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -7,7 +7,7 @@
 use socket2::{Domain, Socket, Type};
 use std::{
     collections::{BTreeMap, HashMap},
-    io::{BufRead, BufReader, Read, Write},
+    io::{BufRead, BufReader, ErrorKind, Read, Write},
     net::{SocketAddr, TcpListener, TcpStream},
     os::fd::OwnedFd,
     path::{Path, PathBuf},
@@ -858,3 +858,35 @@
         self.answer().expect("a whole answer")
     }
 }
+
+/// All that a connection says until it ends; it must end by itself.
+pub fn until_closed(client: &mut Client) -> String {
+    let mut said = Vec::new();
+    // A reset is a close too; what came before it counts.
+    let end = client.reader.read_to_end(&mut said);
+    assert!(end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset), "it stays open");
+    String::from_utf8_lossy(&said).into_owned()
+}
+
+pub fn operated(workers: &[&Worker]) -> (Setup, Discovery) {
+    let (mut setup, discovery) = Setup::new(workers);
+    setup.operator = true;
+    (setup, discovery)
+}
+
+/// A folder of a test's own, gone with it.
+pub struct Folder(pub PathBuf);
+
+impl Folder {
+    pub fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("oliverack-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a writable folder for temporary files");
+        Self(path)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
