--- a/lab/src/fleet/counter_calls.rs
+++ b/lab/src/fleet/counter_calls.rs
@@ -1,66 +1,71 @@
-//! A gateway's calls to the counter: answers for one name are handed over in the order of the calls.
+//! A gateway's calls to the counter: the policy is notified of the results for one entry in the order of the calls.
 
-use oliverack::{Event, Status, Time};
+use oliverack::{Event, Seconds, Status, Time};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A call of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallKey {
-    /// The count's name.
+    /// Name of the entry.
     pub name: u64,
-    /// The call's number.
+    /// Number of the call.
     pub number: u64,
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct CallEnd {
-    /// How.
+pub struct CallResult {
+    /// Its status.
     pub status: Status,
-    /// The total, where the call was served.
+    /// The total of the entry, if the call was served.
     pub total: f64,
 }
 
+/// A call of which the policy has not been notified.
 #[derive(Debug)]
-struct Ended {
-    end: CallEnd,
-    elapsed: f64,
+struct PendingCall {
+    number: u64,
+    sent_at: Time,
+    ended: Option<EndedCall>,
 }
 
+/// A call that has ended, but waits for earlier ones of its entry.
 #[derive(Debug)]
-struct Pending {
-    number: u64,
-    sent: Time,
-    ended: Option<Ended>,
+struct EndedCall {
+    result: CallResult,
+    elapsed: Seconds,
 }
 
-/// The calls whose end the policy has not been told.
+/// The calls of a gateway of which its policy has not been notified.
 #[derive(Debug, Default)]
 pub struct CounterCalls {
-    begun: u64,
-    by_name: BTreeMap<u64, VecDeque<Pending>>,
+    last_number: u64,
+    by_name: BTreeMap<u64, VecDeque<PendingCall>>,
 }
 
 impl CounterCalls {
-    /// Begins a call.
-    pub fn begin(&mut self, now: Time, name: u64) -> CallKey {
-        self.begun += 1;
-        let number = self.begun;
-        self.by_name.entry(name).or_default().push_back(Pending { number, sent: now, ended: None });
+    /// Starts a call.
+    pub fn start(&mut self, now: Time, name: u64) -> CallKey {
+        self.last_number += 1;
+        let number = self.last_number;
+        let pending = PendingCall { number, sent_at: now, ended: None };
+        self.by_name.entry(name).or_default().push_back(pending);
         CallKey { name, number }
     }
 
-    /// Ends a call, and gives what the policy is to be told now. A call that has ended before stays as it was.
-    pub fn end(&mut self, now: Time, call: CallKey, end: CallEnd) -> Vec<Event> {
+    /// Ends a call, and returns what the policy is notified of now. The result of a call that has ended before stays
+    /// as it was.
+    pub fn end(&mut self, now: Time, call: CallKey, result: CallResult) -> Vec<Event> {
         let Some(calls) = self.by_name.get_mut(&call.name) else { return Vec::new() };
         let pending = calls.iter_mut().find(|pending| pending.number == call.number);
         if let Some(pending) = pending.filter(|pending| pending.ended.is_none()) {
-            pending.ended = Some(Ended { end, elapsed: now - pending.sent });
+            pending.ended = Some(EndedCall { result, elapsed: now - pending.sent_at });
         }
         let mut events = Vec::new();
-        while let Some(Ended { end, elapsed }) = calls.front_mut().and_then(|pending| pending.ended.take()) {
+        while let Some(ended) = calls.front_mut().and_then(|pending| pending.ended.take()) {
             calls.pop_front();
-            let CallEnd { status, total } = end;
+            let CallResult { status, total } = ended.result;
+            let elapsed = ended.elapsed;
             events.push(Event::CounterReplied { counter: call.name, status, total, elapsed });
         }
         if calls.is_empty() {
@@ -69,9 +74,9 @@
         events
     }
 
-    /// Whether the end of a call is still waited for.
-    pub fn awaits(&self, call: CallKey) -> bool {
-        let calls = self.by_name.get(&call.name);
-        calls.is_some_and(|calls| calls.iter().any(|c| c.number == call.number && c.ended.is_none()))
+    /// True until a call ends.
+    pub fn is_in_flight(&self, call: CallKey) -> bool {
+        let Some(calls) = self.by_name.get(&call.name) else { return false };
+        calls.iter().any(|pending| pending.number == call.number && pending.ended.is_none())
     }
 }
--- a/lab/src/fleet/discovery.rs
+++ b/lab/src/fleet/discovery.rs
@@ -1,19 +1,27 @@
-//! The service that tells the list of endpoints: its versions, its changes, and the line of calls that poll for it.
+//! The model of discovery: the history of the endpoint list, and the queue of polls for it.
 
 use super::configuration;
 use super::wire_size;
-use oliverack::{Endpoint, EndpointId, Time};
+use oliverack::{Endpoint, EndpointId, Lifecycle, Seconds, Time};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A list as it is told to many gateways.
+/// A list that is sent to many gateways.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SharedList {
     /// Its entries.
     pub endpoints: Vec<Endpoint>,
-    /// Bytes of the answer that holds it.
+    /// Bytes of the response that holds it.
     pub bytes: u64,
 }
 
+impl SharedList {
+    fn new(endpoints: Vec<Endpoint>, is_complete: bool) -> Self {
+        let bytes = wire_size::list_answer(&endpoints, is_complete);
+        Self { endpoints, bytes }
+    }
+}
+
 /// One change of the list.
 #[derive(Debug, Clone)]
 struct Change {
@@ -21,95 +29,97 @@
     endpoint: Endpoint,
 }
 
-/// What becomes of a call that asks for the list.
+/// What becomes of a poll.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum PollOutcome {
+pub enum PollResult {
     /// It is answered at this time.
     Answered(Time),
-    /// It has waited in vain until this time.
-    Failed(Time),
+    /// It would wait too long in the queue, and fails at this time.
+    TimedOut(Time),
+}
+
+/// A complete list and the number of changes that it includes.
+#[derive(Debug)]
+struct CachedList {
+    version: usize,
+    list: Arc<SharedList>,
 }
 
-/// The list of endpoints and the line before it.
+/// The endpoint list and the queue of polls.
 #[derive(Debug)]
 pub struct Discovery {
-    call_seconds: f64,
-    poll_timeout: f64,
-    free_at: Time,
+    poll_seconds: Seconds,
+    poll_timeout: Seconds,
+    /// When the last poll in the queue will have been served.
+    idle_at: Time,
     initial: Vec<Endpoint>,
     changes: Vec<Change>,
-    /// The whole list after so many changes, kept as many gateways are told the same.
-    latest: Option<(usize, Arc<SharedList>)>,
+    /// The complete list that was asked for last, as many gateways get the same one.
+    cached: Option<CachedList>,
 }
 
 impl Discovery {
-    /// A service that knows these endpoints.
+    /// A service that lists these endpoints.
     pub fn new(figures: &configuration::Discovery, initial: Vec<Endpoint>) -> Self {
         Self {
-            call_seconds: 1.0 / figures.calls_per_second,
+            poll_seconds: 1.0 / figures.calls_per_second,
             poll_timeout: figures.poll_timeout,
-            free_at: 0.0,
+            idle_at: 0.0,
             initial,
             changes: Vec::new(),
-            latest: None,
+            cached: None,
         }
     }
 
-    /// Takes in a call for the list at `now`.
-    pub fn poll(&mut self, now: Time) -> PollOutcome {
-        let starts_at = self.free_at.max(now);
+    /// Receives a poll.
+    pub fn poll(&mut self, now: Time) -> PollResult {
+        let starts_at = self.idle_at.max(now);
         if starts_at - now > self.poll_timeout {
-            return PollOutcome::Failed(now + self.poll_timeout);
+            return PollResult::TimedOut(now + self.poll_timeout);
         }
-        self.free_at = starts_at + self.call_seconds;
-        PollOutcome::Answered(self.free_at)
+        self.idle_at = starts_at + self.poll_seconds;
+        PollResult::Answered(self.idle_at)
     }
 
-    /// Records a change, and gives it as it is told.
+    /// Records the change of an entry, and returns it as it is sent to the gateways.
     pub fn change(&mut self, now: Time, endpoint: Endpoint) -> Arc<SharedList> {
         self.changes.push(Change { at: now, endpoint: endpoint.clone() });
-        Arc::new(shared(vec![endpoint], false))
+        Arc::new(SharedList::new(vec![endpoint], false))
     }
 
-    /// The version after the last change.
+    /// The present version of the list: how many changes there were.
     pub fn version(&self) -> u64 {
         self.changes.len() as u64
     }
 
-    /// The whole list as it stood at `at`.
+    /// The complete list as it was at a time.
     pub fn list_at(&mut self, at: Time) -> Arc<SharedList> {
         let version = self.changes.partition_point(|change| change.at <= at);
-        if let Some((cached, list)) = &self.latest {
-            if *cached == version {
-                return list.clone();
-            }
+        if let Some(cached) = self.cached.as_ref().filter(|cached| cached.version == version) {
+            return Arc::clone(&cached.list);
         }
-        let list = Arc::new(shared(self.replay(version), true));
-        self.latest = Some((version, list.clone()));
+        let list = Arc::new(SharedList::new(self.replay(version), true));
+        self.cached = Some(CachedList { version, list: Arc::clone(&list) });
         list
     }
 
     /// The entries after so many changes, without those that are gone.
     fn replay(&self, version: usize) -> Vec<Endpoint> {
         let mut endpoints = self.initial.clone();
-        let known = |(place, endpoint): (usize, &Endpoint)| (endpoint.id.clone(), place);
-        let mut places: std::collections::BTreeMap<EndpointId, usize> =
-            endpoints.iter().enumerate().map(known).collect();
+        let mut positions: BTreeMap<EndpointId, usize> = BTreeMap::new();
+        for (position, endpoint) in endpoints.iter().enumerate() {
+            positions.insert(endpoint.id.clone(), position);
+        }
         for change in &self.changes[..version] {
-            match places.get(&change.endpoint.id) {
-                Some(place) => endpoints[*place] = change.endpoint.clone(),
+            match positions.get(&change.endpoint.id) {
+                Some(position) => endpoints[*position] = change.endpoint.clone(),
                 None => {
-                    places.insert(change.endpoint.id.clone(), endpoints.len());
+                    positions.insert(change.endpoint.id.clone(), endpoints.len());
                     endpoints.push(change.endpoint.clone());
                 }
             }
         }
-        endpoints.retain(|endpoint| endpoint.lifecycle != oliverack::Lifecycle::Gone);
+        endpoints.retain(|endpoint| endpoint.lifecycle != Lifecycle::Gone);
         endpoints
     }
 }
-
-fn shared(endpoints: Vec<Endpoint>, full: bool) -> SharedList {
-    let bytes = wire_size::list_answer(&endpoints, full);
-    SharedList { endpoints, bytes }
-}
--- a/lab/src/fleet/endpoints.rs
+++ b/lab/src/fleet/endpoints.rs
@@ -1,37 +1,37 @@
-//! The endpoints: slots, a bounded queue, a cold start, and the ways in which they fail.
+//! The model of an endpoint: slots, a bounded queue, slow start, and its kinds of failure.
 
 use super::configuration;
 use super::requests::AttemptKey;
 use oliverack::{Status, Time};
 use std::collections::VecDeque;
 
-/// What a endpoint does with requests at present.
+/// What an endpoint does with requests at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
     /// It serves them.
     Serving,
-    /// It finishes what it has and turns new ones away.
+    /// It finishes those that it has and rejects new ones.
     Draining,
-    /// It takes them and answers none.
+    /// It accepts them and never responds.
     Hung,
-    /// Nothing listens at its address, until it starts again.
+    /// Connections to it are refused until it starts again.
     Down,
-    /// Nothing listens at its address for good.
+    /// Connections to it are refused for good.
     Gone,
-    /// Its machine is out of reach: nothing is heard of it.
+    /// Its zone is lost: neither requests nor responses get through.
     Unreachable,
 }
 
-/// What becomes of an attempt that has reached a endpoint.
+/// What an endpoint does with an attempt that has reached it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reception {
-    /// Its service begins at once.
+    /// Its service starts at once.
     Started,
     /// It waits for a slot.
     Queued,
-    /// It is answered so, without service.
+    /// It ends with this status, without service.
     Rejected(Status),
-    /// Nothing is heard of it.
+    /// There is never a response.
     NoResponse,
 }
 
@@ -40,20 +40,19 @@
 pub struct SimulatedEndpoint {
     /// Its zone.
     pub zone: u32,
-    /// When it last started; 0: long ago.
+    /// When it last started; 0 for long ago.
     pub started: Time,
     /// What it does with requests.
     pub state: EndpointState,
-    /// Counts its is_incarnation: what one incarnation had in work ends with it.
-    pub incarnation: u32,
+    incarnation: u32,
     slots: usize,
-    queue: usize,
-    in_work: Vec<AttemptKey>,
-    waiting: VecDeque<AttemptKey>,
+    max_queued: usize,
+    in_service: Vec<AttemptKey>,
+    queue: VecDeque<AttemptKey>,
 }
 
 impl SimulatedEndpoint {
-    /// A endpoint that serves.
+    /// An endpoint that serves.
     pub fn new(figures: &configuration::Endpoints, zone: u32, started: Time) -> Self {
         Self {
             zone,
@@ -61,24 +60,34 @@
             state: EndpointState::Serving,
             incarnation: 0,
             slots: figures.slots as usize,
-            queue: figures.queue as usize,
-            in_work: Vec::new(),
-            waiting: VecDeque::new(),
+            max_queued: figures.queue as usize,
+            in_service: Vec::new(),
+            queue: VecDeque::new(),
         }
     }
 
-    /// Takes in an attempt.
+    /// Number of its incarnation; service that an earlier incarnation started never completes.
+    pub fn incarnation(&self) -> u32 {
+        self.incarnation
+    }
+
+    /// True if messages to it are read, even if it never responds.
+    pub fn reads_messages(&self) -> bool {
+        matches!(self.state, EndpointState::Serving | EndpointState::Draining | EndpointState::Hung)
+    }
+
+    /// Receives an attempt.
     pub fn receive(&mut self, attempt: AttemptKey) -> Reception {
         match self.state {
             EndpointState::Draining => Reception::Rejected(Status::Rejected),
             EndpointState::Down | EndpointState::Gone => Reception::Rejected(Status::ConnectFailed),
             EndpointState::Hung | EndpointState::Unreachable => Reception::NoResponse,
-            EndpointState::Serving if self.in_work.len() < self.slots => {
-                self.in_work.push(attempt);
+            EndpointState::Serving if self.in_service.len() < self.slots => {
+                self.in_service.push(attempt);
                 Reception::Started
             }
-            EndpointState::Serving if self.waiting.len() < self.queue => {
-                self.waiting.push_back(attempt);
+            EndpointState::Serving if self.queue.len() < self.max_queued => {
+                self.queue.push_back(attempt);
                 Reception::Queued
             }
             EndpointState::Serving => Reception::Rejected(Status::Rejected),
@@ -87,30 +96,30 @@
 
     /// Frees the slot of an attempt.
     pub fn finish(&mut self, attempt: AttemptKey) {
-        self.in_work.retain(|key| *key != attempt);
+        self.in_service.retain(|key| *key != attempt);
     }
 
-    /// Moves the next attempt that is still wanted into a free slot.
-    pub fn begin_next(&mut self, wanted: impl Fn(AttemptKey) -> bool) -> Option<AttemptKey> {
-        if self.in_work.len() >= self.slots {
+    /// Moves the next queued attempt that is still wanted into a free slot.
+    pub fn start_next(&mut self, is_wanted: impl Fn(AttemptKey) -> bool) -> Option<AttemptKey> {
+        if self.in_service.len() >= self.slots {
             return None;
         }
-        while let Some(attempt) = self.waiting.pop_front() {
-            if wanted(attempt) {
-                self.in_work.push(attempt);
+        while let Some(attempt) = self.queue.pop_front() {
+            if is_wanted(attempt) {
+                self.in_service.push(attempt);
                 return Some(attempt);
             }
         }
         None
     }
 
-    /// Ends this incarnation in a state that serves nothing, and gives up all that was held.
+    /// Ends this incarnation in a state that serves nothing, and returns the attempts that it had.
     pub fn stop(&mut self, state: EndpointState) -> Vec<AttemptKey> {
         self.state = state;
         self.incarnation += 1;
-        let mut held = std::mem::take(&mut self.in_work);
-        held.extend(std::mem::take(&mut self.waiting));
-        held
+        let mut attempts = std::mem::take(&mut self.in_service);
+        attempts.extend(std::mem::take(&mut self.queue));
+        attempts
     }
 
     /// Serves again; `started` is the time of a new start, or `None` if the process went on.
@@ -119,13 +128,13 @@
         self.started = started.unwrap_or(self.started);
     }
 
-    /// Its capacity at `now`, as a share of the full.
+    /// Its present capacity during slow start, as a share of its full capacity.
     pub fn capacity(&self, now: Time, figures: &configuration::Endpoints) -> f64 {
         let age = now - self.started;
         if self.started <= 0.0 || age >= figures.slow_start_window {
             return 1.0;
         }
-        figures.slow_start_initial_share
-            + (1.0 - figures.slow_start_initial_share) * age / figures.slow_start_window
+        let initial_share = figures.slow_start_initial_share;
+        initial_share + (1.0 - initial_share) * age / figures.slow_start_window
     }
 }
--- a/lab/src/fleet/event_queue.rs
+++ b/lab/src/fleet/event_queue.rs
@@ -1,68 +1,69 @@
-//! The discrete clock: a queue of events in the order of their time.
+//! The event queue of the simulation, and its clock.
 
 use oliverack::Time;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The clock at the start of a run. Not zero, as zero means "long ago" in the list of endpoints.
+/// The clock at the start of a run. Above zero, as a start time of zero means "long ago" in the endpoint list.
 pub const RUN_START: Time = 100.0;
 
 /// One event and when it is due.
 #[derive(Debug)]
-struct Entry<E> {
+struct QueueEntry<E> {
     at: Time,
     sequence: u64,
     event: E,
 }
 
-impl<E> Ord for Entry<E> {
-    /// The earliest entry is the greatest, as the heap gives out its greatest first.
+impl<E> Ord for QueueEntry<E> {
+    /// The earliest entry is the greatest, as the heap pops its greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-impl<E> PartialOrd for Entry<E> {
+impl<E> PartialOrd for QueueEntry<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> PartialEq for Entry<E> {
+impl<E> PartialEq for QueueEntry<E> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<E> Eq for Entry<E> {}
+impl<E> Eq for QueueEntry<E> {}
 
-/// Gives out events by time; events of the same time in the order in which they were scheduled.
+/// Events by time; events of the same time in the order in which they were scheduled.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     now: Time,
-    scheduled: u64,
-    entries: BinaryHeap<Entry<E>>,
+    last_sequence: u64,
+    entries: BinaryHeap<QueueEntry<E>>,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Self { now: RUN_START, scheduled: 0, entries: BinaryHeap::new() }
+        Self { now: RUN_START, last_sequence: 0, entries: BinaryHeap::new() }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// The time of the event given out last.
+    /// The time of the last event that was popped.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Schedules an event; one that would lie in the past is due at once.
+    /// Schedules an event; one whose time has passed is due at once.
     pub fn schedule(&mut self, at: Time, event: E) {
-        self.scheduled += 1;
-        self.entries.push(Entry { at: at.max(self.now), sequence: self.scheduled, event });
+        self.last_sequence += 1;
+        let entry = QueueEntry { at: at.max(self.now), sequence: self.last_sequence, event };
+        self.entries.push(entry);
     }
 
-    /// Takes the next event that is due no later than `limit`, and moves the clock to it.
+    /// Pops the next event that is due no later than `limit`, and moves the clock to its time.
     pub fn pop_until(&mut self, limit: Time) -> Option<E> {
         if self.entries.peek()?.at > limit {
             return None;
--- a/lab/src/fleet/gateways.rs
+++ b/lab/src/fleet/gateways.rs
@@ -1,11 +1,10 @@
-//! The gateways: each holds the policy itself, which starts anew at every restart.
+//! A simulated gateway: it hosts the policy itself, which starts without any state at every restart.
 
-use super::configuration::{Configuration, RepeatEffect};
-use super::counter_calls::CounterCalls;
-use super::measures::Traffic;
-use super::processor::{ProcessorTimes, Work};
+use super::configuration::{self, Configuration, DiscoveryMode, RepeatEffect};
+use super::processor::{PolicyWork, ProcessorTimes};
 use oliverack::{
-    Action, Class, Effect, Event, Gateway, IdempotencyScope, Plan, Settings, SettingsError, Time,
+    Action, Class, Effect, EndpointCounts, Event, Gateway, IdempotencyScope, Plan, Settings, SettingsError,
+    Time,
 };
 use std::collections::HashSet;
 use std::time::Instant;
@@ -15,120 +14,110 @@
 pub struct SimulatedGateway {
     /// Its zone.
     pub zone: u32,
-    /// Seconds by which news of the endpoints is late here.
-    pub propagation_delay: f64,
-    /// Counts its is_incarnation: events for a past incarnation are dropped.
-    pub incarnation: u32,
-    /// Since when it has been down; `None`: it is up.
-    pub down_since: Option<Time>,
-    /// The service tells it changes.
-    pub watching: bool,
-    /// When the last answer of the service came.
-    pub last_answer_at: Time,
-    /// Its calls to the counter.
-    pub calls: CounterCalls,
-    /// Its messages.
-    pub traffic: Traffic,
-    /// Requests that are open.
-    pub open: usize,
-    /// Most that were.
-    pub max_open: usize,
-    /// Requests that it has taken.
-    pub requests: u64,
+    incarnation: u32,
+    down_since: Option<Time>,
+    open_requests: usize,
+    max_open_requests: usize,
+    /// Tenants whose requests it has received, over all incarnations.
     tenants: HashSet<usize>,
     policy: Gateway,
 }
 
 impl SimulatedGateway {
-    /// A gateway that knows nothing yet.
+    /// A gateway that is up, without any state.
     ///
     /// # Errors
-    /// Settings that the policy refuses.
-    pub fn new(
-        settings: Settings,
-        seed: u64,
-        propagation_delay: f64,
-        now: Time,
-    ) -> Result<Self, SettingsError> {
+    /// The policy rejects its settings.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Self {
             zone: settings.zone,
-            propagation_delay,
             incarnation: 0,
             down_since: None,
-            watching: false,
-            last_answer_at: now,
-            calls: CounterCalls::default(),
-            traffic: Traffic::default(),
-            open: 0,
-            max_open: 0,
-            requests: 0,
+            open_requests: 0,
+            max_open_requests: 0,
             tenants: HashSet::new(),
             policy: Gateway::new(settings, seed)?,
         })
     }
 
-    /// Ends this incarnation: all that the policy knew and waited for is lost.
+    /// Number of its present incarnation, or of the next one while it is down.
+    pub fn incarnation(&self) -> u32 {
+        self.incarnation
+    }
+
+    /// Since when it has been down; `None` if it is up.
+    pub fn down_since(&self) -> Option<Time> {
+        self.down_since
+    }
+
+    /// Ends this incarnation. Events for it are dropped from now on.
     pub fn stop(&mut self, now: Time) {
         self.incarnation += 1;
         self.down_since = Some(now);
-        self.watching = false;
-        self.calls = CounterCalls::default();
-        self.open = 0;
+        self.open_requests = 0;
     }
 
-    /// Starts a new incarnation.
+    /// Starts the next incarnation.
     ///
     /// # Errors
-    /// Settings that the policy refuses.
-    pub fn start(&mut self, settings: Settings, seed: u64, now: Time) -> Result<(), SettingsError> {
+    /// The policy rejects its settings.
+    pub fn start(&mut self, settings: Settings, seed: u64) -> Result<(), SettingsError> {
         self.policy = Gateway::new(settings, seed)?;
         self.down_since = None;
-        self.last_answer_at = now;
         Ok(())
     }
 
-    /// Whether it is up, in this incarnation.
-    pub fn is_incarnation(&self, incarnation: u32) -> bool {
+    /// True if this incarnation is up.
+    pub fn is_running(&self, incarnation: u32) -> bool {
         self.down_since.is_none() && self.incarnation == incarnation
     }
 
-    /// Gives an event to the policy, and measures the time that it takes.
-    pub fn handle(&mut self, now: Time, event: Event, times: &mut ProcessorTimes) -> Vec<Action> {
-        let work = Work::of(&event);
+    /// Notifies the policy of an event, and measures the time that it takes.
+    pub fn notify(&mut self, now: Time, event: Event, times: &mut ProcessorTimes) -> Vec<Action> {
+        let work = PolicyWork::of(&event);
         let mut actions = Vec::new();
-        let begun = Instant::now();
+        let started = Instant::now();
         self.policy.handle(now, event, &mut actions);
-        times.record(work, begun.elapsed());
+        times.record(work, started.elapsed());
         actions
     }
 
-    /// Notes a request of a tenant.
-    pub fn note_request(&mut self, tenant: usize) {
-        self.requests += 1;
-        self.open += 1;
-        self.max_open = self.max_open.max(self.open);
+    /// Records that a request of a tenant was opened.
+    pub fn request_opened(&mut self, tenant: usize) {
+        self.open_requests += 1;
+        self.max_open_requests = self.max_open_requests.max(self.open_requests);
         self.tenants.insert(tenant);
     }
 
-    /// Tenants that it has met in all its is_incarnation.
-    pub fn tenants(&self) -> usize {
+    /// Records that a request was closed.
+    pub fn request_closed(&mut self) {
+        self.open_requests -= 1;
+    }
+
+    /// Most requests that were open at once.
+    pub fn max_open_requests(&self) -> usize {
+        self.max_open_requests
+    }
+
+    /// How many tenants it has received requests of, over all incarnations.
+    pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
     /// Endpoints that the policy lists, and those of them that it avoids.
-    pub fn endpoint_counts(&self, now: Time) -> oliverack::EndpointCounts {
+    pub fn endpoint_counts(&self, now: Time) -> EndpointCounts {
         self.policy.endpoint_counts(now)
     }
 }
 
-/// What the policy is told at its start.
-pub fn settings(configuration: &Configuration, number: u32, zone: u32) -> Settings {
+/// The policy's settings for a gateway.
+pub fn policy_settings(configuration: &Configuration, index: u32, zone: u32) -> Settings {
     let mut settings = Settings::default();
-    settings.gateway_index = number;
+    settings.gateway_index = index;
     settings.gateway_count = configuration.gateways.count;
     settings.zone = zone;
-    settings.classes = configuration.classes.iter().map(class).collect();
-    settings.plans = configuration.plans.iter().map(plan).collect();
+    settings.classes = configuration.classes.iter().map(policy_class).collect();
+    settings.plans = configuration.plans.iter().map(policy_plan).collect();
     settings.has_counter = configuration.counter.is_some();
     settings.counter_timeout = configuration.policy.counter_timeout;
     settings.max_units = f64::from(configuration.tenants.max_units);
@@ -136,7 +125,7 @@
     settings.hedging_enabled = configuration.policy.hedging_enabled;
     settings.max_attempts = configuration.policy.max_attempts;
     settings.max_retry_after = configuration.policy.max_retry_after;
-    settings.discovery_is_polled = configuration.discovery.mode == super::configuration::DiscoveryMode::Poll;
+    settings.discovery_is_polled = configuration.discovery.mode == DiscoveryMode::Poll;
     settings.slow_start_initial_share = configuration.endpoints.slow_start_initial_share;
     settings.slow_start_window = configuration.endpoints.slow_start_window;
     settings.overload_multiple = configuration.endpoints.overload_multiple;
@@ -144,7 +133,7 @@
     settings
 }
 
-fn class(figures: &super::configuration::Class) -> Class {
+fn policy_class(figures: &configuration::Class) -> Class {
     let mut class = Class::default();
     class.latency_objective = figures.latency_objective;
     class.late_weight_share = figures.late_weight_share;
@@ -158,7 +147,7 @@
     class
 }
 
-fn plan(figures: &super::configuration::Plan) -> Plan {
+fn policy_plan(figures: &configuration::Plan) -> Plan {
     let mut plan = Plan::default();
     plan.rate = figures.rate;
     plan.burst = figures.burst;
@@ -171,11 +160,11 @@
     plan
 }
 
-/// An event and the incarnation of the gateway that it is meant for.
+/// One incarnation of a gateway, to which an event is addressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayAddress {
-    /// The gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// Its incarnation.
+    /// Number of the incarnation.
     pub incarnation: u32,
 }
--- a/lab/src/fleet/incident_plan.rs
+++ b/lab/src/fleet/incident_plan.rs
@@ -1,164 +1,157 @@
-//! Turns the faults of a configuration into single incidents, each with its time.
+//! The schedule of faults: turns those of a configuration into single incidents, each with its time.
 
-use super::configuration::{Configuration, Fault};
+use super::configuration::{Configuration, Fault, Range};
 use super::event_queue::RUN_START;
 use super::randomness::{sample, uniform};
-use oliverack::Time;
+use oliverack::{Seconds, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// One thing that happens to the fleet.
+/// The begin or the end of a fault at one part of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Incident {
-    /// A gateway dies, to start anew after the time that this takes.
+    /// A gateway stops, and starts again after its restart time.
     RestartGateway(usize),
-    /// A zone falls silent.
+    /// The gateways of a zone stop, and its endpoints become unreachable.
     LoseZone(u32),
-    /// A zone starts anew.
+    /// The gateways and endpoints of a lost zone start again.
     RestoreZone(u32),
-    /// A zone is cut off from the counter, or joined to it again.
-    CutCounter {
+    /// A zone is cut off from the counter, or connected again.
+    SetCounterCut {
         /// The zone.
         zone: u32,
-        /// It is cut off.
-        cut: bool,
+        /// True if it is cut off from now on.
+        is_cut: bool,
     },
-    /// The counter takes so many times as long for a call.
+    /// The time that the counter takes for a call is multiplied by this factor.
     SlowCounter(f64),
-    /// The counter falls silent, or speaks again.
+    /// The counter stops to respond (true), or responds again (false).
     SilenceCounter(bool),
-    /// The counter forgets this share of its names.
-    ForgetCounts(f64),
-    /// A endpoint crashes.
+    /// The counter loses this share of its entries.
+    LoseCounterEntries(f64),
+    /// An endpoint crashes.
     CrashEndpoint(usize),
-    /// A endpoint that crashed starts anew.
+    /// A crashed endpoint starts again.
     StartEndpoint(usize),
-    /// A endpoint stops to answer.
+    /// An endpoint hangs.
     HangEndpoint(usize),
-    /// A endpoint that hung goes on.
+    /// A hung endpoint serves again.
     ResumeEndpoint(usize),
-    /// A endpoint drains.
+    /// An endpoint starts to drain.
     DrainEndpoint(usize),
-    /// A endpoint that drained is gone.
+    /// A draining endpoint shuts down.
     RemoveEndpoint(usize),
-    /// A endpoint is added.
+    /// An endpoint is added.
     AddEndpoint,
 }
 
 /// An incident and its time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedIncident {
-    /// When.
+    /// When it happens.
     pub at: Time,
-    /// What.
+    /// What happens.
     pub incident: Incident,
 }
 
-/// Collects incidents, with times counted from the run's start.
+/// The incidents planned so far.
 #[derive(Debug, Default)]
 struct IncidentPlan {
     incidents: Vec<PlannedIncident>,
 }
 
 impl IncidentPlan {
-    fn add(&mut self, seconds: f64, incident: Incident) {
-        self.incidents.push(PlannedIncident { at: RUN_START + seconds, incident });
+    /// Plans an incident so long after the start of the run.
+    fn add(&mut self, after: Seconds, incident: Incident) {
+        self.incidents.push(PlannedIncident { at: RUN_START + after, incident });
     }
 
-    fn add_span(&mut self, at: f64, begin: Incident, until: f64, end: Incident) {
+    /// Plans the begin and the end of a fault.
+    fn add_span(&mut self, at: Seconds, begin: Incident, until: Seconds, end: Incident) {
         self.add(at, begin);
         self.add(until, end);
     }
-}
 
-/// Seconds that a endpoint drains for before it is replaced.
-const REPLACEMENT_DRAIN_SECONDS: f64 = 2.0;
+    /// Plans that an endpoint is replaced by another.
+    fn add_replacement(&mut self, at: Seconds, endpoint: usize) {
+        let until = at + REPLACEMENT_DRAIN;
+        self.add_drain(at, until, endpoint);
+        self.add(until, Incident::AddEndpoint);
+    }
 
-/// All incidents of a run, in the order of the file.
-pub fn plan(configuration: &Configuration, generator: &mut ChaCha8Rng) -> Vec<PlannedIncident> {
-    let mut plan = IncidentPlan::default();
-    for fault in &configuration.faults {
-        plan_fault(configuration, fault, &mut plan, generator);
+    /// Plans that an endpoint drains, and then shuts down.
+    fn add_drain(&mut self, at: Seconds, until: Seconds, endpoint: usize) {
+        self.add_span(at, Incident::DrainEndpoint(endpoint), until, Incident::RemoveEndpoint(endpoint));
     }
-    plan.incidents
-}
 
-fn plan_fault(
-    configuration: &Configuration,
-    fault: &Fault,
-    plan: &mut IncidentPlan,
-    generator: &mut ChaCha8Rng,
-) {
-    let endpoints = configuration.endpoints.count as usize;
-    let gateways = configuration.gateways.count as usize;
-    match *fault {
-        Fault::RestartAtOnce { at, share } => {
-            for gateway in sample(generator, gateways, share) {
-                plan.add(at, Incident::RestartGateway(gateway));
+    /// Plans all incidents of a fault.
+    fn add_fault(&mut self, configuration: &Configuration, fault: &Fault, generator: &mut ChaCha8Rng) {
+        let endpoints = configuration.endpoints.count as usize;
+        let gateways = configuration.gateways.count as usize;
+        match *fault {
+            Fault::RestartAtOnce { at, share } => {
+                for gateway in sample(generator, gateways, share) {
+                    self.add(at, Incident::RestartGateway(gateway));
+                }
             }
-        }
-        Fault::RestartOneByOne { from, until, count } => {
-            for _ in 0..count {
-                let gateway = generator.random_range(0..gateways);
-                plan.add(uniform(generator, [from, until]), Incident::RestartGateway(gateway));
+            Fault::RestartOneByOne { from, until, count } => {
+                for _ in 0..count {
+                    let gateway = generator.random_range(0..gateways);
+                    let at = uniform(generator, Range { min: from, max: until });
+                    self.add(at, Incident::RestartGateway(gateway));
+                }
             }
-        }
-        Fault::LoseZone { at, until, zone } => {
-            plan.add_span(at, Incident::LoseZone(zone), until, Incident::RestoreZone(zone));
-        }
-        Fault::CutCounter { at, until, zone } => {
-            let [cut, joined] = [true, false].map(|cut| Incident::CutCounter { zone, cut });
-            plan.add_span(at, cut, until, joined);
-        }
-        Fault::SlowCounter { at, until, factor } => {
-            plan.add_span(at, Incident::SlowCounter(factor), until, Incident::SlowCounter(1.0));
-        }
-        Fault::SilenceCounter { at, until } => {
-            plan.add_span(at, Incident::SilenceCounter(true), until, Incident::SilenceCounter(false));
-        }
-        Fault::ForgetCounts { at, share } => plan.add(at, Incident::ForgetCounts(share)),
-        Fault::CrashEndpoints { at, until, share } => {
-            for endpoint in sample(generator, endpoints, share) {
-                plan.add_span(
-                    at,
-                    Incident::CrashEndpoint(endpoint),
-                    until,
-                    Incident::StartEndpoint(endpoint),
-                );
+            Fault::LoseZone { at, until, zone } => {
+                self.add_span(at, Incident::LoseZone(zone), until, Incident::RestoreZone(zone));
             }
-        }
-        Fault::HangEndpoints { at, until, share } => {
-            for endpoint in sample(generator, endpoints, share) {
-                plan.add_span(
-                    at,
-                    Incident::HangEndpoint(endpoint),
-                    until,
-                    Incident::ResumeEndpoint(endpoint),
-                );
+            Fault::CutCounter { at, until, zone } => {
+                let begin = Incident::SetCounterCut { zone, is_cut: true };
+                let end = Incident::SetCounterCut { zone, is_cut: false };
+                self.add_span(at, begin, until, end);
             }
-        }
-        Fault::DrainEndpoints { at, until, share } => {
-            for endpoint in sample(generator, endpoints, share) {
-                plan.add_span(
-                    at,
-                    Incident::DrainEndpoint(endpoint),
-                    until,
-                    Incident::RemoveEndpoint(endpoint),
-                );
+            Fault::SlowCounter { at, until, factor } => {
+                self.add_span(at, Incident::SlowCounter(factor), until, Incident::SlowCounter(1.0));
             }
-        }
-        Fault::ReplaceEndpoints { from, until, count } => {
-            for endpoint in sample(generator, endpoints, f64::from(count) / endpoints as f64) {
-                let at = uniform(generator, [from, until]);
-                let gone = at + REPLACEMENT_DRAIN_SECONDS;
-                plan.add_span(
-                    at,
-                    Incident::DrainEndpoint(endpoint),
-                    gone,
-                    Incident::RemoveEndpoint(endpoint),
-                );
-                plan.add(gone, Incident::AddEndpoint);
+            Fault::SilenceCounter { at, until } => {
+                self.add_span(at, Incident::SilenceCounter(true), until, Incident::SilenceCounter(false));
+            }
+            Fault::LoseCounterEntries { at, share } => self.add(at, Incident::LoseCounterEntries(share)),
+            Fault::CrashEndpoints { at, until, share } => {
+                for endpoint in sample(generator, endpoints, share) {
+                    let (crash, start) =
+                        (Incident::CrashEndpoint(endpoint), Incident::StartEndpoint(endpoint));
+                    self.add_span(at, crash, until, start);
+                }
+            }
+            Fault::HangEndpoints { at, until, share } => {
+                for endpoint in sample(generator, endpoints, share) {
+                    let (hang, resume) =
+                        (Incident::HangEndpoint(endpoint), Incident::ResumeEndpoint(endpoint));
+                    self.add_span(at, hang, until, resume);
+                }
+            }
+            Fault::DrainEndpoints { at, until, share } => {
+                for endpoint in sample(generator, endpoints, share) {
+                    self.add_drain(at, until, endpoint);
+                }
+            }
+            Fault::ReplaceEndpoints { from, until, count } => {
+                for endpoint in sample(generator, endpoints, f64::from(count) / endpoints as f64) {
+                    self.add_replacement(uniform(generator, Range { min: from, max: until }), endpoint);
+                }
             }
         }
     }
 }
+
+/// How long an endpoint drains before it is replaced.
+const REPLACEMENT_DRAIN: Seconds = 2.0;
+
+/// All incidents of a run, in the order of the file.
+pub fn plan(configuration: &Configuration, generator: &mut ChaCha8Rng) -> Vec<PlannedIncident> {
+    let mut plan = IncidentPlan::default();
+    for fault in &configuration.faults {
+        plan.add_fault(configuration, fault, generator);
+    }
+    plan.incidents
+}
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -1,12 +1,18 @@
-//! What a run counts.
+//! What a run counts. The names of the report's JSON keys are older than those of the fields and stay as they are.
 
 use super::event_queue::RUN_START;
 use hdrhistogram::Histogram;
-use oliverack::{Status, Time};
+use oliverack::{Seconds, Status, Time};
 use serde::Serialize;
 use std::ops::AddAssign;
 
-/// Messages and their bytes, both ways.
+/// Longest latency that the histogram holds, in microseconds: one hour.
+const MAX_LATENCY_MICROSECONDS: u64 = 3_600_000_000;
+/// Significant digits of the latency histogram.
+const LATENCY_DIGITS: u8 = 3;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
+/// Messages and their bytes, in both directions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
     /// Messages.
@@ -30,28 +36,47 @@
     }
 }
 
-/// Messages that services and endpoints take and give.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+/// Traffic of each role.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RoleTraffic {
+    /// Each gateway, by index.
+    pub gateways: Vec<Traffic>,
     /// The counter.
     pub counter: Traffic,
     /// Discovery.
     pub discovery: Traffic,
-    /// All endpoints.
+    /// All endpoints together.
     pub endpoints: Traffic,
 }
 
-/// How the demands of clients ended, and their worth.
+/// How demands ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DemandOutcome {
+    /// Served within the latency objective.
+    Served,
+    /// Served later.
+    ServedLate,
+    /// Rejected for good.
+    Rejected,
+    /// Failed.
+    Failed,
+    /// The client left without a response.
+    Abandoned,
+    /// Its gateway stopped or was down.
+    Lost,
+}
+
+/// Demands and how they ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct DemandCounts {
-    /// Asked for.
+    /// Submitted.
     #[serde(rename = "asked")]
     pub submitted: u64,
-    /// Answered within the aim of their class.
+    /// Served within the latency objective of their class.
     pub served: u64,
-    /// Answered later.
+    /// Served later.
     pub served_late: u64,
-    /// Refused, retries included.
+    /// Rejected for good, after any retries.
     #[serde(rename = "refused")]
     pub rejected: u64,
     /// Failed.
@@ -63,90 +88,110 @@
 }
 
 impl DemandCounts {
-    fn of(&mut self, outcome: DemandOutcome) -> &mut u64 {
-        match outcome {
+    fn count_outcome(&mut self, outcome: DemandOutcome) {
+        let count = match outcome {
             DemandOutcome::Served => &mut self.served,
             DemandOutcome::ServedLate => &mut self.served_late,
             DemandOutcome::Rejected => &mut self.rejected,
             DemandOutcome::Failed => &mut self.failed,
             DemandOutcome::Abandoned => &mut self.abandoned,
             DemandOutcome::Lost => &mut self.lost,
-        }
+        };
+        *count += 1;
     }
 }
 
-/// How a demand ended.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DemandOutcome {
-    /// Answered within the aim.
-    Served,
-    /// Answered later.
-    ServedLate,
-    /// Refused.
-    Rejected,
-    /// Failed.
-    Failed,
-    /// The client left.
-    Abandoned,
-    /// Its gateway died or was down.
-    Lost,
-}
-
-/// Worth that was asked for inside quotas, and what became of it.
+/// Weight of the demands that were within quotas, and how these ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct InQuotaWeight {
-    /// Asked for.
+    /// Submitted.
     #[serde(rename = "asked")]
     pub submitted: f64,
-    /// Answered within the aim.
+    /// Served within the latency objective.
     pub served: f64,
-    /// Refused.
+    /// Rejected for good.
     #[serde(rename = "refused")]
     pub rejected: f64,
     /// Ended in any other way.
     pub otherwise: f64,
 }
 
-/// What was sent to endpoints, against the true quotas.
+impl InQuotaWeight {
+    fn count_outcome(&mut self, outcome: DemandOutcome, weight: f64) {
+        let sum = match outcome {
+            DemandOutcome::Served => &mut self.served,
+            DemandOutcome::Rejected => &mut self.rejected,
+            _ => &mut self.otherwise,
+        };
+        *sum += weight;
+    }
+}
+
+/// A submission that was forwarded to an endpoint for the first time.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Forwarded {
+    /// Its units.
+    pub units: f64,
+    /// Their weight.
+    pub weight: f64,
+    /// Share of the weight that the plan charges for units over quota.
+    pub over_quota_cost_share: f64,
+    /// The true quota had enough units.
+    pub is_within_quota: bool,
+}
+
+/// What was forwarded to endpoints, against the true quotas.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct QuotaCounts {
-    /// Units sent inside quotas.
+    /// Units forwarded within quotas.
     #[serde(rename = "units_inside")]
     pub units_within_quota: f64,
-    /// Units sent beyond them.
+    /// Units forwarded over quotas.
     #[serde(rename = "units_beyond")]
     pub units_over_quota: f64,
-    /// Worth sent beyond them.
+    /// Their weight.
     #[serde(rename = "worth_beyond")]
     pub weight_over_quota: f64,
-    /// What that costs by the plans' prices.
+    /// What the plans charge for them.
     pub overrun_cost: f64,
 }
 
+impl QuotaCounts {
+    fn count(&mut self, forwarded: Forwarded) {
+        if forwarded.is_within_quota {
+            self.units_within_quota += forwarded.units;
+        } else {
+            self.units_over_quota += forwarded.units;
+            self.weight_over_quota += forwarded.weight;
+            self.overrun_cost += forwarded.weight * forwarded.over_quota_cost_share;
+        }
+    }
+}
+
 /// Attempts and how they ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct AttemptCounts {
-    /// Forwarded.
+    /// Sent.
     pub sent: u64,
     /// Served.
     pub ok: u64,
-    /// Turned away.
+    /// Rejected by the endpoint.
     #[serde(rename = "full")]
     pub rejected: u64,
-    /// Without an answer in time.
+    /// Without a response in time.
     pub timeout: u64,
     /// Without a connection.
     pub connect_failed: u64,
-    /// Broken.
+    /// With a connection that broke.
     pub reset: u64,
-    /// Called off, or never sent.
+    /// Cancelled, or never sent.
     pub cancelled: u64,
 }
 
 impl AttemptCounts {
-    /// Counts an outcome.
+    /// Counts the end of an attempt.
     pub fn count(&mut self, status: Status) {
-        let counted = match status {
+        let count = match status {
             Status::Ok => &mut self.ok,
             Status::Rejected => &mut self.rejected,
             Status::Timeout => &mut self.timeout,
@@ -154,7 +199,7 @@
             Status::Error | Status::Reset => &mut self.reset,
             Status::Cancelled | Status::NotSent => &mut self.cancelled,
         };
-        *counted += 1;
+        *count += 1;
     }
 }
 
@@ -165,28 +210,40 @@
     pub made: u64,
     /// Answered in time with a total.
     pub ok: u64,
-    /// Answered in time that the counter is full.
+    /// Rejected in time, as the counter's queue was full.
     #[serde(rename = "full")]
     pub rejected: u64,
     /// Not answered in time.
     pub timeout: u64,
-    /// Added though nobody waited any more.
+    /// Added by the counter though the caller no longer waited.
     #[serde(rename = "added_in_vain")]
     pub added_after_timeout: u64,
-    /// Names lost.
+    /// Entries that the counter lost.
     #[serde(rename = "names_lost")]
     pub entries_lost: u64,
 }
 
-/// What happened to the list of endpoints and to the gateways.
+impl CounterCallCounts {
+    /// Counts the end of a call.
+    pub fn count(&mut self, status: Status) {
+        let count = match status {
+            Status::Ok => &mut self.ok,
+            Status::Rejected => &mut self.rejected,
+            _ => &mut self.timeout,
+        };
+        *count += 1;
+    }
+}
+
+/// What happened to the endpoint list and to the gateways.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct FleetCounts {
     /// Changes of the list.
     pub list_changes: u64,
-    /// Whole lists told.
+    /// Complete lists sent to gateways.
     #[serde(rename = "lists_told")]
     pub complete_lists_sent: u64,
-    /// Calls for the list that failed.
+    /// Polls for the list that failed.
     #[serde(rename = "list_calls_failed")]
     pub polls_failed: u64,
     /// Restarts of gateways.
@@ -196,10 +253,10 @@
 /// One second of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct SecondCounts {
-    /// Demands, by the second in which they ended.
+    /// Demands that were submitted or ended.
     #[serde(rename = "wishes")]
     pub demands: DemandCounts,
-    /// Units sent.
+    /// Units forwarded.
     pub quotas: QuotaCounts,
     /// Counter calls made.
     pub counter_calls: u64,
@@ -212,11 +269,11 @@
 pub struct Measures {
     /// Demands.
     pub demands: DemandCounts,
-    /// Tries that reached a gateway: demands and their retries.
+    /// Submissions that reached a gateway: demands and their retries.
     pub submissions: u64,
-    /// Worth inside quotas.
+    /// Weight within quotas.
     pub in_quota_weight: InQuotaWeight,
-    /// Units sent.
+    /// Units forwarded.
     pub quotas: QuotaCounts,
     /// Attempts.
     pub attempts: AttemptCounts,
@@ -224,9 +281,9 @@
     pub counter_calls: CounterCallCounts,
     /// Lists and restarts.
     pub fleet: FleetCounts,
-    /// Traffic of services and endpoints.
+    /// Traffic of each role.
     pub traffic: RoleTraffic,
-    /// Times of the answers that served, from the client's first try on, in microseconds.
+    /// Time from the first submission to the response that served, in microseconds.
     pub latency: Histogram<u64>,
     /// Most requests that were open in the fleet at once.
     pub max_open: usize,
@@ -234,12 +291,10 @@
     pub seconds: Vec<SecondCounts>,
 }
 
-/// Longest latency that is told apart, in microseconds.
-const LONGEST_LATENCY: u64 = 3_600_000_000;
-
-impl Default for Measures {
-    fn default() -> Self {
-        let latency = Histogram::new_with_bounds(1, LONGEST_LATENCY, 3).expect("constant bounds are usable");
+impl Measures {
+    /// Nothing counted yet, for so many gateways.
+    pub fn new(gateway_count: usize) -> Self {
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROSECONDS, LATENCY_DIGITS);
         Self {
             demands: DemandCounts::default(),
             submissions: 0,
@@ -248,40 +303,13 @@
             attempts: AttemptCounts::default(),
             counter_calls: CounterCallCounts::default(),
             fleet: FleetCounts::default(),
-            traffic: RoleTraffic::default(),
-            latency,
+            traffic: RoleTraffic { gateways: vec![Traffic::default(); gateway_count], ..Default::default() },
+            latency: latency.expect("constant bounds are usable"),
             max_open: 0,
             seconds: Vec::new(),
         }
     }
-}
-
-/// What was sent and whether the quota held it.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Forwarded {
-    /// Units.
-    pub units: f64,
-    /// Their worth.
-    pub weight: f64,
-    /// The plan's price of an overrun, as a share of the worth.
-    pub over_quota_cost_share: f64,
-    /// The quota held them.
-    pub within_quota: bool,
-}
 
-impl QuotaCounts {
-    fn count(&mut self, sent: Forwarded) {
-        if sent.within_quota {
-            self.units_within_quota += sent.units;
-        } else {
-            self.units_over_quota += sent.units;
-            self.weight_over_quota += sent.weight;
-            self.overrun_cost += sent.weight * sent.over_quota_cost_share;
-        }
-    }
-}
-
-impl Measures {
     /// The counts of the second that `now` lies in.
     pub fn second(&mut self, now: Time) -> &mut SecondCounts {
         let index = (now - RUN_START).max(0.0) as usize;
@@ -291,7 +319,7 @@
         &mut self.seconds[index]
     }
 
-    /// Counts a demand; `in_quota_weight` is its worth where the quota holds it, else 0.
+    /// Counts a demand; `in_quota_weight` is its weight if it is within the quota, else 0.
     pub fn count_demand(&mut self, now: Time, in_quota_weight: f64) {
         self.demands.submitted += 1;
         self.second(now).demands.submitted += 1;
@@ -300,24 +328,20 @@
 
     /// Counts the end of a demand.
     pub fn count_outcome(&mut self, now: Time, outcome: DemandOutcome, in_quota_weight: f64) {
-        *self.demands.of(outcome) += 1;
-        *self.second(now).demands.of(outcome) += 1;
-        let worth = match outcome {
-            DemandOutcome::Served => &mut self.in_quota_weight.served,
-            DemandOutcome::Rejected => &mut self.in_quota_weight.rejected,
-            _ => &mut self.in_quota_weight.otherwise,
-        };
-        *worth += in_quota_weight;
+        self.demands.count_outcome(outcome);
+        self.second(now).demands.count_outcome(outcome);
+        self.in_quota_weight.count_outcome(outcome, in_quota_weight);
     }
 
-    /// Counts what was sent first for a try.
-    pub fn count_forwarded(&mut self, now: Time, sent: Forwarded) {
-        self.quotas.count(sent);
-        self.second(now).quotas.count(sent);
+    /// Counts a submission that was forwarded for the first time.
+    pub fn count_forwarded(&mut self, now: Time, forwarded: Forwarded) {
+        self.quotas.count(forwarded);
+        self.second(now).quotas.count(forwarded);
     }
 
-    /// Counts the time of an answer that served.
-    pub fn count_latency(&mut self, seconds: f64) {
-        self.latency.saturating_record((seconds * 1e6).round().max(1.0) as u64);
+    /// Counts the latency of a demand that was served.
+    pub fn count_latency(&mut self, latency: Seconds) {
+        let microseconds = (latency * MICROSECONDS_PER_SECOND).round().max(1.0) as u64;
+        self.latency.saturating_record(microseconds);
     }
 }
--- a/lab/src/fleet/randomness.rs
+++ b/lab/src/fleet/randomness.rs
@@ -1,25 +1,28 @@
-//! Random numbers: one independent stream of the seed for each part of the model, so that what one part draws
-//! does not depend on how the others behave.
+//! Random numbers: one independent stream of the seed for each part of the model, so that what one part draws does
+//! not depend on how the others behave.
 
+use super::configuration::Range;
+use rand::seq::index;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The parts of the model that draw random numbers.
+/// The parts of the model that draw random numbers. Their order is that of the streams: a change of it changes the
+/// results of every seed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stream {
     /// Seeds of the policies.
     Policies,
-    /// Tenants: their plans, gateways and use.
+    /// Tenants: their plans, gateways and usage.
     Tenants,
-    /// Arrivals of requests.
+    /// Arrivals of demands.
     Arrivals,
-    /// Choices of clients and of the front that deals out their requests.
+    /// Choices of clients and of the load balancer in front of the gateways.
     Clients,
-    /// Lateness of the list of endpoints.
+    /// Propagation delays of the endpoint list.
     Discovery,
-    /// Counts that the counter loses.
+    /// Entries that the counter loses.
     Counter,
-    /// Who is hit by a fault, and when.
+    /// Targets and times of faults.
     Faults,
 }
 
@@ -36,27 +39,27 @@
     -mean * (1.0 - uniform).ln()
 }
 
-/// A number from a range, both ends included.
-pub fn uniform(generator: &mut ChaCha8Rng, [least, most]: [f64; 2]) -> f64 {
-    least + (most - least) * generator.random::<f64>()
+/// A uniformly distributed number from a range.
+pub fn uniform(generator: &mut ChaCha8Rng, range: Range<f64>) -> f64 {
+    range.min + (range.max - range.min) * generator.random::<f64>()
 }
 
 /// An index, drawn by weight. The last one if rounding leaves none.
 pub fn weighted_index(generator: &mut ChaCha8Rng, weights: &[f64]) -> usize {
-    let mut left = generator.random::<f64>() * weights.iter().sum::<f64>();
+    let mut remaining = generator.random::<f64>() * weights.iter().sum::<f64>();
     for (index, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return index;
         }
     }
     weights.len().saturating_sub(1)
 }
 
-/// A share of `0..count`, drawn without repeats and given in rising order.
+/// A share of `0..count`, drawn without repeats, in rising order.
 pub fn sample(generator: &mut ChaCha8Rng, count: usize, share: f64) -> Vec<usize> {
     let amount = (count as f64 * share).round() as usize;
-    let mut chosen = rand::seq::index::sample(generator, count, amount.min(count)).into_vec();
+    let mut chosen = index::sample(generator, count, amount.min(count)).into_vec();
     chosen.sort_unstable();
     chosen
 }
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -1,5 +1,7 @@
-//! The results of a run: records for the JSON file, and a table for people.
+//! The results of a run as records, each a line of the JSON file. The JSON keys are older than the names of the fields
+//! and stay as they are.
 
+use super::gateways::SimulatedGateway;
 use super::measures::{
     AttemptCounts, CounterCallCounts, DemandCounts, FleetCounts, InQuotaWeight, QuotaCounts, SecondCounts,
     Traffic,
@@ -8,9 +10,10 @@
 use super::simulation::RunResult;
 use super::tenants::Tenant;
 use hdrhistogram::Histogram;
+use oliverack::Seconds;
 use serde::Serialize;
 
-/// Share of its burst by which a ceiling may be overdrawn.
+/// Share of its burst by which a ceiling may be overdrawn without being counted as exceeded.
 pub const MAX_CEILING_OVERDRAFT_SHARE: f64 = 0.1;
 
 /// Sizes of the run.
@@ -18,8 +21,8 @@
 pub struct RunRecord {
     /// The seed.
     pub seed: u64,
-    /// Seconds in which requests arrived.
-    pub seconds: f64,
+    /// How long requests arrived.
+    pub seconds: Seconds,
     /// Gateways.
     #[serde(rename = "gatekeepers")]
     pub gateways: usize,
@@ -28,46 +31,46 @@
     pub endpoints: u32,
     /// Tenants.
     pub tenants: usize,
-    /// Requests a second that the tenants poll for on average.
+    /// Long-term mean of the requests a second of all tenants.
     pub nominal_requests_per_second: f64,
 }
 
-/// Times of the answers that served, from the client's first try on, in milliseconds.
+/// Time from the first submission to the response that served, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LatencyRecord {
     /// Mean.
     pub mean: f64,
     /// Median.
     pub p50: f64,
-    /// 90 of 100 stay within it.
+    /// 90th percentile.
     pub p90: f64,
-    /// 99 of 100.
+    /// 99th percentile.
     pub p99: f64,
-    /// 999 of 1000.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// What was passed, against the true quotas and ceilings.
+/// What was forwarded, against the true quotas and ceilings.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct QuotaRecord {
-    /// Units and worth.
+    /// Units and their weight.
     #[serde(flatten)]
     pub counts: QuotaCounts,
     /// Tenants under a ceiling.
     pub ceilings: usize,
-    /// Those of them whose ceiling was overdrawn by more than its slack.
+    /// Those of them whose ceiling was overdrawn by more than [`MAX_CEILING_OVERDRAFT_SHARE`].
     #[serde(rename = "ceilings_broken")]
     pub ceilings_exceeded: usize,
     /// The lowest level of any ceiling, as a share of its burst; 1 without any.
     pub lowest_ceiling: f64,
 }
 
-/// Messages of one role, both ways.
+/// Messages of one role, in both directions.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TrafficRecord {
-    /// The role.
+    /// Name of the role.
     pub role: &'static str,
     /// Messages a second.
     pub messages_per_second: f64,
@@ -75,10 +78,10 @@
     pub bytes_per_second: f64,
 }
 
-/// Calls a try.
+/// Means for each submission.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PerSubmissionRecord {
-    /// Tries that reached a gateway.
+    /// Submissions that reached a gateway.
     #[serde(rename = "tries")]
     pub submissions: u64,
     /// Attempts at endpoints.
@@ -87,7 +90,7 @@
     pub counter_calls: f64,
 }
 
-/// What gateways hold.
+/// How much state the gateways and the counter have.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct StateRecord {
     /// Most requests open in the whole fleet at once.
@@ -95,17 +98,17 @@
     /// Most requests open at one gateway at once.
     #[serde(rename = "gatekeeper_open_max")]
     pub gateway_open_max: usize,
-    /// Tenants that a gateway met, on average.
+    /// Mean of the tenants that a gateway received requests of.
     pub tenants_mean: f64,
-    /// Most tenants that one met.
+    /// Most tenants that a gateway received requests of.
     pub tenants_max: usize,
-    /// Endpoints that a gateway lists at the end, on average.
+    /// Mean of the endpoints that a gateway lists at the end.
     #[serde(rename = "workers_listed_mean")]
     pub endpoints_listed_mean: f64,
-    /// Those of them that it avoids.
+    /// Mean of those of them that it avoids.
     #[serde(rename = "workers_avoided_mean")]
     pub endpoints_avoided_mean: f64,
-    /// Names that the counter holds at the end.
+    /// Entries that the counter holds at the end.
     #[serde(rename = "counter_names")]
     pub counter_entries: usize,
 }
@@ -116,7 +119,7 @@
     /// The policy's time.
     #[serde(flatten)]
     pub policy: ProcessorSummary,
-    /// Time that the whole run took.
+    /// Wall clock time of the run.
     pub run_wall_seconds: f64,
 }
 
@@ -133,23 +136,23 @@
     Latency(LatencyRecord),
     /// Quotas and ceilings.
     Quotas(QuotaRecord),
-    /// Worth inside quotas.
+    /// Weight within quotas.
     #[serde(rename = "inside_worth")]
     InQuotaWeight(InQuotaWeight),
     /// Attempts at endpoints.
     Attempts(AttemptCounts),
     /// Counter calls.
     CounterCalls(CounterCallCounts),
-    /// Calls a try.
+    /// Means for each submission.
     #[serde(rename = "per_try")]
     PerSubmission(PerSubmissionRecord),
     /// Lists and restarts.
     Fleet(FleetCounts),
     /// Messages of a role.
     Traffic(TrafficRecord),
-    /// State.
+    /// Amounts of state.
     State(StateRecord),
-    /// One second.
+    /// One second of the run.
     Second {
         /// Its number, from 0.
         second: usize,
@@ -161,36 +164,39 @@
     Processor(ProcessorRecord),
 }
 
-/// All records of a run, that of processor times last.
-pub fn records(outcome: &RunResult, seed: u64, run_wall_seconds: f64) -> Vec<Record> {
-    let measures = &outcome.measures;
+/// All records of a run; that of processor times is the last.
+pub fn records(result: &RunResult, seed: u64, run_wall_seconds: f64) -> Vec<Record> {
+    let measures = &result.measures;
     let mut records = vec![
-        Record::Run(run_record(outcome, seed)),
+        Record::Run(run_record(result, seed)),
         Record::Demands(measures.demands),
         Record::Latency(latency_record(&measures.latency)),
-        Record::Quotas(quota_record(measures.quotas, &outcome.tenants)),
+        Record::Quotas(quota_record(measures.quotas, &result.tenants)),
         Record::InQuotaWeight(measures.in_quota_weight),
         Record::Attempts(measures.attempts),
         Record::CounterCalls(measures.counter_calls),
-        Record::PerSubmission(per_submission_record(outcome)),
+        Record::PerSubmission(per_submission_record(result)),
         Record::Fleet(measures.fleet),
     ];
-    records.extend(traffic_records(outcome).into_iter().map(Record::Traffic));
-    records.push(Record::State(state_record(outcome)));
+    records.extend(traffic_records(result).into_iter().map(Record::Traffic));
+    records.push(Record::State(state_record(result)));
     let seconds = measures.seconds.iter().enumerate();
     records.extend(seconds.map(|(second, counts)| Record::Second { second, counts: *counts }));
-    records.push(Record::Processor(ProcessorRecord { policy: outcome.times.summary(), run_wall_seconds }));
+    records.push(Record::Processor(ProcessorRecord {
+        policy: result.processor_times.summary(),
+        run_wall_seconds,
+    }));
     records
 }
 
-fn run_record(outcome: &RunResult, seed: u64) -> RunRecord {
+fn run_record(result: &RunResult, seed: u64) -> RunRecord {
     RunRecord {
         seed,
-        seconds: outcome.configuration.seconds,
-        gateways: outcome.gateways.len(),
-        endpoints: outcome.configuration.endpoints.count,
-        tenants: outcome.tenants.len(),
-        nominal_requests_per_second: outcome.tenants.iter().map(Tenant::mean_requests_per_second).sum(),
+        seconds: result.configuration.seconds,
+        gateways: result.gateways.len(),
+        endpoints: result.configuration.endpoints.count,
+        tenants: result.tenants.len(),
+        nominal_requests_per_second: result.tenants.iter().map(Tenant::mean_requests_per_second).sum(),
     }
 }
 
@@ -216,49 +222,53 @@
     }
 }
 
-fn per_submission_record(outcome: &RunResult) -> PerSubmissionRecord {
-    let submissions = outcome.measures.submissions;
+fn per_submission_record(result: &RunResult) -> PerSubmissionRecord {
+    let submissions = result.measures.submissions;
     let per_submission = |count: u64| count as f64 / submissions.max(1) as f64;
     PerSubmissionRecord {
         submissions,
-        attempts: per_submission(outcome.measures.attempts.sent),
-        counter_calls: per_submission(outcome.measures.counter_calls.made),
+        attempts: per_submission(result.measures.attempts.sent),
+        counter_calls: per_submission(result.measures.counter_calls.made),
     }
 }
 
-fn traffic_records(outcome: &RunResult) -> Vec<TrafficRecord> {
+fn traffic_records(result: &RunResult) -> Vec<TrafficRecord> {
     let record = |role, messages: f64, bytes: f64| TrafficRecord {
         role,
-        messages_per_second: messages / outcome.configuration.seconds,
-        bytes_per_second: bytes / outcome.configuration.seconds,
+        messages_per_second: messages / result.configuration.seconds,
+        bytes_per_second: bytes / result.configuration.seconds,
     };
-    let whole = |role, traffic: Traffic| record(role, traffic.messages as f64, traffic.bytes as f64);
+    let total = |role, traffic: Traffic| record(role, traffic.messages as f64, traffic.bytes as f64);
+    let traffic = &result.measures.traffic;
     let mut all = Traffic::default();
-    outcome.gateways.iter().for_each(|gateway| all += gateway.traffic);
-    let count = outcome.gateways.len().max(1) as f64;
-    let busiest = outcome.gateways.iter().map(|g| g.traffic).max_by_key(|t| t.messages);
-    let traffic = &outcome.measures.traffic;
+    for gateway in &traffic.gateways {
+        all += *gateway;
+    }
+    let count = traffic.gateways.len().max(1) as f64;
+    let busiest = traffic.gateways.iter().copied().max_by_key(|gateway| gateway.messages);
     vec![
-        whole("gatekeepers", all),
+        total("gatekeepers", all),
         record("gatekeeper_mean", all.messages as f64 / count, all.bytes as f64 / count),
-        whole("gatekeeper_max", busiest.unwrap_or_default()),
-        whole("counter", traffic.counter),
-        whole("discovery", traffic.discovery),
-        whole("workers", traffic.endpoints),
+        total("gatekeeper_max", busiest.unwrap_or_default()),
+        total("counter", traffic.counter),
+        total("discovery", traffic.discovery),
+        total("workers", traffic.endpoints),
     ]
 }
 
-fn state_record(outcome: &RunResult) -> StateRecord {
-    let gateways = &outcome.gateways;
+fn state_record(result: &RunResult) -> StateRecord {
+    let gateways = &result.gateways;
     let count = gateways.len().max(1) as f64;
-    let endpoint_counts: Vec<_> = gateways.iter().map(|g| g.endpoint_counts(outcome.end)).collect();
+    let endpoint_counts: Vec<_> = gateways.iter().map(|g| g.endpoint_counts(result.end)).collect();
     StateRecord {
-        fleet_open_max: outcome.measures.max_open,
-        gateway_open_max: gateways.iter().map(|g| g.max_open).max().unwrap_or(0),
-        tenants_mean: gateways.iter().map(|g| g.tenants()).sum::<usize>() as f64 / count,
-        tenants_max: gateways.iter().map(|g| g.tenants()).max().unwrap_or(0),
-        endpoints_listed_mean: endpoint_counts.iter().map(|t| t.listed).sum::<usize>() as f64 / count,
-        endpoints_avoided_mean: endpoint_counts.iter().map(|t| t.avoided).sum::<usize>() as f64 / count,
-        counter_entries: outcome.counter_entries,
+        fleet_open_max: result.measures.max_open,
+        gateway_open_max: gateways.iter().map(SimulatedGateway::max_open_requests).max().unwrap_or(0),
+        tenants_mean: gateways.iter().map(SimulatedGateway::tenant_count).sum::<usize>() as f64 / count,
+        tenants_max: gateways.iter().map(SimulatedGateway::tenant_count).max().unwrap_or(0),
+        endpoints_listed_mean: endpoint_counts.iter().map(|counts| counts.listed).sum::<usize>() as f64
+            / count,
+        endpoints_avoided_mean: endpoint_counts.iter().map(|counts| counts.avoided).sum::<usize>() as f64
+            / count,
+        counter_entries: result.counter_entries,
     }
 }
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -1,224 +1,220 @@
-//! Clients, the front that deals out their requests, and the answers that they get.
+//! The clients, and the load balancer in front of the gateways that forwards their requests.
 
-use super::{ScheduledEvent, Simulation};
+use super::context::Context;
+use super::event::ScheduledEvent;
+use super::gateway_fleet::GatewayFleet;
 use crate::fleet::event_queue::RUN_START;
-use crate::fleet::gateways::GatewayAddress;
 use crate::fleet::measures::{DemandOutcome, Forwarded};
-use crate::fleet::randomness::{exponential, weighted_index};
-use crate::fleet::requests::{Demand, request_id_of};
-use crate::fleet::wire_size::{self, Quota, RequestHead};
-use oliverack::{Event, Request};
+use crate::fleet::randomness::{Stream, exponential, stream, weighted_index};
+use crate::fleet::requests::{Demand, RequestTable, policy_request_id};
+use crate::fleet::tenants::{self, Tenant};
+use crate::fleet::wire_size::{self, QuotaHeaders};
+use oliverack::{Request, Seconds};
 use rand::Rng;
+use rand_chacha::ChaCha8Rng;
 
-/// Seconds past its deadline that a client still takes an answer: that to a time-out that ends with the deadline.
-const CLIENT_DEADLINE_GRACE: f64 = 0.01;
+/// How long after its deadline a client still accepts a response: the last attempt may time out at the deadline
+/// itself, and its outcome has to come first.
+const CLIENT_DEADLINE_GRACE: Seconds = 0.01;
 
-/// Where the front sends a request.
+/// Where the load balancer sends a request.
 enum Route {
-    /// To this gateway.
-    Up(usize),
-    /// Nowhere: the gateway is down and the front has not noticed, or all of them are down.
-    Lost,
+    /// To this gateway, which is up.
+    Gateway(usize),
+    /// To a gateway that is down without the load balancer knowing yet; or all of the tenant's gateways are down.
+    Unavailable,
 }
 
-/// The worth of a demand, where the quota holds it.
-fn in_quota_weight(demand: &Demand) -> f64 {
-    if demand.within_quota { demand.weight } else { 0.0 }
+/// The tenants with their demands and true quotas.
+#[derive(Debug)]
+pub struct ClientModel {
+    tenants: Vec<Tenant>,
+    /// Draws when demands arise and what they are.
+    arrivals: ChaCha8Rng,
+    /// Draws routes and the decisions of clients.
+    choices: ChaCha8Rng,
 }
 
-impl Simulation {
-    pub(super) fn schedule_candidate(&mut self, tenant: usize) {
-        let now = self.queue.now();
-        let next = self.tenants[tenant].next_candidate(now, &mut self.generators.arrivals);
-        if let Some(at) = next.filter(|at| *at < RUN_START + self.configuration.seconds) {
-            self.queue.schedule(at, ScheduledEvent::ArrivalCandidate(tenant));
+impl ClientModel {
+    /// The tenants of a run.
+    pub fn new(context: &Context, seed: u64) -> Self {
+        Self {
+            tenants: tenants::draw(&context.configuration, &mut stream(seed, Stream::Tenants)),
+            arrivals: stream(seed, Stream::Arrivals),
+            choices: stream(seed, Stream::Clients),
         }
     }
 
-    pub(super) fn candidate(&mut self, tenant: usize) {
-        let now = self.queue.now();
-        self.schedule_candidate(tenant);
-        if self.tenants[tenant].accepts(now, &mut self.generators.arrivals) {
-            let demand = self.draw_demand(tenant);
-            self.measures.count_demand(now, in_quota_weight(&demand));
-            self.submit(demand);
+    /// Schedules the first arrival candidate of each tenant.
+    pub fn schedule_first_arrivals(&mut self, context: &mut Context) {
+        for tenant in 0..self.tenants.len() {
+            self.schedule_arrival(context, tenant);
         }
     }
 
-    fn draw_demand(&mut self, tenant: usize) -> Demand {
-        let now = self.queue.now();
-        let generator = &mut self.generators.arrivals;
-        let shares: Vec<f64> = self.configuration.classes.iter().map(|class| class.share).collect();
-        let class = weighted_index(generator, &shares);
-        let units = f64::from(generator.random_range(1..=self.configuration.tenants.max_units));
-        let endpoints = &self.configuration.endpoints;
+    fn schedule_arrival(&mut self, context: &mut Context, tenant: usize) {
+        let last = RUN_START + context.configuration.seconds;
+        let next = self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrivals);
+        if let Some(at) = next.filter(|at| *at < last) {
+            context.schedule_at(at, ScheduledEvent::ArrivalCandidate(tenant));
+        }
+    }
+
+    /// The arrival process of a tenant fires. Returns the demand that arises, if one does.
+    pub fn arrival_candidate(&mut self, context: &mut Context, tenant: usize) -> Option<Demand> {
+        self.schedule_arrival(context, tenant);
+        if !self.tenants[tenant].accepts_candidate(context.now(), &mut self.arrivals) {
+            return None;
+        }
+        let demand = self.draw_demand(context, tenant);
+        context.measures.count_demand(context.now(), demand.in_quota_weight());
+        Some(demand)
+    }
+
+    fn draw_demand(&mut self, context: &Context, tenant: usize) -> Demand {
+        let configuration = &context.configuration;
+        let now = context.now();
+        let generator = &mut self.arrivals;
+        let class_shares: Vec<f64> = configuration.classes.iter().map(|class| class.share).collect();
+        let class_index = weighted_index(generator, &class_shares);
+        let units = f64::from(generator.random_range(1..=configuration.tenants.max_units));
+        let endpoints = &configuration.endpoints;
         let mean = endpoints.service_seconds + endpoints.service_seconds_per_unit * units;
-        let varied = exponential(generator, mean * endpoints.service_variation);
-        let figures = &self.configuration.classes[class];
-        let plan = &self.configuration.plans[self.tenants[tenant].plan];
+        let varying_seconds = exponential(generator, mean * endpoints.service_variation);
+        let class = &configuration.classes[class_index];
+        let plan = &configuration.plans[self.tenants[tenant].plan];
         Demand {
             tenant,
-            class,
+            class: class_index,
             units,
             submitted_at: now,
-            deadline: now + figures.deadline,
-            work: mean * (1.0 - endpoints.service_variation) + varied,
-            weight: figures.unit_weight * plan.priority_weight * units,
-            within_quota: self.tenants[tenant].submitted.try_take(now, units),
+            deadline: now + class.deadline,
+            service_seconds: mean * (1.0 - endpoints.service_variation) + varying_seconds,
+            weight: class.unit_weight * plan.priority_weight * units,
+            is_within_quota: self.tenants[tenant].submitted_quota.try_take(now, units),
             retries: 0,
         }
     }
 
-    /// Chooses a gateway of the tenant's set; the front goes past those that it knows to be down.
-    fn route(&mut self, tenant: usize) -> Route {
-        let now = self.queue.now();
-        let count = self.gateways.len();
+    /// Chooses one of the tenant's gateways, by weight; the load balancer skips those that it knows to be down.
+    fn route(&mut self, context: &Context, gateways: &GatewayFleet, tenant: usize) -> Route {
+        let detection_delay = context.configuration.clients.failure_detection_delay;
         let tenant = &self.tenants[tenant];
-        let start = weighted_index(&mut self.generators.clients, &tenant.weights);
-        let spread = tenant.spread as usize;
-        for step in 0..spread {
-            let gateway = (tenant.first as usize + (start + step) % spread) % count;
-            match self.gateways[gateway].down_since {
-                None => return Route::Up(gateway),
-                Some(since) if now - since < self.configuration.clients.failure_detection_delay => {
-                    return Route::Lost;
-                }
-                Some(_) => {}
+        let start = weighted_index(&mut self.choices, &tenant.gateway_weights);
+        let gateway_count = tenant.gateway_count as usize;
+        for step in 0..gateway_count {
+            let offset = (start + step) % gateway_count;
+            let gateway = (tenant.first_gateway as usize + offset) % gateways.len();
+            let Some(down_since) = gateways.down_since(gateway) else { return Route::Gateway(gateway) };
+            if context.now() - down_since < detection_delay {
+                return Route::Unavailable;
             }
         }
-        Route::Lost
+        Route::Unavailable
     }
 
-    /// A client's try, the first or a later one.
-    pub(super) fn submit(&mut self, demand: Demand) {
-        let now = self.queue.now();
-        let Route::Up(gateway) = self.route(demand.tenant) else {
-            return self.measures.count_outcome(now, DemandOutcome::Lost, in_quota_weight(&demand));
+    /// A client submits a demand, for the first time or as a retry. Returns the gateway that receives the request, and
+    /// the request.
+    pub fn submit(
+        &mut self,
+        context: &mut Context,
+        gateways: &mut GatewayFleet,
+        requests: &mut RequestTable,
+        demand: Demand,
+    ) -> Option<Submission> {
+        let Route::Gateway(gateway) = self.route(context, gateways, demand.tenant) else {
+            count_outcome(context, &demand, DemandOutcome::Lost);
+            return None;
         };
-        self.measures.submissions += 1;
-        let number = self.requests.open(demand, gateway);
-        self.measures.max_open = self.measures.max_open.max(self.requests.len());
-        let bytes = self.client_request_bytes(&demand);
-        self.gateways[gateway].traffic.count(bytes);
-        self.gateways[gateway].note_request(demand.tenant);
-        self.queue.schedule(demand.deadline + CLIENT_DEADLINE_GRACE, ScheduledEvent::ClientDeadline(number));
+        let number = requests.open(demand, gateway);
+        context.measures.submissions += 1;
+        context.measures.max_open = context.measures.max_open.max(requests.len());
+        let bytes = self.request_bytes(context, &demand);
+        context.measures.traffic.gateways[gateway].count(bytes);
+        gateways.request_opened(gateway, demand.tenant);
+        let gives_up_at = demand.deadline + CLIENT_DEADLINE_GRACE;
+        context.schedule_at(gives_up_at, ScheduledEvent::ClientDeadline(number));
         let tenant = &self.tenants[demand.tenant];
         let request = Request {
-            id: request_id_of(number),
+            id: policy_request_id(number),
             units: demand.units,
             deadline: demand.deadline,
             plan: tenant.plan,
-            customer_gateway_count: tenant.spread,
-            first_gateway: tenant.first,
+            customer_gateway_count: tenant.gateway_count,
+            first_gateway: tenant.first_gateway,
             class: demand.class,
             customer: tenant.id.clone(),
             is_retry: demand.retries > 0,
         };
-        let to: GatewayAddress = self.address(gateway);
-        self.notify(to, Event::Request(request));
+        Some(Submission { gateway, request })
     }
 
-    pub(super) fn request_head(&self, demand: &Demand) -> RequestHead<'_> {
-        let class = &self.configuration.classes[demand.class];
-        RequestHead {
-            class: &class.name,
-            repeat: class.repeat_effect,
-            remaining: demand.deadline - self.queue.now(),
-            body: self.configuration.clients.request_body,
-        }
-    }
-
-    fn client_request_bytes(&self, demand: &Demand) -> u64 {
+    fn request_bytes(&self, context: &Context, demand: &Demand) -> u64 {
         let tenant = &self.tenants[demand.tenant];
-        let quota = Quota {
-            plan: &self.configuration.plans[tenant.plan].name,
+        let quota = QuotaHeaders {
+            plan: &context.configuration.plans[tenant.plan].name,
             units: demand.units,
-            spread: tenant.spread,
-            first: tenant.first,
-            resent: demand.retries > 0,
+            gateway_count: tenant.gateway_count,
+            first_gateway: tenant.first_gateway,
+            is_retry: demand.retries > 0,
         };
-        wire_size::client_request(&self.request_head(demand), &quota)
+        wire_size::client_request(&context.request_head(demand), &quota)
     }
 
-    /// Draws on the true quota and the true ceiling for a try that is sent on for the first time.
-    pub(super) fn draw_on_quota(&mut self, demand: &Demand) {
-        let now = self.queue.now();
+    /// Draws on the true quota and the true ceiling when the first attempt for a submission is forwarded.
+    pub fn draw_on_quota(&mut self, context: &mut Context, demand: &Demand) {
+        let now = context.now();
         let tenant = &mut self.tenants[demand.tenant];
-        let within_quota = tenant.sent.try_take(now, demand.units);
+        let is_within_quota = tenant.forwarded_quota.try_take(now, demand.units);
         if let Some(ceiling) = &mut tenant.ceiling {
-            tenant.lowest_ceiling = tenant.lowest_ceiling.min(ceiling.draw(now, demand.units));
+            tenant.lowest_ceiling = tenant.lowest_ceiling.min(ceiling.overdraw(now, demand.units));
         }
-        let over_quota_cost_share = self.configuration.plans[tenant.plan].over_quota_cost_share;
-        let sent =
-            Forwarded { units: demand.units, weight: demand.weight, over_quota_cost_share, within_quota };
-        self.measures.count_forwarded(now, sent);
+        let over_quota_cost_share = context.configuration.plans[tenant.plan].over_quota_cost_share;
+        let forwarded =
+            Forwarded { units: demand.units, weight: demand.weight, over_quota_cost_share, is_within_quota };
+        context.measures.count_forwarded(now, forwarded);
     }
 
-    /// Marks a request as answered with so many bytes. `None`: it had its answer.
-    fn answer(&mut self, number: u64, bytes: u64) -> Option<Demand> {
-        let request = self.requests.get_mut(number).filter(|request| !request.answered)?;
-        request.answered = true;
-        let (demand, gateway) = (request.demand, request.gateway);
-        self.gateways[gateway].traffic.count(bytes);
-        Some(demand)
-    }
-
-    pub(super) fn serve(&mut self, number: u64) {
-        let now = self.queue.now();
-        let bytes = wire_size::served(self.configuration.clients.answer_body);
-        let Some(demand) = self.answer(number, bytes) else { return };
-        let late = now - demand.submitted_at > self.configuration.classes[demand.class].latency_objective;
-        self.measures.count_latency(now - demand.submitted_at);
-        let outcome = if late { DemandOutcome::ServedLate } else { DemandOutcome::Served };
-        self.measures.count_outcome(now, outcome, in_quota_weight(&demand));
-    }
-
-    pub(super) fn reject(&mut self, number: u64, retry_after: f64) {
-        let now = self.queue.now();
-        let Some(demand) = self.answer(number, wire_size::rejected(retry_after)) else { return };
-        self.close_if_finished(number);
-        let clients = &self.configuration.clients;
-        let wait = if retry_after > 0.0 { retry_after } else { clients.retry_seconds };
-        let again = demand.retries < clients.max_retries
-            && now + wait < demand.deadline
-            && self.generators.clients.random::<f64>() < clients.retry_share;
-        if again {
-            let demand = Box::new(Demand { retries: demand.retries + 1, ..demand });
-            self.queue.schedule(now + wait, ScheduledEvent::ClientRetry(demand));
+    /// A client gets a rejection, and comes back later or gives up.
+    pub fn rejected(&mut self, context: &mut Context, demand: Demand, retry_after: Seconds) {
+        let clients = &context.configuration.clients;
+        let backoff = if retry_after > 0.0 { retry_after } else { clients.retry_seconds };
+        let will_retry = demand.retries < clients.max_retries
+            && context.now() + backoff < demand.deadline
+            && self.choices.random::<f64>() < clients.retry_share;
+        if will_retry {
+            let retry = Box::new(Demand { retries: demand.retries + 1, ..demand });
+            context.schedule_after(backoff, ScheduledEvent::ClientRetry(retry));
         } else {
-            self.measures.count_outcome(now, DemandOutcome::Rejected, in_quota_weight(&demand));
+            count_outcome(context, &demand, DemandOutcome::Rejected);
         }
     }
 
-    pub(super) fn fail(&mut self, number: u64) {
-        if let Some(demand) = self.answer(number, wire_size::failed()) {
-            self.close_if_finished(number);
-            self.measures.count_outcome(self.queue.now(), DemandOutcome::Failed, in_quota_weight(&demand));
-        }
+    /// The tenants, at the end of a run.
+    pub fn into_tenants(self) -> Vec<Tenant> {
+        self.tenants
     }
+}
 
-    /// A client that has no answer by now leaves.
-    pub(super) fn deadline(&mut self, number: u64) {
-        let Some(request) = self.requests.get_mut(number).filter(|r| !r.answered) else { return };
-        request.answered = true;
-        let (demand, gateway) = (request.demand, request.gateway);
-        self.measures.count_outcome(self.queue.now(), DemandOutcome::Abandoned, in_quota_weight(&demand));
-        let to = self.address(gateway);
-        self.notify(to, Event::ClientDisconnected { request_id: request_id_of(number) });
-        self.close_if_finished(number);
-    }
+/// A request on its way to the policy of a gateway.
+pub struct Submission {
+    /// Index of the gateway.
+    pub gateway: usize,
+    /// What its policy is notified of.
+    pub request: Request,
+}
 
-    /// Counts a request that was lost with its gateway.
-    pub(super) fn lose(&mut self, demand: &Demand) {
-        self.measures.count_outcome(self.queue.now(), DemandOutcome::Lost, in_quota_weight(demand));
-    }
+/// A client gets the response of an endpoint.
+pub fn record_served(context: &mut Context, demand: &Demand) {
+    let latency = context.now() - demand.submitted_at;
+    let is_late = latency > context.configuration.classes[demand.class].latency_objective;
+    context.measures.count_latency(latency);
+    let outcome = if is_late { DemandOutcome::ServedLate } else { DemandOutcome::Served };
+    count_outcome(context, demand, outcome);
+}
 
-    pub(super) fn close_if_finished(&mut self, number: u64) {
-        let gateway = self.requests.get(number).map(|request| request.gateway);
-        if self.requests.close_if_finished(number) {
-            if let Some(gateway) = gateway {
-                self.gateways[gateway].open -= 1;
-            }
-        }
-    }
+/// Counts the end of a demand.
+pub fn count_outcome(context: &mut Context, demand: &Demand, outcome: DemandOutcome) {
+    let now = context.now();
+    context.measures.count_outcome(now, outcome, demand.in_quota_weight());
 }
--- /dev/null
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -0,0 +1,176 @@
+//! How the endpoint list reaches the gateways: polls, watches and propagation delays.
+
+use super::context::Context;
+use super::event::ScheduledEvent;
+use crate::fleet::discovery::{Discovery, PollResult, SharedList};
+use crate::fleet::gateways::GatewayAddress;
+use crate::fleet::randomness::{Stream, stream, uniform};
+use crate::fleet::wire_size;
+use oliverack::{Endpoint, Event, ListKind, Seconds, Time};
+use std::sync::Arc;
+
+/// The watch of one gateway.
+#[derive(Debug)]
+struct Watch {
+    /// Time that a change takes to reach this gateway.
+    propagation_delay: Seconds,
+    /// The incarnation that watches; `None` before its first complete list, and while the gateway is down.
+    watcher: Option<GatewayAddress>,
+    /// When the last response was sent or received; watches without news are counted from here.
+    last_response_at: Time,
+}
+
+/// The service and the watches of all gateways.
+#[derive(Debug)]
+pub struct DiscoveryService {
+    discovery: Discovery,
+    /// By gateway.
+    watches: Vec<Watch>,
+}
+
+impl DiscoveryService {
+    /// A service that lists these endpoints, without watches.
+    pub fn new(context: &Context, seed: u64, endpoints: Vec<Endpoint>) -> Self {
+        let figures = &context.configuration.discovery;
+        let mut delays = stream(seed, Stream::Discovery);
+        let watch = |_| Watch {
+            propagation_delay: uniform(&mut delays, figures.propagation_delay),
+            watcher: None,
+            last_response_at: context.now(),
+        };
+        let watches = (0..context.configuration.gateways.count).map(watch).collect();
+        Self { discovery: Discovery::new(figures, endpoints), watches }
+    }
+
+    /// A gateway starts with the list that last reached its machine, which may be stale. Unless lists have to be
+    /// polled for, it also gets a complete one.
+    pub fn gateway_started(&mut self, context: &mut Context, gateway: GatewayAddress) {
+        let now = context.now();
+        let watch = &mut self.watches[gateway.gateway];
+        watch.last_response_at = now;
+        let propagation_delay = watch.propagation_delay;
+        let list = self.discovery.list_at(now - propagation_delay);
+        let kind = ListKind::Stale;
+        context.schedule_at(now, ScheduledEvent::EndpointListArrived { to: gateway, kind, list });
+        if !context.discovery_is_polled() {
+            self.watches[gateway.gateway].watcher = Some(gateway);
+            count_message(context, gateway.gateway, wire_size::list_call());
+            self.send_complete_list(context, gateway, propagation_delay);
+        }
+    }
+
+    /// The incarnation of a gateway ends, and its watch with it.
+    pub fn gateway_stopped(&mut self, context: &mut Context, gateway: usize) {
+        self.count_idle_watches(context, gateway);
+        self.watches[gateway].watcher = None;
+    }
+
+    /// Sends the complete list as it is now.
+    fn send_complete_list(&mut self, context: &mut Context, to: GatewayAddress, delay: Seconds) {
+        let list = self.discovery.list_at(context.now());
+        context.measures.fleet.complete_lists_sent += 1;
+        let event = ScheduledEvent::EndpointListArrived { to, kind: ListKind::Full, list };
+        context.schedule_after(delay, event);
+    }
+
+    /// A gateway polls for the endpoint list.
+    pub fn poll(&mut self, context: &mut Context, from: GatewayAddress) {
+        count_message(context, from.gateway, wire_size::list_call());
+        if context.discovery_is_polled() {
+            context.schedule_after(poll_delay(context), ScheduledEvent::PollArrived(from));
+        } else {
+            let delay = self.watches[from.gateway].propagation_delay;
+            self.send_complete_list(context, from, delay);
+        }
+    }
+
+    /// A poll reaches the service and waits its turn there.
+    pub fn poll_arrived(&mut self, context: &mut Context, from: GatewayAddress) {
+        match self.discovery.poll(context.now()) {
+            PollResult::Answered(at) => {
+                context.schedule_at(at, ScheduledEvent::PollAnswered { to: from, succeeded: true });
+            }
+            PollResult::TimedOut(at) => {
+                context.schedule_at(at, ScheduledEvent::PollAnswered { to: from, succeeded: false });
+            }
+        }
+    }
+
+    /// The service answers the poll of a running gateway: it sends the complete list, and the gateway watches from
+    /// then on.
+    pub fn poll_succeeded(&mut self, context: &mut Context, to: GatewayAddress) {
+        let watch = &mut self.watches[to.gateway];
+        watch.watcher = Some(to);
+        watch.last_response_at = context.now();
+        self.send_complete_list(context, to, poll_delay(context));
+    }
+
+    /// A list reaches a running gateway. Returns what its policy is notified of.
+    pub fn list_arrived(
+        &mut self,
+        context: &mut Context,
+        to: GatewayAddress,
+        kind: ListKind,
+        list: &SharedList,
+    ) -> Event {
+        // The stale list of a start comes from the gateway's own machine and takes no messages.
+        if kind != ListKind::Stale {
+            self.count_idle_watches(context, to.gateway);
+            count_message(context, to.gateway, list.bytes);
+            let hold = context.configuration.discovery.watch_hold;
+            count_message(context, to.gateway, wire_size::watch_call(self.discovery.version(), hold));
+        }
+        Event::EndpointsUpdated { kind, endpoints: list.endpoints.clone() }
+    }
+
+    /// Publishes the change of a list entry to all gateways that watch.
+    pub fn publish(&mut self, context: &mut Context, change: Endpoint) {
+        let list = self.discovery.change(context.now(), change);
+        context.measures.fleet.list_changes += 1;
+        for watch in &self.watches {
+            if let Some(to) = watch.watcher {
+                let list = Arc::clone(&list);
+                let event = ScheduledEvent::EndpointListArrived { to, kind: ListKind::Changes, list };
+                context.schedule_after(watch.propagation_delay, event);
+            }
+        }
+    }
+
+    /// Counts the watches of a gateway that have ended without news since its last response.
+    ///
+    /// They are counted afterwards and not simulated one by one, as they change nothing but the traffic.
+    fn count_idle_watches(&mut self, context: &mut Context, gateway: usize) {
+        let now = context.now();
+        let hold = context.configuration.discovery.watch_hold;
+        let watch = &mut self.watches[gateway];
+        let idle = now - watch.last_response_at;
+        watch.last_response_at = now;
+        if watch.watcher.is_none() {
+            return;
+        }
+        let call_bytes = wire_size::watch_call(self.discovery.version(), hold);
+        let answer_bytes = wire_size::list_answer(&[], false);
+        for _ in 0..(idle / hold) as u64 {
+            count_message(context, gateway, call_bytes);
+            count_message(context, gateway, answer_bytes);
+        }
+    }
+
+    /// Counts what is left to count at the end of a run.
+    pub fn finish(&mut self, context: &mut Context) {
+        for gateway in 0..self.watches.len() {
+            self.count_idle_watches(context, gateway);
+        }
+    }
+}
+
+/// Delay between a gateway and the service that it polls.
+fn poll_delay(context: &Context) -> Seconds {
+    context.configuration.topology.delay_in_region
+}
+
+/// Counts a message between a gateway and discovery.
+fn count_message(context: &mut Context, gateway: usize, bytes: u64) {
+    context.measures.traffic.gateways[gateway].count(bytes);
+    context.measures.traffic.discovery.count(bytes);
+}
--- /dev/null
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -0,0 +1,255 @@
+//! All endpoints of a run: attempts at them, their service and their faults.
+
+use super::context::Context;
+use super::event::ScheduledEvent;
+use crate::fleet::configuration::Configuration;
+use crate::fleet::endpoints::{EndpointState, Reception, SimulatedEndpoint};
+use crate::fleet::requests::{AttemptKey, RequestTable};
+use crate::fleet::wire_size;
+use oliverack::{Endpoint, EndpointId, Lifecycle, Status};
+use std::collections::HashMap;
+
+/// The endpoints, by index; the index of an endpoint never changes.
+#[derive(Debug)]
+pub struct EndpointFleet {
+    endpoints: Vec<SimulatedEndpoint>,
+    ids: Vec<EndpointId>,
+    index_by_id: HashMap<EndpointId, usize>,
+    cells: u32,
+}
+
+/// Id of an endpoint: a scrambled number, so that the order of the ids is not that of the indices.
+fn endpoint_id(index: usize) -> EndpointId {
+    const GOLDEN_RATIO_BITS: u32 = 0x9E37_79B1;
+    format!("s-{:08x}", (index as u32).wrapping_mul(GOLDEN_RATIO_BITS)).into()
+}
+
+impl EndpointFleet {
+    /// The endpoints at the start of a run, all of them warm.
+    pub fn new(configuration: &Configuration) -> Self {
+        let mut fleet = Self {
+            endpoints: Vec::new(),
+            ids: Vec::new(),
+            index_by_id: HashMap::new(),
+            cells: configuration.endpoints.cells,
+        };
+        for index in 0..configuration.endpoints.count {
+            let zone = index % configuration.topology.zones;
+            fleet.push(SimulatedEndpoint::new(&configuration.endpoints, zone, 0.0));
+        }
+        fleet
+    }
+
+    fn push(&mut self, endpoint: SimulatedEndpoint) {
+        let index = self.endpoints.len();
+        let id = endpoint_id(index);
+        self.endpoints.push(endpoint);
+        self.ids.push(id.clone());
+        self.index_by_id.insert(id, index);
+    }
+
+    /// The index of an endpoint that the policy names.
+    pub fn index_of(&self, id: &EndpointId) -> Option<usize> {
+        self.index_by_id.get(id).copied()
+    }
+
+    /// Zone of an endpoint.
+    pub fn zone(&self, endpoint: usize) -> u32 {
+        self.endpoints[endpoint].zone
+    }
+
+    /// The entries of all endpoints in the endpoint list, as running ones.
+    pub fn list_entries(&self) -> Vec<Endpoint> {
+        (0..self.endpoints.len()).map(|endpoint| self.list_entry(endpoint, Lifecycle::Running)).collect()
+    }
+
+    fn list_entry(&self, endpoint: usize, lifecycle: Lifecycle) -> Endpoint {
+        Endpoint {
+            id: self.ids[endpoint].clone(),
+            zone: self.endpoints[endpoint].zone,
+            cell: (endpoint % self.cells as usize) as u32,
+            started: self.endpoints[endpoint].started,
+            lifecycle,
+        }
+    }
+
+    /// An attempt reaches its endpoint. Nothing happens if its gateway has given it up by now.
+    pub fn attempt_arrived(
+        &mut self,
+        context: &mut Context,
+        requests: &RequestTable,
+        attempt: AttemptKey,
+        endpoint: usize,
+    ) {
+        let Some(demand) = requests.demand_of_attempt_in_flight(attempt) else { return };
+        let reception = self.endpoints[endpoint].receive(attempt);
+        if self.endpoints[endpoint].reads_messages() {
+            let bytes = wire_size::attempt(&context.request_head(&demand));
+            context.measures.traffic.endpoints.count(bytes);
+        }
+        match reception {
+            Reception::Started => self.start_service(context, attempt, endpoint, demand.service_seconds),
+            Reception::Rejected(status) => self.respond(context, requests, attempt, endpoint, status),
+            Reception::Queued | Reception::NoResponse => {}
+        }
+    }
+
+    fn start_service(&self, context: &mut Context, attempt: AttemptKey, endpoint: usize, seconds: f64) {
+        let serving = &self.endpoints[endpoint];
+        let capacity = serving.capacity(context.now(), &context.configuration.endpoints);
+        let incarnation = serving.incarnation();
+        let event = ScheduledEvent::ServiceCompleted { attempt, endpoint, incarnation };
+        context.schedule_after(seconds / capacity, event);
+    }
+
+    /// An endpoint has finished an attempt, responds, and takes the next one from its queue.
+    pub fn service_completed(
+        &mut self,
+        context: &mut Context,
+        requests: &RequestTable,
+        attempt: AttemptKey,
+        endpoint: usize,
+        incarnation: u32,
+    ) {
+        if self.endpoints[endpoint].incarnation() != incarnation {
+            return;
+        }
+        self.endpoints[endpoint].finish(attempt);
+        self.respond(context, requests, attempt, endpoint, Status::Ok);
+        // A gateway that has given an attempt up has closed its connection, so the endpoint skips it.
+        let is_wanted = |key| requests.is_in_flight(key);
+        if let Some(next) = self.endpoints[endpoint].start_next(is_wanted) {
+            let seconds = requests.get(next.request).map_or(0.0, |request| request.demand.service_seconds);
+            self.start_service(context, next, endpoint, seconds);
+        }
+    }
+
+    /// Sends a response, or the failure of the connection, back to the gateway.
+    fn respond(
+        &self,
+        context: &mut Context,
+        requests: &RequestTable,
+        attempt: AttemptKey,
+        endpoint: usize,
+        status: Status,
+    ) {
+        if let Some(bytes) = wire_size::attempt_response(status, context.configuration.clients.answer_body) {
+            if !requests.is_in_flight(attempt) {
+                return;
+            }
+            context.measures.traffic.endpoints.count(bytes);
+        }
+        let Some(request) = requests.get(attempt.request) else { return };
+        let gateway_zone = context.gateway_zone(request.gateway);
+        let delay = context.network_delay(self.endpoints[endpoint].zone, gateway_zone);
+        context.schedule_after(delay, ScheduledEvent::AttemptEnded { attempt, status });
+    }
+
+    /// A serving endpoint crashes. Returns the change of its list entry, if there is one.
+    pub fn crash(
+        &mut self,
+        context: &mut Context,
+        requests: &RequestTable,
+        endpoint: usize,
+    ) -> Option<Endpoint> {
+        if self.endpoints[endpoint].state != EndpointState::Serving {
+            return None;
+        }
+        Some(self.reset_and_leave(context, requests, endpoint, EndpointState::Down))
+    }
+
+    /// A draining endpoint shuts down. Returns the change of its list entry, if there is one.
+    pub fn remove(
+        &mut self,
+        context: &mut Context,
+        requests: &RequestTable,
+        endpoint: usize,
+    ) -> Option<Endpoint> {
+        if self.endpoints[endpoint].state != EndpointState::Draining {
+            return None;
+        }
+        Some(self.reset_and_leave(context, requests, endpoint, EndpointState::Gone))
+    }
+
+    /// Stops an endpoint and resets the connections of the attempts that it had.
+    fn reset_and_leave(
+        &mut self,
+        context: &mut Context,
+        requests: &RequestTable,
+        endpoint: usize,
+        state: EndpointState,
+    ) -> Endpoint {
+        for attempt in self.endpoints[endpoint].stop(state) {
+            self.respond(context, requests, attempt, endpoint, Status::Reset);
+        }
+        self.list_entry(endpoint, Lifecycle::Gone)
+    }
+
+    /// A crashed endpoint starts again; if its zone is lost, only once that is restored. Returns the change of its
+    /// list entry, if there is one.
+    pub fn restart(&mut self, context: &Context, endpoint: usize, zone_is_lost: bool) -> Option<Endpoint> {
+        let restarted = &mut self.endpoints[endpoint];
+        if restarted.state != EndpointState::Down {
+            return None;
+        }
+        if zone_is_lost {
+            restarted.state = EndpointState::Unreachable;
+            return None;
+        }
+        restarted.resume(Some(context.now()));
+        Some(self.list_entry(endpoint, Lifecycle::Running))
+    }
+
+    /// A serving endpoint hangs; the attempts that it has get no response.
+    pub fn hang(&mut self, endpoint: usize) {
+        if self.endpoints[endpoint].state == EndpointState::Serving {
+            self.endpoints[endpoint].stop(EndpointState::Hung);
+        }
+    }
+
+    /// A hung endpoint serves again.
+    pub fn resume(&mut self, endpoint: usize) {
+        if self.endpoints[endpoint].state == EndpointState::Hung {
+            self.endpoints[endpoint].resume(None);
+        }
+    }
+
+    /// A serving endpoint starts to drain. Returns the change of its list entry, if there is one.
+    pub fn drain(&mut self, endpoint: usize) -> Option<Endpoint> {
+        if self.endpoints[endpoint].state != EndpointState::Serving {
+            return None;
+        }
+        self.endpoints[endpoint].state = EndpointState::Draining;
+        Some(self.list_entry(endpoint, Lifecycle::Draining))
+    }
+
+    /// Adds an endpoint, which starts cold. Returns its list entry.
+    pub fn add(&mut self, context: &Context) -> Endpoint {
+        let index = self.endpoints.len();
+        let zone = index as u32 % context.configuration.topology.zones;
+        self.push(SimulatedEndpoint::new(&context.configuration.endpoints, zone, context.now()));
+        self.list_entry(index, Lifecycle::Running)
+    }
+
+    /// Makes all endpoints of a zone unreachable. The attempts that they had get no response.
+    pub fn lose_zone(&mut self, zone: u32) {
+        for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.zone == zone) {
+            if !matches!(endpoint.state, EndpointState::Down | EndpointState::Gone) {
+                endpoint.stop(EndpointState::Unreachable);
+            }
+        }
+    }
+
+    /// Starts the endpoints of a zone again. Returns the changes of their list entries.
+    pub fn restore_zone(&mut self, context: &Context, zone: u32) -> Vec<Endpoint> {
+        let mut changes = Vec::new();
+        for index in 0..self.endpoints.len() {
+            let endpoint = &mut self.endpoints[index];
+            if endpoint.zone == zone && endpoint.state == EndpointState::Unreachable {
+                endpoint.resume(Some(context.now()));
+                changes.push(self.list_entry(index, Lifecycle::Running));
+            }
+        }
+        changes
+    }
+}
--- /dev/null
+++ b/lab/src/fleet/simulation/gateway_fleet.rs
@@ -0,0 +1,103 @@
+//! All gateways of a run, and the processor time of their policies.
+
+use crate::fleet::configuration::Configuration;
+use crate::fleet::gateways::{GatewayAddress, SimulatedGateway, policy_settings};
+use crate::fleet::processor::ProcessorTimes;
+use crate::fleet::randomness::{Stream, stream};
+use oliverack::{Action, Event, SettingsError, Time};
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+
+/// The gateways and their incarnations.
+#[derive(Debug)]
+pub struct GatewayFleet {
+    gateways: Vec<SimulatedGateway>,
+    /// Draws the seed of each policy.
+    policy_seeds: ChaCha8Rng,
+    processor_times: ProcessorTimes,
+}
+
+impl GatewayFleet {
+    /// All gateways in their first incarnation.
+    ///
+    /// # Errors
+    /// The policy rejects its settings.
+    pub fn new(configuration: &Configuration, seed: u64) -> Result<Self, SettingsError> {
+        let mut policy_seeds = stream(seed, Stream::Policies);
+        let mut gateways = Vec::new();
+        for index in 0..configuration.gateways.count {
+            let zone = index % configuration.topology.zones;
+            let settings = policy_settings(configuration, index, zone);
+            gateways.push(SimulatedGateway::new(settings, policy_seeds.random())?);
+        }
+        Ok(Self { gateways, policy_seeds, processor_times: ProcessorTimes::new() })
+    }
+
+    /// How many gateways there are, up or down.
+    pub fn len(&self) -> usize {
+        self.gateways.len()
+    }
+
+    /// Indices of the gateways of a zone.
+    pub fn in_zone(&self, zone: u32) -> Vec<usize> {
+        (0..self.len()).filter(|gateway| self.gateways[*gateway].zone == zone).collect()
+    }
+
+    /// The present incarnation of a gateway.
+    pub fn address(&self, gateway: usize) -> GatewayAddress {
+        GatewayAddress { gateway, incarnation: self.gateways[gateway].incarnation() }
+    }
+
+    /// Since when a gateway has been down; `None` if it is up.
+    pub fn down_since(&self, gateway: usize) -> Option<Time> {
+        self.gateways[gateway].down_since()
+    }
+
+    /// True if this incarnation of a gateway is up.
+    pub fn is_running(&self, address: GatewayAddress) -> bool {
+        self.gateways[address.gateway].is_running(address.incarnation)
+    }
+
+    /// Notifies a policy of an event and returns what it wants done; nothing if that incarnation has ended.
+    pub fn notify(&mut self, now: Time, to: GatewayAddress, event: Event) -> Vec<Action> {
+        if !self.is_running(to) {
+            return Vec::new();
+        }
+        self.gateways[to.gateway].notify(now, event, &mut self.processor_times)
+    }
+
+    /// Ends the incarnation of a gateway.
+    pub fn stop(&mut self, now: Time, gateway: usize) {
+        self.gateways[gateway].stop(now);
+    }
+
+    /// Starts a gateway that is down, and returns its new incarnation.
+    ///
+    /// # Errors
+    /// The policy rejects its settings.
+    pub fn start(
+        &mut self,
+        configuration: &Configuration,
+        gateway: usize,
+    ) -> Result<GatewayAddress, SettingsError> {
+        let zone = self.gateways[gateway].zone;
+        let settings = policy_settings(configuration, gateway as u32, zone);
+        self.gateways[gateway].start(settings, self.policy_seeds.random())?;
+        Ok(self.address(gateway))
+    }
+
+    /// Records that a request of a tenant was opened at a gateway.
+    pub fn request_opened(&mut self, gateway: usize, tenant: usize) {
+        self.gateways[gateway].request_opened(tenant);
+    }
+
+    /// Records that a request at a gateway was closed.
+    pub fn request_closed(&mut self, gateway: usize) {
+        self.gateways[gateway].request_closed();
+    }
+
+    /// The gateways and the processor times, at the end of a run.
+    pub fn into_parts(self) -> (Vec<SimulatedGateway>, ProcessorTimes) {
+        (self.gateways, self.processor_times)
+    }
+}
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -1,100 +1,49 @@
-//! The run itself: takes events from the clock one by one and lets the models act on them.
+//! The run itself: takes events from the queue one by one, and connects the models with the policies.
 
-mod actions;
-mod attempts;
 mod clients;
-mod counting;
-mod incidents;
-mod lists;
+mod context;
+mod counter_service;
+mod discovery_service;
+mod endpoint_fleet;
+mod event;
+mod gateway_fleet;
 
-use super::configuration::{Configuration, DiscoveryMode};
-use super::counter::Counter;
-use super::counter_calls::{CallEnd, CallKey};
-use super::discovery::{Discovery, SharedList};
-use super::endpoints::SimulatedEndpoint;
-use super::event_queue::{EventQueue, RUN_START};
-use super::gateways::{self, GatewayAddress, SimulatedGateway};
+use super::configuration::Configuration;
+use super::event_queue::RUN_START;
+use super::gateways::{GatewayAddress, SimulatedGateway};
 use super::incident_plan::{self, Incident};
-use super::measures::Measures;
+use super::measures::{DemandOutcome, Measures};
 use super::processor::ProcessorTimes;
-use super::randomness::{Stream, stream, uniform};
-use super::requests::{AttemptKey, Demand, RequestTable};
-use super::tenants::{self, Tenant};
-use oliverack::{Endpoint, EndpointId, Event, Lifecycle, ListKind, SettingsError, Status, Time};
-use rand::Rng;
-use rand_chacha::ChaCha8Rng;
-use std::collections::HashMap;
-use std::sync::Arc;
+use super::randomness::{Stream, stream};
+use super::requests::{AttemptKey, Demand, RequestTable, policy_request_id, request_number};
+use super::tenants::Tenant;
+use super::wire_size;
+use clients::{ClientModel, count_outcome, record_served};
+use context::Context;
+use counter_service::CounterService;
+use discovery_service::DiscoveryService;
+use endpoint_fleet::EndpointFleet;
+use event::ScheduledEvent;
+use gateway_fleet::GatewayFleet;
+use oliverack::{
+    Action, Endpoint, EndpointId, Event, ListKind, LoadReport, Seconds, SettingsError, Status, Time,
+};
 
-/// Seconds that a run goes on after the longest deadline, for outcomes that are still owed.
-const DRAIN_WINDOW: f64 = 1.0;
-
-/// What the clock gives out.
-#[derive(Debug)]
-enum ScheduledEvent {
-    /// A tenant may make a request.
-    ArrivalCandidate(usize),
-    /// A client comes again.
-    ClientRetry(Box<Demand>),
-    /// A client gives up.
-    ClientDeadline(u64),
-    /// An attempt reaches its endpoint.
-    AttemptArrived { attempt: AttemptKey, endpoint: usize, work: f64 },
-    /// A endpoint has done its work for an attempt.
-    ServiceCompleted { attempt: AttemptKey, endpoint: usize, incarnation: u32 },
-    /// A endpoint's answer, or its failure, reaches the gateway.
-    AttemptEnded { attempt: AttemptKey, status: Status },
-    /// A call reaches the counter.
-    CounterCallArrived { from: GatewayAddress, call: CallKey, amount: f64, incarnation: f64 },
-    /// The counter has served a call.
-    CounterCallServed { from: GatewayAddress, call: CallKey, amount: f64, incarnation: f64 },
-    /// A call's end reaches the gateway.
-    CounterCallEnded { to: GatewayAddress, call: CallKey, end: CallEnd },
-    /// A timer of the policy is due.
-    PolicyTimer { to: GatewayAddress, token: u64 },
-    /// A call for the list reaches the service.
-    PollArrived(GatewayAddress),
-    /// The service's answer to such a call is ready. `false`: it failed.
-    PollAnswered { to: GatewayAddress, served: bool },
-    /// News of the endpoints reaches the gateway.
-    EndpointListArrived { to: GatewayAddress, kind: ListKind, list: Arc<SharedList> },
-    /// A gateway starts anew.
-    GatewayStarted(usize),
-    /// Something happens to the fleet.
-    Incident(Incident),
-    /// The policy is told an event that follows from its own action.
-    DeferredNotification { to: GatewayAddress, event: Box<Event> },
-}
-
-/// Independent random numbers for the parts that draw during a run.
-#[derive(Debug)]
-struct Generators {
-    policies: ChaCha8Rng,
-    arrivals: ChaCha8Rng,
-    clients: ChaCha8Rng,
-    counter: ChaCha8Rng,
-}
+/// How long a run goes on after the longest deadline, so that every attempt in flight ends.
+const DRAIN_WINDOW: Seconds = 1.0;
 
 /// A fleet and its surroundings.
 #[derive(Debug)]
 pub struct Simulation {
-    configuration: Configuration,
-    queue: EventQueue<ScheduledEvent>,
-    generators: Generators,
-    gateways: Vec<SimulatedGateway>,
-    endpoints: Vec<SimulatedEndpoint>,
-    /// Ids of the endpoints, by index, and indices by id.
-    endpoint_ids: Vec<EndpointId>,
-    endpoint_index: HashMap<EndpointId, usize>,
-    discovery: Discovery,
-    counter: Option<Counter>,
-    /// By zone, whether it is out of reach, and whether it is cut off from the counter.
-    zones_lost: Vec<bool>,
-    zones_cut: Vec<bool>,
-    tenants: Vec<Tenant>,
+    context: Context,
+    clients: ClientModel,
+    gateways: GatewayFleet,
+    endpoints: EndpointFleet,
+    discovery: DiscoveryService,
+    counter: CounterService,
     requests: RequestTable,
-    measures: Measures,
-    times: ProcessorTimes,
+    /// By zone, whether it is lost: its gateways and endpoints are unreachable.
+    zone_is_lost: Vec<bool>,
 }
 
 /// The end of a run, from which reports are made.
@@ -106,197 +55,356 @@
     pub gateways: Vec<SimulatedGateway>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// Names that the counter holds.
+    /// Entries that the counter holds.
     pub counter_entries: usize,
     /// What was counted.
     pub measures: Measures,
-    /// Processor times.
-    pub times: ProcessorTimes,
-    /// The clock's last time.
+    /// Processor times of the policies.
+    pub processor_times: ProcessorTimes,
+    /// Time of the last event.
     pub end: Time,
 }
 
-/// A endpoint's id: a number that tells nothing of its place in the list.
-fn endpoint_id(index: usize) -> EndpointId {
-    format!("s-{:08x}", (index as u32).wrapping_mul(0x9E37_79B1)).into()
-}
-
 impl Simulation {
-    /// Builds a fleet.
+    /// Builds a fleet and schedules its first events.
     ///
     /// # Errors
-    /// Settings that the policy refuses.
+    /// The policy rejects its settings.
     pub fn new(configuration: Configuration, seed: u64) -> Result<Self, SettingsError> {
-        let zones = configuration.topology.zones;
-        let endpoint = |number| SimulatedEndpoint::new(&configuration.endpoints, number % zones, 0.0);
-        let endpoints: Vec<SimulatedEndpoint> = (0..configuration.endpoints.count).map(endpoint).collect();
-        let endpoint_ids: Vec<EndpointId> = (0..endpoints.len()).map(endpoint_id).collect();
-        let endpoint_index = endpoint_ids.iter().enumerate().map(|(i, id)| (id.clone(), i)).collect();
-        let cells = configuration.endpoints.cells;
-        let listed = |(index, endpoint): (usize, &SimulatedEndpoint)| {
-            list_entry(&endpoint_ids[index], index, endpoint, cells)
-        };
-        let initial = endpoints.iter().enumerate().map(listed).collect();
+        let context = Context::new(configuration);
+        let endpoints = EndpointFleet::new(&context.configuration);
         let mut simulation = Self {
-            queue: EventQueue::default(),
-            generators: Generators {
-                policies: stream(seed, Stream::Policies),
-                arrivals: stream(seed, Stream::Arrivals),
-                clients: stream(seed, Stream::Clients),
-                counter: stream(seed, Stream::Counter),
-            },
-            gateways: Vec::new(),
-            discovery: Discovery::new(&configuration.discovery, initial),
-            counter: configuration.counter.as_ref().map(Counter::new),
-            zones_lost: vec![false; zones as usize],
-            zones_cut: vec![false; zones as usize],
-            tenants: tenants::draw(&configuration, &mut stream(seed, Stream::Tenants)),
+            clients: ClientModel::new(&context, seed),
+            gateways: GatewayFleet::new(&context.configuration, seed)?,
+            discovery: DiscoveryService::new(&context, seed, endpoints.list_entries()),
+            counter: CounterService::new(&context, seed),
             requests: RequestTable::default(),
-            measures: Measures::default(),
-            times: ProcessorTimes::new(),
+            zone_is_lost: vec![false; context.configuration.topology.zones as usize],
             endpoints,
-            endpoint_ids,
-            endpoint_index,
-            configuration,
+            context,
         };
-        simulation.add_gateways(seed)?;
-        simulation.schedule_beginnings(seed);
+        simulation.schedule_first_events(seed);
         Ok(simulation)
     }
 
-    fn add_gateways(&mut self, seed: u64) -> Result<(), SettingsError> {
-        let mut lateness = stream(seed, Stream::Discovery);
-        for number in 0..self.configuration.gateways.count {
-            let zone = number % self.configuration.topology.zones;
-            let settings = gateways::settings(&self.configuration, number, zone);
-            let late = uniform(&mut lateness, self.configuration.discovery.propagation_delay);
-            let seed = self.generators.policies.random();
-            self.gateways.push(SimulatedGateway::new(settings, seed, late, RUN_START)?);
-        }
-        Ok(())
-    }
-
-    fn schedule_beginnings(&mut self, seed: u64) {
+    fn schedule_first_events(&mut self, seed: u64) {
         for gateway in 0..self.gateways.len() {
-            self.begin_incarnation(gateway);
-        }
-        for planned in incident_plan::plan(&self.configuration, &mut stream(seed, Stream::Faults)) {
-            self.queue.schedule(planned.at, ScheduledEvent::Incident(planned.incident));
+            self.discovery.gateway_started(&mut self.context, self.gateways.address(gateway));
         }
-        for tenant in 0..self.tenants.len() {
-            self.schedule_candidate(tenant);
+        let mut generator = stream(seed, Stream::Faults);
+        for planned in incident_plan::plan(&self.context.configuration, &mut generator) {
+            self.context.schedule_at(planned.at, ScheduledEvent::Incident(planned.incident));
         }
+        self.clients.schedule_first_arrivals(&mut self.context);
     }
 
     /// Runs to the end.
     ///
     /// # Errors
-    /// Settings that the policy refuses at a restart.
+    /// The policy rejects its settings at a restart.
     pub fn run(mut self) -> Result<RunResult, SettingsError> {
-        let longest = self.configuration.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        let end = RUN_START + self.configuration.seconds + longest + DRAIN_WINDOW;
-        while let Some(event) = self.queue.pop_until(end) {
+        let configuration = &self.context.configuration;
+        let deadlines = configuration.classes.iter().map(|class| class.deadline);
+        let end = RUN_START + configuration.seconds + deadlines.fold(0.0, f64::max) + DRAIN_WINDOW;
+        while let Some(event) = self.context.next_event(end) {
             self.dispatch(event)?;
         }
         Ok(self.finish())
     }
 
     fn finish(mut self) -> RunResult {
-        let end = self.queue.now();
-        for gateway in 0..self.gateways.len() {
-            self.count_watches(gateway, end);
-        }
+        self.discovery.finish(&mut self.context);
+        let end = self.context.now();
+        let (gateways, processor_times) = self.gateways.into_parts();
         RunResult {
-            configuration: self.configuration,
-            gateways: self.gateways,
-            tenants: self.tenants,
-            counter_entries: self.counter.as_ref().map_or(0, Counter::names),
-            measures: self.measures,
-            times: self.times,
+            configuration: self.context.configuration,
+            gateways,
+            tenants: self.clients.into_tenants(),
+            counter_entries: self.counter.entry_count(),
+            measures: self.context.measures,
+            processor_times,
             end,
         }
     }
 
     fn dispatch(&mut self, event: ScheduledEvent) -> Result<(), SettingsError> {
         match event {
-            ScheduledEvent::ArrivalCandidate(tenant) => self.candidate(tenant),
+            ScheduledEvent::ArrivalCandidate(tenant) => {
+                if let Some(demand) = self.clients.arrival_candidate(&mut self.context, tenant) {
+                    self.submit(demand);
+                }
+            }
             ScheduledEvent::ClientRetry(demand) => self.submit(*demand),
-            ScheduledEvent::ClientDeadline(request) => self.deadline(request),
-            ScheduledEvent::AttemptArrived { attempt, endpoint, work } => {
-                self.attempt_arrived(attempt, endpoint, work);
+            ScheduledEvent::ClientDeadline(number) => self.client_deadline(number),
+            ScheduledEvent::AttemptArrived { attempt, endpoint } => {
+                self.endpoints.attempt_arrived(&mut self.context, &self.requests, attempt, endpoint);
             }
             ScheduledEvent::ServiceCompleted { attempt, endpoint, incarnation } => {
-                self.service_completed(attempt, endpoint, incarnation)
+                let (context, requests) = (&mut self.context, &self.requests);
+                self.endpoints.service_completed(context, requests, attempt, endpoint, incarnation);
             }
             ScheduledEvent::AttemptEnded { attempt, status } => self.attempt_ended(attempt, status),
-            ScheduledEvent::CounterCallArrived { from, call, amount, incarnation } => {
-                self.counter_call_arrived(from, call, amount, incarnation);
+            ScheduledEvent::CounterCallArrived(call) => {
+                self.counter.call_arrived(&mut self.context, &self.gateways, call);
+            }
+            ScheduledEvent::CounterCallServed(call) => {
+                self.counter.call_served(&mut self.context, &self.gateways, call);
             }
-            ScheduledEvent::CounterCallServed { from, call, amount, incarnation } => {
-                self.counter_call_served(from, call, amount, incarnation)
+            ScheduledEvent::CounterCallEnded { to, call, result } => {
+                for event in self.counter.call_ended(&mut self.context, &self.gateways, to, call, result) {
+                    self.notify(to, event);
+                }
             }
-            ScheduledEvent::CounterCallEnded { to, call, end } => self.counter_call_ended(to, call, end),
             ScheduledEvent::PolicyTimer { to, token } => self.notify(to, Event::Timer { token }),
-            ScheduledEvent::PollArrived(from) => self.poll_arrived(from),
-            ScheduledEvent::PollAnswered { to, served } => self.poll_answered(to, served),
+            ScheduledEvent::PollArrived(from) => self.discovery.poll_arrived(&mut self.context, from),
+            ScheduledEvent::PollAnswered { to, succeeded } => self.poll_answered(to, succeeded),
             ScheduledEvent::EndpointListArrived { to, kind, list } => {
-                self.endpoint_list_arrived(to, kind, &list)
+                if self.gateways.is_running(to) {
+                    let event = self.discovery.list_arrived(&mut self.context, to, kind, &list);
+                    self.notify(to, event);
+                }
             }
-            ScheduledEvent::GatewayStarted(gateway) => return self.start(gateway),
-            ScheduledEvent::Incident(incident) => self.incident(incident),
+            ScheduledEvent::GatewayStarted(gateway) => self.start_gateway(gateway)?,
+            ScheduledEvent::Incident(incident) => self.begin_incident(incident),
             ScheduledEvent::DeferredNotification { to, event } => self.notify(to, *event),
         }
         Ok(())
     }
 
-    /// Gives an event to a policy and carries out what it wants done.
+    /// Notifies a policy of an event and executes the actions that it returns.
     fn notify(&mut self, to: GatewayAddress, event: Event) {
-        let now = self.queue.now();
-        let gateway = &mut self.gateways[to.gateway];
-        if !gateway.is_incarnation(to.incarnation) {
-            return;
-        }
-        for action in gateway.handle(now, event, &mut self.times) {
+        for action in self.gateways.notify(self.context.now(), to, event) {
             self.execute(to, action);
         }
     }
 
-    /// Gives an event to a policy once it is done with what it does now.
-    fn notify_deferred(&mut self, to: GatewayAddress, event: Event) {
-        let event = Box::new(event);
-        self.queue.schedule(self.queue.now(), ScheduledEvent::DeferredNotification { to, event });
+    fn execute(&mut self, from: GatewayAddress, action: Action) {
+        match action {
+            Action::StartAttempt { request_id, endpoint, timeout, .. } => {
+                self.start_attempt(from, request_number(&request_id), endpoint, timeout);
+            }
+            Action::Reject { request_id, retry_after } => {
+                self.reject(request_number(&request_id), retry_after);
+            }
+            Action::Fail { request_id } => self.fail(request_number(&request_id)),
+            Action::SetTimer { token, at } => {
+                self.context.schedule_at(at, ScheduledEvent::PolicyTimer { to: from, token });
+            }
+            Action::AddToCounter { counter, amount, ttl } => {
+                self.counter.start_call(&mut self.context, from, counter, amount, ttl);
+            }
+            Action::PollEndpoints => self.discovery.poll(&mut self.context, from),
+            // An action that the models do not know has no effect in them.
+            _ => {}
+        }
+    }
+
+    fn submit(&mut self, demand: Demand) {
+        let (context, requests) = (&mut self.context, &mut self.requests);
+        if let Some(submission) = self.clients.submit(context, &mut self.gateways, requests, demand) {
+            let to = self.gateways.address(submission.gateway);
+            self.notify(to, Event::Request(submission.request));
+        }
+    }
+
+    /// Starts an attempt, and schedules both its arrival and its timeout. It ends as not sent if the client has left
+    /// or the endpoint is unknown.
+    fn start_attempt(&mut self, from: GatewayAddress, number: u64, id: EndpointId, timeout: Seconds) {
+        let now = self.context.now();
+        let endpoint = self.endpoints.index_of(&id);
+        let Some(started) = self.requests.start_attempt(number, id, now) else { return };
+        let attempt = started.key;
+        let Some(endpoint) = endpoint.filter(|_| !started.request_is_answered) else {
+            let status = Status::NotSent;
+            return self.context.schedule_at(now, ScheduledEvent::AttemptEnded { attempt, status });
+        };
+        if attempt.is_first() {
+            self.clients.draw_on_quota(&mut self.context, &started.demand);
+        }
+        self.context.measures.attempts.sent += 1;
+        self.context.measures.second(now).attempts += 1;
+        let bytes = wire_size::attempt(&self.context.request_head(&started.demand));
+        self.context.measures.traffic.gateways[from.gateway].count(bytes);
+        let gateway_zone = self.context.gateway_zone(from.gateway);
+        let delay = self.context.network_delay(gateway_zone, self.endpoints.zone(endpoint));
+        self.context.schedule_after(delay, ScheduledEvent::AttemptArrived { attempt, endpoint });
+        let times_out_at = (now + timeout).min(started.demand.deadline);
+        let status = Status::Timeout;
+        self.context.schedule_at(times_out_at, ScheduledEvent::AttemptEnded { attempt, status });
+    }
+
+    /// An attempt ends at its gateway: by a response, a failure or the timeout, whichever comes first.
+    fn attempt_ended(&mut self, key: AttemptKey, status: Status) {
+        let now = self.context.now();
+        let Some(ended) = self.requests.end_attempt(key) else { return };
+        self.context.measures.attempts.count(status);
+        let body_bytes = self.context.configuration.clients.answer_body;
+        if let Some(bytes) = wire_size::attempt_response(status, body_bytes) {
+            self.context.measures.traffic.gateways[ended.gateway].count(bytes);
+        }
+        if status == Status::Ok {
+            self.serve(key.request);
+        }
+        let event = Event::AttemptEnded {
+            request_id: policy_request_id(key.request),
+            attempt: key.attempt,
+            endpoint: ended.endpoint,
+            status,
+            elapsed: now - ended.sent_at,
+            is_finished: self.requests.is_answered(key.request),
+            actual_units: None,
+            load: LoadReport::default(),
+        };
+        self.notify(self.gateways.address(ended.gateway), event);
+        self.close_if_finished(key.request);
     }
 
-    /// The present incarnation of a gateway.
-    fn address(&self, gateway: usize) -> GatewayAddress {
-        GatewayAddress { gateway, incarnation: self.gateways[gateway].incarnation }
+    /// Sends a final response to the client. Returns its demand, or `None` if it had a response or has left.
+    fn answer(&mut self, number: u64, response_bytes: u64) -> Option<Demand> {
+        let answered = self.requests.answer(number)?;
+        self.context.measures.traffic.gateways[answered.gateway].count(response_bytes);
+        Some(answered.demand)
     }
 
-    /// Delay between two zones.
-    fn delay(&self, one: u32, other: u32) -> f64 {
-        let topology = &self.configuration.topology;
-        let region = |zone: u32| zone * topology.regions / topology.zones;
-        if one == other {
-            topology.delay_in_zone
-        } else if region(one) == region(other) {
-            topology.delay_in_region
+    fn serve(&mut self, number: u64) {
+        let bytes = wire_size::served(self.context.configuration.clients.answer_body);
+        if let Some(demand) = self.answer(number, bytes) {
+            record_served(&mut self.context, &demand);
+        }
+    }
+
+    fn reject(&mut self, number: u64, retry_after: Seconds) {
+        if let Some(demand) = self.answer(number, wire_size::rejected(retry_after)) {
+            self.close_if_finished(number);
+            self.clients.rejected(&mut self.context, demand, retry_after);
+        }
+    }
+
+    fn fail(&mut self, number: u64) {
+        if let Some(demand) = self.answer(number, wire_size::failed()) {
+            self.close_if_finished(number);
+            count_outcome(&mut self.context, &demand, DemandOutcome::Failed);
+        }
+    }
+
+    /// A client without a response leaves.
+    fn client_deadline(&mut self, number: u64) {
+        let Some(answered) = self.requests.answer(number) else { return };
+        count_outcome(&mut self.context, &answered.demand, DemandOutcome::Abandoned);
+        let to = self.gateways.address(answered.gateway);
+        self.notify(to, Event::ClientDisconnected { request_id: policy_request_id(number) });
+        self.close_if_finished(number);
+    }
+
+    fn close_if_finished(&mut self, number: u64) {
+        if let Some(gateway) = self.requests.close_if_finished(number) {
+            self.gateways.request_closed(gateway);
+        }
+    }
+
+    fn poll_answered(&mut self, to: GatewayAddress, succeeded: bool) {
+        if !self.gateways.is_running(to) {
+            return;
+        }
+        if succeeded {
+            self.discovery.poll_succeeded(&mut self.context, to);
         } else {
-            topology.delay_between_regions
+            self.context.measures.fleet.polls_failed += 1;
+            self.notify(to, Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
         }
     }
 
-    fn discovery_is_polled(&self) -> bool {
-        self.configuration.discovery.mode == DiscoveryMode::Poll
+    fn begin_incident(&mut self, incident: Incident) {
+        match incident {
+            Incident::RestartGateway(gateway) => self.restart_gateway(gateway),
+            Incident::LoseZone(zone) => self.lose_zone(zone),
+            Incident::RestoreZone(zone) => self.restore_zone(zone),
+            Incident::SetCounterCut { zone, is_cut } => self.counter.set_zone_cut(zone, is_cut),
+            Incident::SlowCounter(factor) => self.counter.set_slowdown(factor),
+            Incident::SilenceCounter(is_silent) => self.counter.set_silent(is_silent),
+            Incident::LoseCounterEntries(share) => self.counter.lose_entries(&mut self.context, share),
+            Incident::CrashEndpoint(endpoint) => {
+                let change = self.endpoints.crash(&mut self.context, &self.requests, endpoint);
+                self.publish(change);
+            }
+            Incident::StartEndpoint(endpoint) => {
+                let zone_is_lost = self.zone_is_lost[self.endpoints.zone(endpoint) as usize];
+                let change = self.endpoints.restart(&self.context, endpoint, zone_is_lost);
+                self.publish(change);
+            }
+            Incident::HangEndpoint(endpoint) => self.endpoints.hang(endpoint),
+            Incident::ResumeEndpoint(endpoint) => self.endpoints.resume(endpoint),
+            Incident::DrainEndpoint(endpoint) => {
+                let change = self.endpoints.drain(endpoint);
+                self.publish(change);
+            }
+            Incident::RemoveEndpoint(endpoint) => {
+                let change = self.endpoints.remove(&mut self.context, &self.requests, endpoint);
+                self.publish(change);
+            }
+            Incident::AddEndpoint => {
+                let change = self.endpoints.add(&self.context);
+                self.publish(Some(change));
+            }
+        }
+    }
+
+    fn publish(&mut self, change: Option<Endpoint>) {
+        if let Some(change) = change {
+            self.discovery.publish(&mut self.context, change);
+        }
+    }
+
+    fn restart_gateway(&mut self, gateway: usize) {
+        if self.gateways.down_since(gateway).is_some() {
+            return;
+        }
+        self.context.measures.fleet.restarts += 1;
+        self.stop_gateway(gateway);
+        let delay = self.context.configuration.gateways.restart_seconds;
+        self.context.schedule_after(delay, ScheduledEvent::GatewayStarted(gateway));
+    }
+
+    /// Ends the incarnation of a gateway; the requests that it had are lost.
+    fn stop_gateway(&mut self, gateway: usize) {
+        self.discovery.gateway_stopped(&mut self.context, gateway);
+        self.counter.gateway_stopped(gateway);
+        self.gateways.stop(self.context.now(), gateway);
+        for request in self.requests.remove_all_at(gateway) {
+            if !request.is_answered {
+                count_outcome(&mut self.context, &request.demand, DemandOutcome::Lost);
+            }
+        }
     }
-}
 
-/// A endpoint as the list shows it.
-fn list_entry(id: &EndpointId, index: usize, endpoint: &SimulatedEndpoint, cells: u32) -> Endpoint {
-    Endpoint {
-        id: id.clone(),
-        zone: endpoint.zone,
-        cell: (index % cells as usize) as u32,
-        started: endpoint.started,
-        lifecycle: Lifecycle::Running,
+    /// Starts a gateway that is down, unless its zone is lost: then it starts once the zone is restored.
+    fn start_gateway(&mut self, gateway: usize) -> Result<(), SettingsError> {
+        let zone_is_lost = self.zone_is_lost[self.context.gateway_zone(gateway) as usize];
+        if zone_is_lost || self.gateways.down_since(gateway).is_none() {
+            return Ok(());
+        }
+        let address = self.gateways.start(&self.context.configuration, gateway)?;
+        self.discovery.gateway_started(&mut self.context, address);
+        Ok(())
+    }
+
+    fn lose_zone(&mut self, zone: u32) {
+        self.zone_is_lost[zone as usize] = true;
+        for gateway in self.gateways.in_zone(zone) {
+            if self.gateways.down_since(gateway).is_none() {
+                self.stop_gateway(gateway);
+            }
+        }
+        self.endpoints.lose_zone(zone);
+    }
+
+    fn restore_zone(&mut self, zone: u32) {
+        self.zone_is_lost[zone as usize] = false;
+        for gateway in self.gateways.in_zone(zone) {
+            self.context.schedule_after(0.0, ScheduledEvent::GatewayStarted(gateway));
+        }
+        for change in self.endpoints.restore_zone(&self.context, zone) {
+            self.discovery.publish(&mut self.context, change);
+        }
     }
 }
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -1,13 +1,14 @@
-//! Prints the records of a run as a table.
+//! The results of a run as a table for people. The names of the rows are older than those of the fields and stay as
+//! they are.
 
 use super::measures::{AttemptCounts, CounterCallCounts, DemandCounts, InQuotaWeight};
 use super::report::{LatencyRecord, ProcessorRecord, QuotaRecord, Record, RunRecord, StateRecord};
 use std::fmt::{self, Display};
 
-/// Width of a row's name.
+/// Width of the column of names, in characters.
 const NAME_WIDTH: usize = 34;
 
-/// The table of a run. Seconds are left to the JSON file.
+/// The table of a run, without the records of single seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Table<'a>(pub &'a [Record]);
 
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -1,6 +1,7 @@
-//! Checks a configuration before a run: sizes that no run could have end in an error, not in a panic.
+//! Checks a configuration before a run, so that impossible sizes end in an error and not in a panic.
 
-use super::configuration::{Configuration, Fault};
+use super::configuration::{Configuration, Fault, Range};
+use oliverack::Seconds;
 use std::fmt;
 
 /// Most gateways of a run.
@@ -15,16 +16,16 @@
 pub const MAX_SECONDS: f64 = 3_600.0;
 /// Most units of one request.
 pub const MAX_UNITS: u32 = 1_000;
-/// Most requests a second that all tenants may be expected to poll for.
+/// Most requests a second that all tenants may be expected to submit.
 pub const MAX_REQUESTS_PER_SECOND: f64 = 1_000_000.0;
 /// Largest rate, burst or factor.
 const MAX_VALUE: f64 = 1e9;
-/// Largest body, as the protocol has it.
-const MAX_BODY: u64 = 65_536;
+/// Largest body that the protocol allows.
+const MAX_BODY_BYTES: u64 = 65_536;
 /// Most restarts of one fault.
 const MAX_RESTARTS: u32 = 100_000;
 
-/// A figure that no run can have.
+/// A value that no run can have.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InvalidValue {
     /// The key in the file.
@@ -49,8 +50,8 @@
     if holds { Ok(()) } else { Err(InvalidValue { key, value, wanted }) }
 }
 
-fn count(key: &'static str, value: u32, most: u32) -> Check {
-    require((1..=most).contains(&value), key, f64::from(value), "from 1 to the limit (see --help)")
+fn count(key: &'static str, value: u32, max: u32) -> Check {
+    require((1..=max).contains(&value), key, f64::from(value), "from 1 to the limit (see --help)")
 }
 
 fn positive(key: &'static str, value: f64) -> Check {
@@ -69,10 +70,10 @@
     require((0.0..=MAX_SECONDS).contains(&value), key, value, "from 0 to 3600 seconds")
 }
 
-fn range(key: &'static str, [least, most]: [f64; 2]) -> Check {
-    not_negative(key, least)?;
-    not_negative(key, most)?;
-    require(least <= most, key, least, "a range whose first end is not above its second")
+fn range(key: &'static str, range: Range<f64>) -> Check {
+    not_negative(key, range.min)?;
+    not_negative(key, range.max)?;
+    require(range.min <= range.max, key, range.min, "a range whose first end is not above its second")
 }
 
 fn weights(key: &'static str, mut values: impl Iterator<Item = f64>) -> Check {
@@ -80,10 +81,10 @@
     require(sum > 0.0, key, sum, "above 0 in the sum of the entries")
 }
 
-/// Checks all figures.
+/// Checks all values.
 ///
 /// # Errors
-/// The first figure that no run can have.
+/// The first value that no run can have.
 pub fn check(configuration: &Configuration) -> Check {
     require(configuration.seconds > 0.0, "seconds", configuration.seconds, "above 0")?;
     seconds("seconds", configuration.seconds)?;
@@ -151,11 +152,11 @@
     let tenants = &configuration.tenants;
     count("tenants.count", tenants.count, MAX_TENANTS)?;
     count("tenants.max_units", tenants.max_units, MAX_UNITS)?;
-    let [least, most] = tenants.gateways_per_tenant;
-    require(least >= 1, "tenants.spread", f64::from(least), "1 at least")?;
-    require(least <= most, "tenants.spread", f64::from(least), "a range in rising order")?;
+    let Range { min, max } = tenants.gateways_per_tenant;
+    require(min >= 1, "tenants.spread", f64::from(min), "1 at least")?;
+    require(min <= max, "tenants.spread", f64::from(min), "a range in rising order")?;
     let gateways = configuration.gateways.count;
-    require(most <= gateways, "tenants.spread", f64::from(most), "no more than gatekeepers.count")?;
+    require(max <= gateways, "tenants.spread", f64::from(max), "no more than gatekeepers.count")?;
     range("tenants.skew", tenants.skew)
 }
 
@@ -168,7 +169,7 @@
     for (key, body) in
         [("clients.request_body", clients.request_body), ("clients.answer_body", clients.answer_body)]
     {
-        require(body <= MAX_BODY, key, body as f64, "at most 65536 bytes")?;
+        require(body <= MAX_BODY_BYTES, key, body as f64, "at most 65536 bytes")?;
     }
     Ok(())
 }
@@ -217,7 +218,7 @@
     Ok(())
 }
 
-/// The mean of values by weight.
+/// The mean of pairs of a weight and a value.
 fn weighted_mean(values: impl Iterator<Item = (f64, f64)>) -> f64 {
     let (sum, weight) =
         values.fold((0.0, 0.0), |(sum, all), (share, value)| (sum + share * value, all + share));
@@ -226,56 +227,56 @@
 
 fn check_load(configuration: &Configuration) -> Check {
     let rate = weighted_mean(configuration.plans.iter().map(|plan| (plan.share, plan.rate)));
-    let use_of_rate = weighted_mean(configuration.usage.iter().map(|usage| {
+    let load_factor = weighted_mean(configuration.usage.iter().map(|usage| {
         let spiky = if usage.spike_every > 0.0 { usage.spike_seconds / usage.spike_every } else { 0.0 };
-        let mean = (usage.load_factor[0] + usage.load_factor[1]) / 2.0;
+        let mean = (usage.load_factor.min + usage.load_factor.max) / 2.0;
         (usage.share, mean * (1.0 + spiky * (usage.spike_factor - 1.0)))
     }));
     let mean_units = f64::from(1 + configuration.tenants.max_units) / 2.0;
-    let requests = f64::from(configuration.tenants.count) * rate * use_of_rate / mean_units;
+    let requests = f64::from(configuration.tenants.count) * rate * load_factor / mean_units;
     let fits = requests <= MAX_REQUESTS_PER_SECOND;
     require(fits, "the expected load", requests, "at most 1000000 requests a second")
 }
 
-fn span(start: f64, end: f64) -> Check {
+fn check_span(start: Seconds, end: Seconds) -> Check {
     seconds("faults.at", start)?;
     seconds("faults.until", end)?;
     require(start <= end, "faults.until", end, "no earlier than the fault's begin")
 }
 
-fn fault_zone(configuration: &Configuration, zone: u32) -> Check {
+fn check_zone(configuration: &Configuration, zone: u32) -> Check {
     let known = zone < configuration.topology.zones;
     require(known, "faults.zone", f64::from(zone), "below topology.zones")
 }
 
 fn check_fault(configuration: &Configuration, fault: &Fault) -> Check {
     match *fault {
-        Fault::RestartAtOnce { at, share: part } | Fault::ForgetCounts { at, share: part } => {
+        Fault::RestartAtOnce { at, share: part } | Fault::LoseCounterEntries { at, share: part } => {
             seconds("faults.at", at)?;
             share("faults.share", part)
         }
         Fault::RestartOneByOne { from, until, count } => {
-            span(from, until)?;
+            check_span(from, until)?;
             require(count <= MAX_RESTARTS, "faults.count", f64::from(count), "at most 100000")
         }
         Fault::ReplaceEndpoints { from, until, count } => {
-            span(from, until)?;
+            check_span(from, until)?;
             let fits = count <= configuration.endpoints.count;
             require(fits, "faults.count", f64::from(count), "no more than workers.count")
         }
         Fault::LoseZone { at, until, zone } | Fault::CutCounter { at, until, zone } => {
-            span(at, until)?;
-            fault_zone(configuration, zone)
+            check_span(at, until)?;
+            check_zone(configuration, zone)
         }
         Fault::SlowCounter { at, until, factor } => {
-            span(at, until)?;
+            check_span(at, until)?;
             positive("faults.factor", factor)
         }
-        Fault::SilenceCounter { at, until } => span(at, until),
+        Fault::SilenceCounter { at, until } => check_span(at, until),
         Fault::CrashEndpoints { at, until, share: part }
         | Fault::HangEndpoints { at, until, share: part }
         | Fault::DrainEndpoints { at, until, share: part } => {
-            span(at, until)?;
+            check_span(at, until)?;
             share("faults.share", part)
         }
     }
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -2,10 +2,10 @@
 
 use oliverack::{Endpoint, Event, Lifecycle, Status};
 use oliverack_lab::fleet::configuration::{Counter as CounterFigures, Discovery as DiscoveryFigures};
-use oliverack_lab::fleet::configuration::{DiscoveryMode, Endpoints as EndpointFigures};
-use oliverack_lab::fleet::counter::{Admission, Counter};
-use oliverack_lab::fleet::counter_calls::{CallEnd, CounterCalls};
-use oliverack_lab::fleet::discovery::{Discovery, PollOutcome};
+use oliverack_lab::fleet::configuration::{DiscoveryMode, Endpoints as EndpointFigures, Range};
+use oliverack_lab::fleet::counter::{CallAdmission, Counter};
+use oliverack_lab::fleet::counter_calls::{CallResult, CounterCalls};
+use oliverack_lab::fleet::discovery::{Discovery, PollResult};
 use oliverack_lab::fleet::endpoints::{EndpointState, Reception, SimulatedEndpoint};
 use oliverack_lab::fleet::event_queue::{EventQueue, RUN_START};
 use oliverack_lab::fleet::randomness::{Stream, stream};
@@ -46,28 +46,28 @@
 #[test]
 fn the_counter_serves_calls_in_turn_and_turns_away_beyond_its_queue() {
     let mut counter = counter();
-    let at: Vec<Admission> = (0..4).map(|_| counter.admit(RUN_START, 1)).collect();
-    let Admission::Served { at: third } = at[2] else { panic!("{at:?}") };
+    let at: Vec<CallAdmission> = (0..4).map(|_| counter.admit(RUN_START, 1)).collect();
+    let CallAdmission::Admitted { completes_at: third } = at[2] else { panic!("{at:?}") };
     assert_close(third, RUN_START + 0.03);
-    assert_eq!(at[3], Admission::Full);
-    assert!(matches!(counter.admit(RUN_START + 0.02, 1), Admission::Served { .. }));
+    assert_eq!(at[3], CallAdmission::Rejected);
+    assert!(matches!(counter.admit(RUN_START + 0.02, 1), CallAdmission::Admitted { .. }));
 }
 
 #[test]
 fn parts_of_the_counter_have_lines_of_their_own() {
     let mut counter =
         Counter::new(&CounterFigures { shards: 2, calls_per_second: 100.0, queue: 0, delay: 0.0 });
-    assert!(matches!(counter.admit(RUN_START, 0), Admission::Served { .. }));
-    assert!(matches!(counter.admit(RUN_START, 1), Admission::Served { .. }));
-    assert_eq!(counter.admit(RUN_START, 2), Admission::Full);
+    assert!(matches!(counter.admit(RUN_START, 0), CallAdmission::Admitted { .. }));
+    assert!(matches!(counter.admit(RUN_START, 1), CallAdmission::Admitted { .. }));
+    assert_eq!(counter.admit(RUN_START, 2), CallAdmission::Rejected);
 }
 
 #[test]
 fn a_slow_counter_takes_longer_for_each_call() {
     let mut counter = counter();
     counter.set_slowdown(5.0);
-    let Admission::Served { at } = counter.admit(RUN_START, 1) else { panic!("turned away") };
-    assert_close(at, RUN_START + 0.05);
+    let CallAdmission::Admitted { completes_at } = counter.admit(RUN_START, 1) else { panic!("turned away") };
+    assert_close(completes_at, RUN_START + 0.05);
 }
 
 #[test]
@@ -85,33 +85,33 @@
         counter.add(RUN_START, name, 1.0, 60.0);
     }
     let mut generator = stream(1, Stream::Counter);
-    let lost = counter.forget(0.3, &mut generator);
+    let lost = counter.lose_entries(0.3, &mut generator);
     assert!((250..350).contains(&lost), "{lost} of 1000 are lost");
-    assert_eq!(counter.names(), 1000 - lost);
-    counter.forget(1.0, &mut generator);
-    assert_eq!(counter.names(), 0);
+    assert_eq!(counter.entry_count(), 1000 - lost);
+    counter.lose_entries(1.0, &mut generator);
+    assert_eq!(counter.entry_count(), 0);
 }
 
 #[test]
 fn a_silent_counter_takes_no_calls() {
     let mut counter = counter();
     counter.set_silent(true);
-    assert_eq!(counter.admit(RUN_START, 1), Admission::Silent);
+    assert_eq!(counter.admit(RUN_START, 1), CallAdmission::NoResponse);
     counter.set_silent(false);
-    assert!(matches!(counter.admit(RUN_START, 1), Admission::Served { .. }));
+    assert!(matches!(counter.admit(RUN_START, 1), CallAdmission::Admitted { .. }));
 }
 
 #[test]
 fn answers_for_one_name_are_told_in_the_order_of_the_calls() {
     let mut calls = CounterCalls::default();
-    let (first, second) = (calls.begin(RUN_START, 1), calls.begin(RUN_START, 1));
-    let full = CallEnd { status: Status::Rejected, total: 0.0 };
-    let ok = CallEnd { status: Status::Ok, total: 3.0 };
+    let (first, second) = (calls.start(RUN_START, 1), calls.start(RUN_START, 1));
+    let full = CallResult { status: Status::Rejected, total: 0.0 };
+    let ok = CallResult { status: Status::Ok, total: 3.0 };
     assert!(calls.end(RUN_START + 0.01, second, full).is_empty());
     let told: Vec<Status> = calls.end(RUN_START + 0.02, first, ok).iter().map(status).collect();
     assert_eq!(told, [Status::Ok, Status::Rejected]);
     // An answer that comes after the time-out is not told again.
-    assert!(!calls.awaits(first));
+    assert!(!calls.is_in_flight(first));
     assert!(calls.end(RUN_START + 0.03, first, ok).is_empty());
 }
 
@@ -147,9 +147,9 @@
     let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
     let receptions: Vec<Reception> = (0..3).map(|number| endpoint.receive(attempt(number))).collect();
     assert_eq!(receptions, [Reception::Started, Reception::Queued, Reception::Rejected(Status::Rejected)]);
-    assert_eq!(endpoint.begin_next(|_| true), None);
+    assert_eq!(endpoint.start_next(|_| true), None);
     endpoint.finish(attempt(0));
-    assert_eq!(endpoint.begin_next(|_| true), Some(attempt(1)));
+    assert_eq!(endpoint.start_next(|_| true), Some(attempt(1)));
 }
 
 #[test]
@@ -158,7 +158,7 @@
     endpoint.receive(attempt(0));
     endpoint.receive(attempt(1));
     endpoint.finish(attempt(0));
-    assert_eq!(endpoint.begin_next(|_| false), None);
+    assert_eq!(endpoint.start_next(|_| false), None);
     assert_eq!(endpoint.receive(attempt(2)), Reception::Started);
 }
 
@@ -194,7 +194,7 @@
 fn discovery() -> Discovery {
     let figures = DiscoveryFigures {
         mode: DiscoveryMode::Poll,
-        propagation_delay: [0.0, 0.0],
+        propagation_delay: Range { min: 0.0, max: 0.0 },
         calls_per_second: 10.0,
         poll_timeout: 0.15,
         watch_hold: 2.5,
@@ -205,10 +205,10 @@
 #[test]
 fn calls_for_the_list_wait_in_turn_and_fail_after_the_limit() {
     let mut discovery = discovery();
-    let turns: Vec<PollOutcome> = (0..3).map(|_| discovery.poll(RUN_START)).collect();
-    assert_eq!(turns[0], PollOutcome::Answered(RUN_START + 0.1));
-    assert!(matches!(turns[1], PollOutcome::Answered(at) if (at - RUN_START - 0.2).abs() < 1e-9));
-    assert_eq!(turns[2], PollOutcome::Failed(RUN_START + 0.15));
+    let turns: Vec<PollResult> = (0..3).map(|_| discovery.poll(RUN_START)).collect();
+    assert_eq!(turns[0], PollResult::Answered(RUN_START + 0.1));
+    assert!(matches!(turns[1], PollResult::Answered(at) if (at - RUN_START - 0.2).abs() < 1e-9));
+    assert_eq!(turns[2], PollResult::TimedOut(RUN_START + 0.15));
 }
 
 #[test]
@@ -231,7 +231,7 @@
     assert!(bucket.try_take(RUN_START, 4.0));
     assert!(!bucket.try_take(RUN_START + 0.5, 1.0));
     assert!(bucket.try_take(RUN_START + 100.0, 4.0));
-    assert_close(bucket.draw(RUN_START + 100.0, 1.0), -0.25);
+    assert_close(bucket.overdraw(RUN_START + 100.0, 1.0), -0.25);
 }
 
 #[test]
--- a/lab/tests/fleet_runs.rs
+++ b/lab/tests/fleet_runs.rs
@@ -56,7 +56,7 @@
         Fault::CutCounter { at: 1.0, until: 3.0, zone: 0 },
         Fault::SlowCounter { at: 1.0, until: 2.0, factor: 100.0 },
         Fault::SilenceCounter { at: 3.0, until: 4.0 },
-        Fault::ForgetCounts { at: 3.5, share: 0.5 },
+        Fault::LoseCounterEntries { at: 3.5, share: 0.5 },
         Fault::CrashEndpoints { at: 1.0, until: 4.5, share: 0.1 },
         Fault::HangEndpoints { at: 2.0, until: 6.0, share: 0.1 },
         Fault::DrainEndpoints { at: 1.0, until: 3.0, share: 0.1 },
