--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -172,3 +172,40 @@
         self.0.values().sum()
     }
 }
+
+pub fn plain(effect: Effect) -> Settings {
+    let mut s = settings();
+    s.plans = vec![Plan::default()];
+    s.classes[0].effect = effect;
+    s
+}
+
+/// Fires every timer that has come due by `at`, answering calls through `counter`.
+pub fn pass(rig: &mut Rig, counter: &mut Counter, at: Time) {
+    let timers = std::mem::take(&mut rig.actions);
+    rig.now = at;
+    for timer in timers {
+        if let Action::SetTimer { token, at: due } = timer
+            && due <= at
+        {
+            let out = rig.event(Event::Timer { token });
+            counter.answer(rig, &out);
+        }
+    }
+}
+
+pub fn fleet(n: u32, settings: &Settings, endpoints: &[Endpoint]) -> Vec<Rig> {
+    let rig = |me: u32| {
+        let mut s = settings.clone();
+        (s.gateway_index, s.gateway_count) = (me, n);
+        let gateway = Gateway::new(s, u64::from(me) * 7919 + 1).expect("usable settings");
+        let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
+        rig.list(ListKind::Stale, endpoints.to_vec());
+        rig
+    };
+    (0..n).map(rig).collect()
+}
+
+pub fn endpoints(n: u32) -> Vec<Endpoint> {
+    (0..n).map(|i| endpoint(&format!("s{i:03}"), Lifecycle::Running, 0.0)).collect()
+}
