--- a/tests/ceiling_share.rs
+++ b/tests/ceiling_share.rs
@@ -1,28 +1,29 @@
 //! The share of a ceiling that one gateway grants.
 
 mod common;
-use common::*;
-use oliverack::*;
+use common::{FakeCounter, GatewayHarness, settings};
+use oliverack::Event;
 
-/// A gateway of two before a counter that grants all, under a ceiling of 34 units that 17 a second refill.
-fn under_a_ceiling(has_counter: bool) -> (Rig, Counter) {
-    let mut s = settings();
-    s.has_counter = has_counter;
-    (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (17.0, 34.0);
-    (Rig::new(s), Counter::default())
+/// One of two gateways, with a counter that replies to all calls and a ceiling of 17 units a second and 34 at once.
+fn under_a_ceiling(has_counter: bool) -> (GatewayHarness, FakeCounter) {
+    let mut settings = settings();
+    settings.has_counter = has_counter;
+    settings.plans[0].ceiling_rate = 17.0;
+    settings.plans[0].ceiling_burst = 34.0;
+    (GatewayHarness::new(settings), FakeCounter::default())
 }
 
 #[test]
 fn restarted_gateway_starts_with_empty_ceiling_share() {
     for has_counter in [false, true] {
-        let (mut rig, mut counter) = under_a_ceiling(has_counter);
+        let (mut harness, mut counter) = under_a_ceiling(has_counter);
         assert_eq!(
-            counter.ask_many(&mut rig, "a", 30),
+            counter.send_requests(&mut harness, "a", 30),
             0,
-            "its process before may have elapsed all of its share"
+            "its process before may have spent all of its share"
         );
-        rig.now += 100.0;
-        let later = counter.ask_many(&mut rig, "b", 60);
+        harness.now += 100.0;
+        let later = counter.send_requests(&mut harness, "b", 60);
         assert!(later <= 17, "{later}: an even share of the ceiling is 17 at most");
         assert!(later >= 10, "{later}: with or without the counter half of the burst of 20 goes");
     }
@@ -30,21 +31,21 @@
 
 #[test]
 fn counter_reset_grants_no_more_than_ceiling_share() {
-    let (mut rig, mut counter) = under_a_ceiling(true);
-    rig.now += 100.0;
-    let before = counter.ask_many(&mut rig, "a", 60);
-    counter.0.clear();
-    let after = counter.ask_many(&mut rig, "b", 60);
+    let (mut harness, mut counter) = under_a_ceiling(true);
+    harness.now += 100.0;
+    let before = counter.send_requests(&mut harness, "a", 60);
+    counter.totals.clear();
+    let after = counter.send_requests(&mut harness, "b", 60);
     assert!(before >= 10 && before + after <= 17, "{before} before the loss and {after} after");
 }
 
 #[test]
 fn ceiling_share_is_not_granted_again_after_replica_change() {
-    let (mut rig, mut counter) = under_a_ceiling(true);
-    rig.now += 100.0;
-    let before = counter.ask_many(&mut rig, "a", 60);
-    rig.event(Event::ReplicasChanged { index: 0, count: 2 });
-    rig.event(Event::ReplicasChanged { index: 0, count: 1 });
-    let after = counter.ask_many(&mut rig, "b", 60);
+    let (mut harness, mut counter) = under_a_ceiling(true);
+    harness.now += 100.0;
+    let before = counter.send_requests(&mut harness, "a", 60);
+    harness.handle(Event::ReplicasChanged { index: 0, count: 2 });
+    harness.handle(Event::ReplicasChanged { index: 0, count: 1 });
+    let after = counter.send_requests(&mut harness, "b", 60);
     assert!(before + after <= 17, "{before} before the other process came and went, {after} after");
 }
--- a/tests/fleet_load.rs
+++ b/tests/fleet_load.rs
@@ -1,84 +1,80 @@
-//! Many gateways of little load, driven together: what they do in sum.
+//! How a fleet of gateways with little load each distributes its requests and calls the counter.
 
 mod common;
-use common::*;
-use oliverack::*;
+use common::{
+    AttemptEnd, GatewayHarness, endpoint, fleet, rejected_count, request, running_endpoints, settings,
+    started_attempts,
+};
+use oliverack::{Action, Endpoint, EndpointId, Event, Lifecycle, ListKind, Plan, Status};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One request through `rig`, answered in 50 ms if sent; the endpoint it went to.
-fn one(rig: &mut Rig, request_id: &str, spread: u32) -> Option<EndpointId> {
-    let mut request = request(request_id, rig.now);
+/// Sends one request, whose attempt succeeds at once; returns the endpoint, if it was sent.
+fn send_one(harness: &mut GatewayHarness, request_id: &str, spread: u32) -> Option<EndpointId> {
+    let mut request = request(request_id, harness.now);
     request.customer_gateway_count = spread;
-    let out = rig.event(Event::Request(request));
-    let (request_id, endpoint) = sends(&out).pop()?;
-    rig.outcome(&request_id, 0, &endpoint, Status::Ok);
+    let actions = harness.handle(Event::Request(request));
+    let (request_id, endpoint) = started_attempts(&actions).pop()?;
+    harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok);
     Some(endpoint)
 }
 
 #[test]
 fn endpoint_restart_seen_by_200_gateways_at_once_does_not_overload_it() {
-    let mut s = settings();
-    s.plans = vec![Plan::default()];
-    let (n, warm) = (200, endpoints(9));
-    let mut rigs = fleet(n, &s, &warm);
+    let mut settings = settings();
+    settings.plans = vec![Plan::default()];
+    let (n, warm) = (200, running_endpoints(9));
+    let mut gateways = fleet(n, &settings, &warm);
     let mut sent = 0.0;
     let mut to_cold = 0.0;
     for step in 0..80 {
         let now = 100.0 + f64::from(step) * 0.1;
-        for (i, rig) in rigs.iter_mut().enumerate() {
-            rig.now = now;
+        for (i, harness) in gateways.iter_mut().enumerate() {
+            harness.now = now;
             if step == 70 {
-                rig.list(ListKind::Changes, vec![endpoint("s000", Lifecycle::Running, now)]);
+                harness.update_endpoints(ListKind::Changes, vec![endpoint("s000", Lifecycle::Running, now)]);
             }
             if (i + step as usize) % 5 == 0 {
-                let endpoint = one(rig, &format!("{i}-{step}"), n);
+                let endpoint = send_one(harness, &format!("{i}-{step}"), n);
                 sent += f64::from(u8::from(endpoint.is_some() && step < 70));
                 to_cold += f64::from(u8::from(endpoint.as_deref() == Some("s000") && step >= 70));
             }
         }
     }
     let each = sent / 7.0 / 9.0; // What an endpoint carried, a second.
-    let may = s.overload_multiple * s.slow_start_initial_share * each * s.overload_window;
+    let may =
+        settings.overload_multiple * settings.slow_start_initial_share * each * settings.overload_window;
     assert!(to_cold > 0.0, "a cold endpoint is not left idle");
     assert!(to_cold <= may, "{to_cold} sent in the fall span, {may} would push it over");
 }
 
 #[test]
 fn gateway_of_large_fleet_uses_small_subset_of_endpoints() {
-    let mut s = settings();
-    s.plans = vec![Plan::default()];
-    let mut rigs = fleet(100, &s, &endpoints(60));
-    let all: BTreeSet<EndpointId> = (0..200).filter_map(|i| one(&mut rigs[3], &format!("j{i}"), 1)).collect();
+    let mut settings = settings();
+    settings.plans = vec![Plan::default()];
+    let mut gateways = fleet(100, &settings, &running_endpoints(60));
+    let all: BTreeSet<EndpointId> =
+        (0..200).filter_map(|i| send_one(&mut gateways[3], &format!("j{i}"), 1)).collect();
     assert!((2..=12).contains(&all.len()), "{} endpoints used", all.len());
-    let firsts: BTreeSet<EndpointId> = rigs.iter_mut().filter_map(|rig| one(rig, "first", 1)).collect();
+    let firsts: BTreeSet<EndpointId> =
+        gateways.iter_mut().filter_map(|harness| send_one(harness, "first", 1)).collect();
     assert!(firsts.len() >= 30, "together they use the fleet: {}", firsts.len());
 }
 
-/// Of 300 requests at one gateway, how many are turned away at once when `lost` in ten attempts never answer.
-fn refused_when_lost(lost: usize) -> usize {
-    let mut s = settings();
-    (s.plans, s.gateway_count) = (vec![Plan::default()], 20);
-    let mut rig = Rig::new(s);
+/// How many of 300 requests one gateway rejects at once when `lost` in ten attempts get no response.
+fn rejected_when_lost(lost: usize) -> usize {
+    let mut settings = settings();
+    settings.plans = vec![Plan::default()];
+    settings.gateway_count = 20;
+    let mut harness = GatewayHarness::new(settings);
     let mut total = 0;
     for i in 0..300 {
-        rig.now += 0.1;
-        let out = rig.ask(&format!("j{i}"));
-        total += refused(&out);
-        for (request_id, endpoint) in sends(&out) {
+        harness.now += 0.1;
+        let actions = harness.send_request(&format!("j{i}"));
+        total += rejected_count(&actions);
+        for (request_id, endpoint) in started_attempts(&actions) {
             let (status, elapsed) =
                 if i * 3 % 10 < lost { (Status::Timeout, 1.0) } else { (Status::Ok, 0.03) };
-            let is_finished = status == Status::Ok;
-            let load = LoadReport::default();
-            rig.event(Event::AttemptEnded {
-                request_id,
-                attempt: 0,
-                endpoint,
-                status,
-                elapsed,
-                is_finished,
-                actual_units: None,
-                load,
-            });
+            harness.handle(AttemptEnd::new(&request_id, &endpoint).status(status).elapsed(elapsed).event());
         }
     }
     total
@@ -86,17 +82,21 @@
 
 #[test]
 fn lost_responses_do_not_shed_load_but_timeouts_of_most_endpoints_do() {
-    assert!(refused_when_lost(4) <= 3, "four lost in ten turn nearly nobody away: {}", refused_when_lost(4));
-    let turned_away = refused_when_lost(8);
+    assert!(
+        rejected_when_lost(4) <= 3,
+        "four lost in ten turn nearly nobody away: {}",
+        rejected_when_lost(4)
+    );
+    let turned_away = rejected_when_lost(8);
     assert!(turned_away >= 30, "{turned_away} turned away at once when eight in ten time out");
 }
 
-/// What `n` gateways send a second, after `new` of the `all` endpoints were replaced by cold ones at one moment: to a
-/// cold endpoint in the mean and at most, and to any endpoint before.
-fn sent_to_cold(n: u32, all: u32, new: u32) -> (f64, f64, f64) {
-    let mut s = settings();
-    s.plans = vec![Plan::default()];
-    let mut rigs = fleet(n, &s, &endpoints(all));
+/// Requests that `n` gateways send a second after `new` of the `all` endpoints were replaced at one moment: to an
+/// endpoint in slow start in the mean and at most, and to each endpoint before.
+fn rates_to_endpoints_in_slow_start(n: u32, all: u32, new: u32) -> (f64, f64, f64) {
+    let mut settings = settings();
+    settings.plans = vec![Plan::default()];
+    let mut gateways = fleet(n, &settings, &running_endpoints(all));
     let (mut before, mut cold) = (0, BTreeMap::new());
     let mut rng = fastrand::Rng::with_seed(7);
     for step in 0..120 {
@@ -106,31 +106,20 @@
             [gone, endpoint(&format!("t{i:03}"), Lifecycle::Running, now)]
         });
         let changes: Vec<Endpoint> = if step == 60 { replaced.collect() } else { Vec::new() };
-        for (i, rig) in rigs.iter_mut().enumerate() {
-            rig.now = now;
+        for (i, harness) in gateways.iter_mut().enumerate() {
+            harness.now = now;
             if step == 60 {
-                rig.list(ListKind::Changes, changes.clone());
+                harness.update_endpoints(ListKind::Changes, changes.clone());
             }
             for turn in 0..(100 / n).max(1) {
                 let request_id = format!("{i}-{step}-{turn}");
-                let sent = sends(&rig.ask(&request_id)).pop().map(|(_, endpoint)| endpoint);
+                let sent =
+                    started_attempts(&harness.send_request(&request_id)).pop().map(|(_, endpoint)| endpoint);
                 before += u32::from(sent.is_some() && (30..60).contains(&step));
                 // Answers take 50 to 140 ms, cold or warm.
                 let elapsed = 0.05 + 0.09 * rng.f64();
                 if let Some(endpoint) = sent.clone() {
-                    let (request_id, status, is_finished, load) =
-                        (request_id.into(), Status::Ok, true, LoadReport::default());
-                    let actual_units = None;
-                    rig.event(Event::AttemptEnded {
-                        request_id,
-                        attempt: 0,
-                        endpoint,
-                        status,
-                        elapsed,
-                        is_finished,
-                        actual_units,
-                        load,
-                    });
+                    harness.handle(AttemptEnd::new(&request_id, &endpoint).elapsed(elapsed).event());
                 }
                 if let Some(id) = sent.filter(|id| id.starts_with('t') && step >= 90) {
                     *cold.entry(id).or_insert(0) += 1;
@@ -147,7 +136,7 @@
 #[test]
 fn endpoints_in_slow_start_carry_their_share_at_every_fleet_size() {
     for (n, all, new) in [(3, 9, 5), (12, 20, 12), (100, 60, 36)] {
-        let (mean, most, before) = sent_to_cold(n, all, new);
+        let (mean, most, before) = rates_to_endpoints_in_slow_start(n, all, new);
         // At an age of 3 to 6 s of 10 it surely has 0.44 to 0.68 of its capacity.
         assert!(mean >= 0.2 * before, "{n} gateways: {mean} to a cold endpoint, {before} to any before");
         assert!(most <= 2.0 * 0.44 * before * 2.0, "{n} gateways: {most} to one, {before} to any before");
@@ -156,14 +145,14 @@
 
 #[test]
 fn fleet_distributes_load_evenly_over_endpoints() {
-    let mut s = settings();
-    s.plans = vec![Plan::default()];
+    let mut settings = settings();
+    settings.plans = vec![Plan::default()];
     for (n, all) in [(1, 9), (3, 9), (12, 20), (100, 60)] {
         let mut sent = BTreeMap::new();
-        for (i, rig) in fleet(n, &s, &endpoints(all)).iter_mut().enumerate() {
+        for (i, harness) in fleet(n, &settings, &running_endpoints(all)).iter_mut().enumerate() {
             for turn in 0..3000 / n {
-                rig.now += 0.5;
-                *sent.entry(one(rig, &format!("{i}-{turn}"), n)).or_insert(0) += 1;
+                harness.now += 0.5;
+                *sent.entry(send_one(harness, &format!("{i}-{turn}"), n)).or_insert(0) += 1;
             }
         }
         let mean = f64::from(sent.values().sum::<u32>()) / f64::from(all);
@@ -173,12 +162,12 @@
     }
 }
 
-/// Of the calls of the last 10 s of 20 that `n` gateways make to a counter that answers 250 a second in turn, the
-/// share answered within the limit, and how many that are.
+/// Calls of `n` gateways to a counter that replies to 250 a second in turn: the share replied to in time in the last
+/// 10 s of 20, and their number.
 fn counted_in_time(n: u32) -> (f64, u32) {
-    let mut s = settings();
-    s.counter_timeout = 0.08;
-    let mut rigs = fleet(n, &s, &endpoints(9));
+    let mut settings = settings();
+    settings.counter_timeout = 0.08;
+    let mut gateways = fleet(n, &settings, &running_endpoints(9));
     let (mut line, mut free): (VecDeque<(f64, usize, u64)>, f64) = (VecDeque::new(), 100.0);
     let (mut calls, mut well, mut number) = (0, 0, 0);
     for step in 0..2000 {
@@ -189,37 +178,38 @@
             free = free.max(since) + 1.0 / 250.0;
             let elapsed = (now - since).max(0.002);
             // What nobody waits for any more has been reported already, and is worked on all the same.
-            if elapsed <= s.counter_timeout {
+            if elapsed <= settings.counter_timeout {
                 reports.push((i, counter, Status::Ok, elapsed));
                 well += u32::from(step >= 1000);
             }
         }
-        let late = |at: f64| (now - at > s.counter_timeout) && (now - at <= s.counter_timeout + 0.01);
+        let late =
+            |at: f64| (now - at > settings.counter_timeout) && (now - at <= settings.counter_timeout + 0.01);
         let lost = line.iter().filter(|(at, ..)| late(*at));
-        reports.extend(lost.map(|(_, i, counter)| (*i, *counter, Status::Timeout, s.counter_timeout)));
-        let mut out: Vec<(usize, Action)> = Vec::new();
+        reports.extend(lost.map(|(_, i, counter)| (*i, *counter, Status::Timeout, settings.counter_timeout)));
+        let mut actions: Vec<(usize, Action)> = Vec::new();
         for (i, counter, status, elapsed) in reports {
-            rigs[i].now = now;
+            gateways[i].now = now;
             let event = Event::CounterReplied { counter, status, total: 1.0, elapsed };
-            out.extend(rigs[i].event(event).into_iter().map(|a| (i, a)));
+            actions.extend(gateways[i].handle(event).into_iter().map(|a| (i, a)));
         }
         // 800 requests a second, each of another customer.
         for _ in 0..8 {
             number += 1;
             let i = number % n as usize;
-            rigs[i].now = now;
+            gateways[i].now = now;
             let mut request = request(&format!("j{number}"), now);
             request.customer = format!("c{number}").into();
-            out.extend(rigs[i].event(Event::Request(request)).into_iter().map(|a| (i, a)));
+            actions.extend(gateways[i].handle(Event::Request(request)).into_iter().map(|a| (i, a)));
         }
-        for (i, action) in out {
+        for (i, action) in actions {
             match action {
                 Action::AddToCounter { counter, .. } => {
                     calls += u32::from(step >= 1000);
                     line.push_back((now, i, counter));
                 }
                 Action::StartAttempt { request_id, endpoint, .. } => {
-                    drop(rigs[i].outcome(&request_id, 0, &endpoint, Status::Ok))
+                    drop(gateways[i].attempt_ended(&request_id, 0, &endpoint, Status::Ok))
                 }
                 _ => {}
             }
@@ -239,31 +229,34 @@
 
 #[test]
 fn unreported_units_are_reported_to_counter_once() {
-    let mut s = settings();
-    s.gateway_count = 100;
-    let mut rig = Rig::new(s);
-    let ask = |rig: &mut Rig, i: u32| {
-        let mut request = request(&format!("j{i}"), rig.now);
-        (request.customer_gateway_count, request.customer) = (100, format!("c{i}").into());
-        rig.event(Event::Request(request))
+    let mut settings = settings();
+    settings.gateway_count = 100;
+    let mut harness = GatewayHarness::new(settings);
+    let ask = |harness: &mut GatewayHarness, i: u32| {
+        let mut request = request(&format!("j{i}"), harness.now);
+        request.customer_gateway_count = 100;
+        request.customer = format!("c{i}").into();
+        harness.handle(Event::Request(request))
     };
     // More at once than there are calls for: the rest goes by the even share, off the count.
     let mut off = 0.0;
     for i in 0..30 {
-        for (request_id, endpoint) in sends(&ask(&mut rig, i)) {
+        for (request_id, endpoint) in started_attempts(&ask(&mut harness, i)) {
             off += 1.0;
-            rig.outcome(&request_id, 0, &endpoint, Status::Ok);
+            harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok);
         }
     }
     assert!(off >= 20.0, "{off} sent off the count");
     let mut told = 0.0;
     for i in 30..90 {
-        rig.now += 0.5;
-        for action in ask(&mut rig, i) {
+        harness.now += 0.5;
+        for action in ask(&mut harness, i) {
             let Action::AddToCounter { counter, amount, .. } = action else { continue };
             told += amount - 1.0;
-            for (request_id, endpoint) in sends(&rig.counted(counter, Status::Ok, amount + 0.5)) {
-                rig.outcome(&request_id, 0, &endpoint, Status::Ok);
+            for (request_id, endpoint) in
+                started_attempts(&harness.counter_replied(counter, Status::Ok, amount + 0.5))
+            {
+                harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok);
             }
         }
     }
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -1,28 +1,35 @@
-//! What a whole fleet lets through beyond its customers' quotas on a quiet day, in sum, and what that costs. The operators
-//! allow 0.1 more than a policy pays that sees the true state late; as no page says how late, that is taken to pay
-//! nothing here.
+//! The cost of the units that a whole fleet sends beyond its customers' quotas on an ordinary day. The allowance is
+//! 0.1 of the weight requested inside quotas above the cost of a policy that sees the true state late; no delay is
+//! specified, so that cost is taken as 0.
 
 mod common;
-use common::{simulation::*, *};
-use oliverack::*;
+use common::{
+    AttemptEnd, fleet, plan, request, running_endpoints, settings,
+    simulation::{CounterModel, Simulation},
+    started_attempts,
+};
+use oliverack::{CustomerId, EndpointId, Event, Plan, RequestId, Time};
 use std::collections::BTreeMap;
 
 const SECONDS: f64 = 12.0;
 const STEP: f64 = 0.002;
-/// What the counter bears: calls a second, the way there and back, and when it turns calls away.
-const CALLS: f64 = 1000.0;
-const WAY: f64 = 0.003;
-const LINE: f64 = 0.2;
-/// The most that it may cost, as a share of the worth that is asked for inside quotas.
-const MOST: f64 = 0.1;
+/// Calls a second that the counter sustains.
+const COUNTER_CALLS_PER_SECOND: f64 = 1000.0;
+/// Network time of a counter call, in seconds.
+const COUNTER_ROUND_TRIP: f64 = 0.003;
+/// Queueing time beyond which the counter rejects calls, in seconds.
+const COUNTER_MAX_QUEUE_TIME: f64 = 0.2;
+/// Highest allowed cost, as a share of the weight requested inside quotas.
+const MAX_COST_SHARE: f64 = 0.1;
 
-/// A customer, and its true store: as it would be if one gateway saw all, and as the fleet draws on it.
+/// A customer with two exact token buckets: one for a single gateway that sees all requests, one for what the fleet
+/// sends.
 struct Customer {
     id: CustomerId,
     plan: usize,
     spread: u32,
     first: u32,
-    /// Tries a second.
+    /// Requests a second.
     rate: f64,
     /// It asks for so many times as much now and then, from this second of every fifteen on.
     spike: (f64, f64),
@@ -30,7 +37,7 @@
     fleet: (f64, Time),
 }
 
-/// Takes `units` from a store where it holds them.
+/// Takes `units` from a token bucket if it holds as many.
 fn take((level, at): &mut (f64, Time), now: Time, plan: &Plan, units: f64) -> bool {
     *level = (*level + plan.rate * (now - *at)).min(plan.burst);
     *at = now;
@@ -48,8 +55,9 @@
     ];
     let plan = |(rate, burst, pays, cost, excess)| {
         let mut plan = plan(rate, burst);
-        (plan.priority_weight, plan.over_quota_cost_share, plan.over_quota_weight_share) =
-            (pays, cost, excess);
+        plan.priority_weight = pays;
+        plan.over_quota_cost_share = cost;
+        plan.over_quota_weight_share = excess;
         plan
     };
     figures.map(plan).to_vec()
@@ -78,31 +86,25 @@
     all
 }
 
-/// All gateways of the settings' fleet, with so many endpoints.
-fn fleet(s: &Settings, endpoints: u32) -> Vec<Rig> {
-    let name = |i: u32| endpoint(&format!("s{i:03}"), Lifecycle::Running, 0.0);
-    let rig = |me: u32| {
-        let mut s = s.clone();
-        s.gateway_index = me;
-        let gateway = Gateway::new(s, u64::from(me) * 7919 + 1).expect("usable settings");
-        let mut rig = Rig { gateway, now: 100.0, actions: Vec::new() };
-        rig.list(ListKind::Stale, (0..endpoints).map(name).collect());
-        rig
-    };
-    (0..s.gateway_count).map(rig).collect()
-}
-
-/// What `n` gateways pay for what they send beyond quotas, as a share of the worth that is asked for inside them, and the
-/// share of that worth which they send.
+/// The cost of what `n` gateways send beyond quotas, and the weight that they send inside quotas, both as a share of
+/// the weight requested inside quotas.
 fn over_quota(n: u32) -> (f64, f64) {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut customers = customers(n, &mut rng);
-    let mut s = settings();
-    (s.plans, s.gateway_count, s.max_units, s.counter_timeout) = (plans(), n, 4.0, 0.08);
-    let rigs = fleet(&s, 9.max(n * 2 / 3));
+    let mut settings = settings();
+    settings.plans = plans();
+    settings.gateway_count = n;
+    settings.max_units = 4.0;
+    settings.counter_timeout = 0.08;
+    let gateways = fleet(settings.gateway_count, &settings, &running_endpoints(9.max(n * 2 / 3)));
     let mut asked: BTreeMap<RequestId, (usize, f64)> = BTreeMap::new();
-    let counter = CounterModel::new(CALLS, WAY, LINE, s.counter_timeout);
-    let mut simulation = Simulation::new(rigs, counter);
+    let counter = CounterModel::new(
+        COUNTER_CALLS_PER_SECOND,
+        COUNTER_ROUND_TRIP,
+        COUNTER_MAX_QUEUE_TIME,
+        settings.counter_timeout,
+    );
+    let mut simulation = Simulation::new(gateways, counter);
     let (mut number, mut paid, mut served, mut offered) = (0, 0.0, 0.0, 0.0);
     let mut now: f64 = 100.0;
     while now < 100.0 + SECONDS {
@@ -114,23 +116,25 @@
                 continue;
             }
             number += 1;
-            let (plan, units) = (&s.plans[customer.plan], f64::from(rng.u32(1..=4)));
+            let (plan, units) = (&settings.plans[customer.plan], f64::from(rng.u32(1..=4)));
             offered +=
                 if take(&mut customer.alone, now, plan, units) { units * plan.priority_weight } else { 0.0 };
-            // Uneven: a third of a customer's tries come in by the first of its gateways.
-            let place = if rng.u32(0..3) == 0 { 0 } else { rng.u32(0..customer.spread) };
-            let gateway = ((customer.first + place) % n) as usize;
+            // Uneven: a third of a customer's requests arrive at the first of its gateways.
+            let position = if rng.u32(0..3) == 0 { 0 } else { rng.u32(0..customer.spread) };
+            let gateway = ((customer.first + position) % n) as usize;
             let mut request = request(&format!("j{number}"), now);
-            (request.units, request.plan, request.customer_gateway_count) =
-                (units, customer.plan, customer.spread);
-            (request.first_gateway, request.customer) = (customer.first, customer.id.clone());
+            request.units = units;
+            request.plan = customer.plan;
+            request.customer_gateway_count = customer.spread;
+            request.first_gateway = customer.first;
+            request.customer = customer.id.clone();
             asked.insert(request.id.clone(), (c, units));
             sent.extend(simulation.handle(gateway, now, Event::Request(request)));
         }
         for request_id in sent {
             let (c, units) = asked.remove(&request_id).expect("sent as it was asked");
             let customer = &mut customers[c];
-            let plan = &s.plans[customer.plan];
+            let plan = &settings.plans[customer.plan];
             if take(&mut customer.fleet, now, plan, units) {
                 served += units * plan.priority_weight;
             } else {
@@ -142,60 +146,53 @@
     (paid / offered, served / offered)
 }
 
-fn costs(fleets: &[u32]) {
+fn assert_over_quota_cost(fleets: &[u32]) {
     for n in fleets {
         let (cost, share) = over_quota(*n);
         eprintln!("{n} gateways: {cost:.3} of the worth, {share:.3} sent");
-        assert!(cost <= MOST, "{n} gateways pay {cost:.3} of the worth asked for inside quotas");
+        assert!(cost <= MAX_COST_SHARE, "{n} gateways pay {cost:.3} of the worth asked for inside quotas");
         assert!(share >= 0.5, "{n} gateways send {share:.3} of it");
     }
 }
 
 #[test]
 fn small_fleet_over_quota_cost_stays_within_limit() {
-    costs(&[1, 3, 12]);
+    assert_over_quota_cost(&[1, 3, 12]);
 }
 
 #[test]
 fn large_fleet_over_quota_cost_stays_within_limit() {
-    costs(&[30, 100, 300]);
+    assert_over_quota_cost(&[30, 100, 300]);
 }
 
-/// Of the tries that `n` gateways send for one customer who asks `rate` times a second, the share sent while the cap of
-/// three was out already, and the share of all tries that is sent, over 30 s from when they have known it for 30 s. An
-/// answer takes 50 ms.
-fn beyond_a_cap(n: u32, rate: f64) -> (f64, f64) {
-    let mut s = settings();
-    (s.has_counter, s.gateway_count, s.plans) = (false, n, vec![Plan::default()]);
-    s.plans[0].max_concurrent_attempts = 3;
+/// One customer sends `rate` requests a second to `n` gateways with a concurrency limit of three; responses take 50
+/// ms. Over the second 30 s: the share of attempts started while three were running, and the share of requests sent.
+fn over_concurrency_limit(n: u32, rate: f64) -> (f64, f64) {
+    let mut settings = settings();
+    settings.has_counter = false;
+    settings.gateway_count = n;
+    settings.plans = vec![Plan::default()];
+    settings.plans[0].max_concurrent_attempts = 3;
     let mut rng = fastrand::Rng::with_seed(7);
-    let mut rigs = fleet(&s, 9);
-    let mut out: Vec<(Time, usize, RequestId, EndpointId)> = Vec::new();
+    let mut gateways = fleet(settings.gateway_count, &settings, &running_endpoints(9));
+    let mut running: Vec<(Time, usize, RequestId, EndpointId)> = Vec::new();
     let (mut asked, mut sent, mut beyond) = (0, 0, 0);
     for step in 0..60_000 {
         let now = 100.0 + f64::from(step) * 0.001;
         if step == 30_000 {
-            (asked, sent, beyond) = (0, 0, 0);
+            asked = 0;
+            sent = 0;
+            beyond = 0;
         }
-        while let Some(place) = out.iter().position(|(at, ..)| *at <= now) {
-            let (_, i, request_id, endpoint) = out.remove(place);
-            rigs[i].now = now;
-            let (status, load) = (Status::Ok, LoadReport::default());
-            let (attempt, elapsed, is_finished, actual_units) = (0, 0.05, true, None);
-            let event = Event::AttemptEnded {
-                request_id,
-                attempt,
-                endpoint,
-                status,
-                elapsed,
-                is_finished,
-                actual_units,
-                load,
-            };
+        while let Some(position) = running.iter().position(|(at, ..)| *at <= now) {
+            let (_, i, request_id, endpoint) = running.remove(position);
+            gateways[i].now = now;
+            let event = AttemptEnd::new(&request_id, &endpoint).elapsed(0.05).event();
             // One that waited for a slot goes out now.
-            for (request_id, endpoint) in sends(&rigs[i].event(event)) {
-                (sent, beyond) = (sent + 1, beyond + u32::from(out.len() >= 3));
-                out.push((now + 0.05, i, request_id, endpoint));
+            for (request_id, endpoint) in started_attempts(&gateways[i].handle(event)) {
+                sent += 1;
+                beyond += u32::from(running.len() >= 3);
+                running.push((now + 0.05, i, request_id, endpoint));
             }
         }
         if rng.f64() >= rate * 0.001 {
@@ -203,14 +200,15 @@
         }
         asked += 1;
         let i = rng.usize(0..n as usize);
-        rigs[i].now = now;
+        gateways[i].now = now;
         let mut request = request(&format!("j{step}"), now);
         request.customer_gateway_count = n;
-        for (request_id, endpoint) in sends(&rigs[i].event(Event::Request(request))) {
-            (sent, beyond) = (sent + 1, beyond + u32::from(out.len() >= 3));
-            out.push((now + 0.05, i, request_id, endpoint));
+        for (request_id, endpoint) in started_attempts(&gateways[i].handle(Event::Request(request))) {
+            sent += 1;
+            beyond += u32::from(running.len() >= 3);
+            running.push((now + 0.05, i, request_id, endpoint));
         }
-        rigs[i].actions.clear();
+        gateways[i].actions.clear();
     }
     (f64::from(beyond) / f64::from(sent), f64::from(sent) / f64::from(asked))
 }
@@ -219,10 +217,10 @@
 fn concurrency_limit_below_gateway_count_holds_on_average_and_admits_light_customers() {
     for n in [30, 100, 300] {
         // Four times what would keep the cap busy.
-        let (beyond, sent) = beyond_a_cap(n, 240.0);
+        let (beyond, sent) = over_concurrency_limit(n, 240.0);
         assert!(beyond <= 0.25, "{n} gateways: {beyond:.2} of what is sent is beyond the cap");
         assert!(sent >= 0.05, "{n} gateways: {sent:.2} is sent");
-        let (beyond, sent) = beyond_a_cap(n, 8.0);
+        let (beyond, sent) = over_concurrency_limit(n, 8.0);
         assert!(sent >= 0.9, "{n} gateways: {sent:.2} of a light customer's is sent");
         assert!(beyond <= 0.02, "{n} gateways: {beyond:.2} of it beyond the cap");
     }
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -1,57 +1,59 @@
 //! What one gateway forgets, so that its memory stays bounded.
 
 mod common;
-use common::*;
-use oliverack::*;
+use common::{
+    FakeCounter, GatewayHarness, endpoint, request, settings, settings_without_quota, started_attempts,
+};
+use oliverack::{Action, Effect, Event, Lifecycle, ListKind, Status};
 
-/// What the module holds, by the length of its description.
-fn held(rig: &Rig) -> usize {
-    format!("{:?}", rig.gateway).len()
+/// A measure of the gateway's state: the length of its debug text.
+fn state_size(harness: &GatewayHarness) -> usize {
+    format!("{:?}", harness.gateway).len()
 }
 
 #[test]
 fn removed_endpoints_are_forgotten_after_last_attempt() {
-    let mut rig = Rig::new(plain(Effect::Idempotent));
-    let before = held(&rig);
+    let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
+    let before = state_size(&harness);
     let names: Vec<String> = (0..500).map(|i| format!("new-{i}")).collect();
     for name in &names {
-        rig.list(ListKind::Changes, vec![endpoint(name, Lifecycle::Running, 0.0)]);
-        rig.list(ListKind::Changes, vec![endpoint(name, Lifecycle::Gone, 0.0)]);
+        harness.update_endpoints(ListKind::Changes, vec![endpoint(name, Lifecycle::Running, 0.0)]);
+        harness.update_endpoints(ListKind::Changes, vec![endpoint(name, Lifecycle::Gone, 0.0)]);
     }
-    assert!(held(&rig) < before + 2000, "{} after {before}", held(&rig));
+    assert!(state_size(&harness) < before + 2000, "{} after {before}", state_size(&harness));
     // The whole list may drop one too; it is kept until its attempt has ended, and then goes.
-    let (_, last) = sends(&rig.ask("j")).remove(0);
-    rig.list(ListKind::Full, vec![endpoint("d", Lifecycle::Running, 0.0)]);
-    rig.outcome("j", 0, &last, Status::Ok);
-    assert!(!rig.gateway.knows_endpoint(&last), "{last} is kept");
-    assert_eq!(&*sends(&rig.ask("k"))[0].1, "d");
+    let (_, last) = started_attempts(&harness.send_request("j")).remove(0);
+    harness.update_endpoints(ListKind::Full, vec![endpoint("d", Lifecycle::Running, 0.0)]);
+    harness.attempt_ended("j", 0, &last, Status::Ok);
+    assert!(!harness.gateway.knows_endpoint(&last), "{last} is kept");
+    assert_eq!(&*started_attempts(&harness.send_request("k"))[0].1, "d");
 }
 
 #[test]
 fn one_time_customers_do_not_accumulate() {
-    let mut s = settings();
-    s.max_customers = 64;
-    let (mut rig, mut counter) = (Rig::new(s), Counter::default());
-    let before = held(&rig);
+    let mut settings = settings();
+    settings.max_customers = 64;
+    let (mut harness, mut counter) = (GatewayHarness::new(settings), FakeCounter::default());
+    let before = state_size(&harness);
     for i in 0..5000 {
         let request_id = format!("j{i}");
-        rig.now += 0.001;
-        let mut request = request(&request_id, rig.now);
+        harness.now += 0.001;
+        let mut request = request(&request_id, harness.now);
         request.customer = format!("once-{i}").into();
-        let mut out = rig.event(Event::Request(request));
-        out.extend(counter.answer(&mut rig, &out.clone()));
-        for action in out {
+        let mut actions = harness.handle(Event::Request(request));
+        actions.extend(counter.reply_to_calls(&mut harness, &actions.clone()));
+        for action in actions {
             match action {
                 Action::StartAttempt { request_id, endpoint, .. } => {
-                    drop(rig.outcome(&request_id, 0, &endpoint, Status::Ok))
+                    drop(harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok))
                 }
                 // Early, but they find nothing left to do.
-                Action::SetTimer { token, .. } => drop(rig.event(Event::Timer { token })),
+                Action::SetTimer { token, .. } => drop(harness.handle(Event::Timer { token })),
                 _ => {}
             }
         }
     }
-    let (customers, most) = (format!("{:?}", rig.gateway).matches("once-").count(), 64);
+    let (customers, most) = (format!("{:?}", harness.gateway).matches("once-").count(), 64);
     assert!(customers <= 4 * most, "{customers} mentions of customers");
-    assert!(held(&rig) < before + 200_000, "{} after {before}", held(&rig));
+    assert!(state_size(&harness) < before + 200_000, "{} after {before}", state_size(&harness));
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,11 +1,11 @@
-//! Random legal event sequences with fixed seeds: whatever happens, the rules that one gateway can keep are kept.
+//! Random valid event sequences with fixed seeds: the invariants that one gateway can keep hold.
 
 mod common;
-use common::*;
-use oliverack::*;
+use common::{GatewayHarness, endpoint, plan, request, settings};
+use oliverack::{Action, Effect, EndpointId, Event, Lifecycle, ListKind, Plan, RequestId, Status, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A small fixed generator, so that a seed names one sequence for ever.
+/// A small fixed generator, so that a seed always gives the same sequence.
 struct Dice(u64);
 
 impl Dice {
@@ -20,7 +20,7 @@
     deadline: BTreeMap<RequestId, Time>,
     ended: BTreeSet<RequestId>,
     attempts: BTreeMap<RequestId, Vec<bool>>,
-    out: Vec<(RequestId, u32, EndpointId, Time)>,
+    running: Vec<(RequestId, u32, EndpointId, Time)>,
     calls: Vec<u64>,
     timers: Vec<(Time, u64)>,
     stopped: BTreeSet<EndpointId>,
@@ -36,7 +36,7 @@
                     assert!(!self.stopped.contains(endpoint), "sent to an endpoint that drains or is gone");
                     let attempts = self.attempts.entry(request_id.clone()).or_default();
                     assert!(!unsafe_class || attempts.iter().all(|never| *never), "may run twice");
-                    self.out.push((
+                    self.running.push((
                         request_id.clone(),
                         attempts.len() as u32,
                         endpoint.clone(),
@@ -65,38 +65,40 @@
 fn play(seed: u64) -> Vec<Action> {
     let (mut dice, mut world) = (Dice(seed), World::default());
     let unsafe_class = seed % 3 == 0;
-    let mut s = settings();
-    s.classes[0].effect = if unsafe_class { Effect::AtMostOnce } else { Effect::Idempotent };
-    s.plans.push(plan(1.0, 3.0));
-    s.plans[1].max_concurrent_attempts = 2;
-    (s.plans[0].ceiling_rate, s.plans[0].ceiling_burst) = (20.0, 40.0);
-    s.plans.push(Plan::default());
-    let mut rig = Rig::new(s);
+    let mut settings = settings();
+    settings.classes[0].effect = if unsafe_class { Effect::AtMostOnce } else { Effect::Idempotent };
+    settings.plans.push(plan(1.0, 3.0));
+    settings.plans[1].max_concurrent_attempts = 2;
+    settings.plans[0].ceiling_rate = 20.0;
+    settings.plans[0].ceiling_burst = 40.0;
+    settings.plans.push(Plan::default());
+    let mut harness = GatewayHarness::new(settings);
     for n in 0..1500 {
-        rig.now += 0.002 * dice.roll(4) as f64;
-        let due: Vec<u64> = world.timers.iter().filter(|t| t.0 <= rig.now).map(|t| t.1).collect();
-        world.timers.retain(|t| t.0 > rig.now);
+        harness.now += 0.002 * dice.roll(4) as f64;
+        let due: Vec<u64> = world.timers.iter().filter(|t| t.0 <= harness.now).map(|t| t.1).collect();
+        world.timers.retain(|t| t.0 > harness.now);
         for token in due {
-            let out = rig.event(Event::Timer { token });
-            world.check(rig.now, unsafe_class, &out);
+            let actions = harness.handle(Event::Timer { token });
+            world.check(harness.now, unsafe_class, &actions);
         }
-        while let Some(i) = world.out.iter().position(|o| o.3 <= rig.now) {
-            let (request_id, attempt, endpoint, _) = world.out.remove(i);
-            let out = rig.outcome(&request_id, attempt, &endpoint, Status::Timeout);
-            world.check(rig.now, unsafe_class, &out);
+        while let Some(i) = world.running.iter().position(|o| o.3 <= harness.now) {
+            let (request_id, attempt, endpoint, _) = world.running.remove(i);
+            let actions = harness.attempt_ended(&request_id, attempt, &endpoint, Status::Timeout);
+            world.check(harness.now, unsafe_class, &actions);
         }
-        let out = match dice.roll(10) {
+        let actions = match dice.roll(10) {
             0..4 => {
-                let mut r = request(&format!("j{n}"), rig.now);
-                (r.plan, r.customer_gateway_count) = (dice.roll(3) as usize, 1 + dice.roll(3) as u32);
+                let mut r = request(&format!("j{n}"), harness.now);
+                r.plan = dice.roll(3) as usize;
+                r.customer_gateway_count = 1 + dice.roll(3) as u32;
                 r.customer = format!("c{}", dice.roll(4)).as_str().into();
-                r.deadline = rig.now + 0.01 * dice.roll(100) as f64;
+                r.deadline = harness.now + 0.01 * dice.roll(100) as f64;
                 world.deadline.insert(r.id.clone(), r.deadline);
-                rig.event(Event::Request(r))
+                harness.handle(Event::Request(r))
             }
-            4..7 if !world.out.is_empty() => {
-                let i = dice.roll(world.out.len() as u64) as usize;
-                let (request_id, attempt, endpoint, _) = world.out.remove(i);
+            4..7 if !world.running.is_empty() => {
+                let i = dice.roll(world.running.len() as u64) as usize;
+                let (request_id, attempt, endpoint, _) = world.running.remove(i);
                 let ends =
                     [Status::Ok, Status::Error, Status::Rejected, Status::ConnectFailed, Status::Reset];
                 let status = ends[dice.roll(5) as usize];
@@ -105,7 +107,7 @@
                 if status == Status::Ok {
                     world.ended.insert(request_id.clone());
                 }
-                rig.outcome(&request_id, attempt, &endpoint, status)
+                harness.attempt_ended(&request_id, attempt, &endpoint, status)
             }
             7 | 8 if !world.calls.is_empty() => {
                 let name = world.calls.remove(0);
@@ -114,7 +116,7 @@
                 }
                 let ends = [Status::Ok, Status::Ok, Status::Ok, Status::Timeout, Status::Rejected];
                 let total = world.counter.get(&name).copied().unwrap_or(0.0);
-                rig.counted(name, ends[dice.roll(5) as usize], total)
+                harness.counter_replied(name, ends[dice.roll(5) as usize], total)
             }
             _ => {
                 let name = ["a", "b", "c"][dice.roll(3) as usize];
@@ -123,22 +125,22 @@
                     Lifecycle::Running => world.stopped.remove(name),
                     _ => world.stopped.insert(name.into()),
                 };
-                rig.event(Event::EndpointsUpdated {
+                harness.handle(Event::EndpointsUpdated {
                     kind: ListKind::Changes,
-                    endpoints: vec![endpoint(name, life, rig.now)],
+                    endpoints: vec![endpoint(name, life, harness.now)],
                 })
             }
         };
-        world.check(rig.now, unsafe_class, &out);
+        world.check(harness.now, unsafe_class, &actions);
     }
     for (request_id, deadline) in &world.deadline {
-        let out = world.out.iter().any(|o| o.0 == *request_id);
+        let is_running = world.running.iter().any(|o| o.0 == *request_id);
         assert!(
-            world.ended.contains(request_id) || out || *deadline > rig.now,
+            world.ended.contains(request_id) || is_running || *deadline > harness.now,
             "{request_id} was never answered"
         );
     }
-    rig.actions
+    harness.actions
 }
 
 #[test]
--- a/tests/replicas.rs
+++ b/tests/replicas.rs
@@ -1,43 +1,46 @@
-//! Processes of one gateway side by side, as the module deals with them.
+//! Replicas: several processes of one gateway side by side, as in a hot restart.
 
 mod common;
-use common::*;
-use oliverack::*;
+use common::{FakeCounter, GatewayHarness, endpoint, plan, settings, started_attempts};
+use oliverack::{Event, Lifecycle, ListKind, Plan};
 
-fn quiet(plan: Plan) -> Rig {
+fn gateway_without_counter(plan: Plan) -> GatewayHarness {
     let mut settings = settings();
     settings.has_counter = false;
     settings.plans = vec![plan];
-    Rig::new(settings)
+    GatewayHarness::new(settings)
 }
 
-fn share(rig: &mut Rig, place: u32, of: u32) {
-    rig.event(Event::ReplicasChanged { index: place, count: of });
+fn set_replica(harness: &mut GatewayHarness, index: u32, count: u32) {
+    harness.handle(Event::ReplicasChanged { index, count });
 }
 
-/// How many of `n` requests, each answered at once, are sent.
-fn sent(rig: &mut Rig, tag: &str, n: usize) -> usize {
-    Counter::default().ask_many(rig, tag, n)
+/// Sends `n` requests whose attempts succeed at once; returns the number of attempts.
+fn send_requests(harness: &mut GatewayHarness, tag: &str, n: usize) -> usize {
+    FakeCounter::default().send_requests(harness, tag, n)
 }
 
 #[test]
 fn two_replicas_have_even_share_of_one() {
-    let mut alone = quiet(plan(10.0, 20.0));
-    let whole = sent(&mut alone, "a", 30);
+    let mut alone = gateway_without_counter(plan(10.0, 20.0));
+    let whole = send_requests(&mut alone, "a", 30);
     assert_eq!(whole, 10, "half of the burst, as two gateways carry it");
-    let mut old = quiet(plan(10.0, 20.0));
-    share(&mut old, 0, 2);
-    let mut new = quiet(plan(10.0, 20.0));
-    new.event(Event::SnapshotReceived(old.gateway.snapshot()));
-    share(&mut new, 1, 2);
-    let both = |old: &mut Rig, new: &mut Rig, tag: &str| sent(old, tag, 30) + sent(new, tag, 30);
-    assert!(both(&mut old, &mut new, "b") <= whole);
-    (old.now, new.now) = (old.now + 100.0, new.now + 100.0);
-    assert_eq!(both(&mut old, &mut new, "c"), whole, "and no less for long");
+    let mut predecessor = gateway_without_counter(plan(10.0, 20.0));
+    set_replica(&mut predecessor, 0, 2);
+    let mut successor = gateway_without_counter(plan(10.0, 20.0));
+    successor.handle(Event::SnapshotReceived(predecessor.gateway.snapshot()));
+    set_replica(&mut successor, 1, 2);
+    let both = |predecessor: &mut GatewayHarness, successor: &mut GatewayHarness, tag: &str| {
+        send_requests(predecessor, tag, 30) + send_requests(successor, tag, 30)
+    };
+    assert!(both(&mut predecessor, &mut successor, "b") <= whole);
+    predecessor.now += 100.0;
+    successor.now += 100.0;
+    assert_eq!(both(&mut predecessor, &mut successor, "c"), whole, "and no less for long");
     // The old one has gone: the new one has all.
-    share(&mut new, 0, 1);
-    new.now += 100.0;
-    assert_eq!(sent(&mut new, "d", 30), whole);
+    set_replica(&mut successor, 0, 1);
+    successor.now += 100.0;
+    assert_eq!(send_requests(&mut successor, "d", 30), whole);
 }
 
 #[test]
@@ -45,9 +48,9 @@
     let open = |place, of| {
         let mut plan = plan(1000.0, 1000.0);
         plan.max_concurrent_attempts = 8;
-        let mut rig = quiet(plan);
-        share(&mut rig, place, of);
-        (0..8).map(|i| sends(&rig.ask(&format!("j{i}"))).len()).sum::<usize>()
+        let mut harness = gateway_without_counter(plan);
+        set_replica(&mut harness, place, of);
+        (0..8).map(|i| started_attempts(&harness.send_request(&format!("j{i}"))).len()).sum::<usize>()
     };
     // Eight over two gateways.
     assert_eq!((open(0, 1), open(0, 2) + open(1, 2), open(0, 3) + open(1, 3) + open(2, 3)), (4, 4, 4));
@@ -57,25 +60,30 @@
 fn predecessor_snapshot_of_endpoints_applies_in_successor() {
     let mut settings = settings();
     settings.plans = vec![plan(0.0, 0.0)];
-    let mut old = Rig::new(settings.clone());
-    old.event(Event::MaintenanceChanged { endpoint: "a".into(), in_maintenance: true });
-    old.event(Event::MaintenanceChanged { endpoint: "b".into(), in_maintenance: true });
-    old.event(Event::MaintenanceChanged { endpoint: "b".into(), in_maintenance: false });
-    let memory = old.gateway.snapshot();
-    let cold = memory.endpoints.iter().find(|s| &*s.id == "b").expect("it is listed");
-    assert_eq!(cold.warming_up_since, old.now);
+    let mut predecessor = GatewayHarness::new(settings.clone());
+    predecessor.handle(Event::MaintenanceChanged { endpoint: "a".into(), in_maintenance: true });
+    predecessor.handle(Event::MaintenanceChanged { endpoint: "b".into(), in_maintenance: true });
+    predecessor.handle(Event::MaintenanceChanged { endpoint: "b".into(), in_maintenance: false });
+    let snapshot = predecessor.gateway.snapshot();
+    let cold = snapshot.endpoints.iter().find(|endpoint| &*endpoint.id == "b").expect("it is listed");
+    assert_eq!(cold.warming_up_since, predecessor.now);
     // Also where the new process hears of the workers only later.
     for known in [true, false] {
-        let mut new = if known { Rig::new(settings.clone()) } else { Rig::empty(settings.clone()) };
-        new.event(Event::SnapshotReceived(memory.clone()));
+        let mut successor = if known {
+            GatewayHarness::new(settings.clone())
+        } else {
+            GatewayHarness::without_endpoints(settings.clone())
+        };
+        successor.handle(Event::SnapshotReceived(snapshot.clone()));
         let endpoints = ["a", "b", "c"].map(|n| endpoint(n, Lifecycle::Running, 0.0)).to_vec();
-        new.list(ListKind::Full, endpoints);
-        let to = |id: &str, rig: &mut Rig, tag: &str| {
-            let went: Vec<_> = (0..9).flat_map(|i| sends(&rig.ask(&format!("{tag}{i}")))).collect();
-            went.iter().filter(|(_, s)| &**s == id).count()
+        successor.update_endpoints(ListKind::Full, endpoints);
+        let to = |id: &str, harness: &mut GatewayHarness, tag: &str| {
+            let went: Vec<_> =
+                (0..9).flat_map(|i| started_attempts(&harness.send_request(&format!("{tag}{i}")))).collect();
+            went.iter().filter(|(_, endpoint)| &**endpoint == id).count()
         };
-        assert_eq!(to("a", &mut new, "x"), 0, "left out");
-        assert!(to("b", &mut new, "y") <= 1, "cold");
-        assert_eq!(new.gateway.snapshot().in_maintenance, memory.in_maintenance);
+        assert_eq!(to("a", &mut successor, "x"), 0, "left out");
+        assert!(to("b", &mut successor, "y") <= 1, "cold");
+        assert_eq!(successor.gateway.snapshot().in_maintenance, snapshot.in_maintenance);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,33 +1,38 @@
-//! Impossible settings and odd but legal events.
+//! Invalid settings and unexpected events.
 
 mod common;
-use common::*;
-use oliverack::*;
+use common::{GatewayHarness, rejected_count, request, settings};
+use oliverack::{
+    Effect, Event, Gateway, IdempotencyScope, Options, Request, Settings, SettingsError, Status,
+};
 
 fn refused_settings(change: impl Fn(&mut Settings)) -> SettingsError {
-    let mut s = settings();
-    change(&mut s);
-    Gateway::new(s, 1).expect_err("impossible settings")
+    let mut settings = settings();
+    change(&mut settings);
+    Gateway::new(settings, 1).expect_err("impossible settings")
 }
 
 #[test]
 fn invalid_settings_return_typed_error() {
-    assert_eq!(refused_settings(|s| s.gateway_count = 0), SettingsError::NoGateways);
-    assert_eq!(refused_settings(|s| s.gateway_index = 2), SettingsError::GatewayIndexOutOfRange);
-    assert_eq!(refused_settings(|s| s.plans[0].rate = -1.0), SettingsError::BadNumber("rate"));
+    assert_eq!(refused_settings(|settings| settings.gateway_count = 0), SettingsError::NoGateways);
     assert_eq!(
-        refused_settings(|s| s.counter_timeout = f64::NAN),
+        refused_settings(|settings| settings.gateway_index = 2),
+        SettingsError::GatewayIndexOutOfRange
+    );
+    assert_eq!(refused_settings(|settings| settings.plans[0].rate = -1.0), SettingsError::BadNumber("rate"));
+    assert_eq!(
+        refused_settings(|settings| settings.counter_timeout = f64::NAN),
         SettingsError::BadNumber("counter_timeout")
     );
     assert_eq!(
-        refused_settings(|s| s.classes[0].latency_objective = f64::INFINITY),
+        refused_settings(|settings| settings.classes[0].latency_objective = f64::INFINITY),
         SettingsError::BadNumber("latency_objective")
     );
 }
 
 #[test]
 fn unexpected_events_end_request_once_and_start_no_attempt() {
-    let mut rig = Rig::new(settings());
+    let mut harness = GatewayHarness::new(settings());
     for (i, change) in [
         (|r: &mut Request| r.class = 9) as fn(&mut Request),
         |r| r.plan = 9,
@@ -37,15 +42,15 @@
     .iter()
     .enumerate()
     {
-        let mut odd = request(&format!("odd{i}"), rig.now);
+        let mut odd = request(&format!("odd{i}"), harness.now);
         change(&mut odd);
-        let out = rig.event(Event::Request(odd));
-        assert_eq!((out.len(), refused(&out)), (1, 1));
+        let actions = harness.handle(Event::Request(odd));
+        assert_eq!((actions.len(), rejected_count(&actions)), (1, 1));
     }
-    assert!(rig.event(Event::Timer { token: 999 }).is_empty());
-    assert!(rig.counted(5, Status::Ok, 1.0).is_empty());
-    assert!(rig.outcome("never", 0, &"nowhere".into(), Status::Reset).is_empty());
-    assert!(rig.event(Event::ClientDisconnected { request_id: "never".into() }).is_empty());
+    assert!(harness.handle(Event::Timer { token: 999 }).is_empty());
+    assert!(harness.counter_replied(5, Status::Ok, 1.0).is_empty());
+    assert!(harness.attempt_ended("never", 0, &"nowhere".into(), Status::Reset).is_empty());
+    assert!(harness.handle(Event::ClientDisconnected { request_id: "never".into() }).is_empty());
 }
 
 #[test]
