--- /dev/null
+++ b/src/node/connection/discovery/mod.rs
@@ -0,0 +1,5 @@
+//! The client of discovery.
+
+pub mod call;
+pub mod error;
+pub mod follower;
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -3,7 +3,7 @@
 use crate::node::{
     config::Config,
     connection::{
-        discovery::ListSink,
+        discovery::follower::ListSink,
         endpoint_pool::EndpointPool,
         events::{EventSender, EventSink},
     },
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -4,7 +4,7 @@
     config::{Config, ConfigError},
     connection::{
         clients::{Clients, Context},
-        discovery::{self, Discovery},
+        discovery::follower::{self, Discovery},
         operators::{MaintenanceError, Operations, Operators},
     },
     descriptors::DescriptorBudget,
@@ -167,7 +167,7 @@
         asked: driver.asked.clone(),
         sink: Rc::new(driver.clone()),
     };
-    spawn_local(discovery::follow(addresses, discovery))
+    spawn_local(follower::follow(addresses, discovery))
 }
 
 fn clients_context(driver: &Rc<Driver>) -> Context {
