--- a/src/node/connection/discovery/call.rs
+++ b/src/node/connection/discovery/call.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::{
-        answer_body::Bounds, discovery::error::Fault, http_client::HttpClient, write_progress::Trace,
+        answer_body::Bounds, discovery::error::DiscoveryError, http_client::HttpClient, write_progress::Trace,
     },
     wire::stream::Outgoing,
 };
@@ -11,56 +11,90 @@
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 use tokio::time::{Instant, timeout_at};
 
-/// How long discovery may hold a watch, from the call's begin on. Whatever becomes of a call, a change counts as told
-/// 6 s after discovery had it: the hold, the patience past it, the pause or the module's turn (1 s) and a connection
-/// that comes up late have to fit in that.
-const HOLD: Duration = Duration::from_millis(2500);
-/// How long past that an answer is waited for to its end: a silent agent is asked again on a new connection.
-const PATIENCE: Duration = Duration::from_millis(800);
-/// How long a call on a new connection takes at most, that included. It asks for no hold, but where one service takes
-/// the calls of all in turn it may wait for 2 s in its line, and giving up there costs another turn.
-const FIRST: Duration = Duration::from_millis(2500);
-/// How much of that a connection may take to come up.
-const CONNECT: Duration = Duration::from_millis(1500);
+/// Longest time for which discovery may hold a watch, from the start of the call. A change must be known 6 s after
+/// discovery has it, whatever becomes of a call: the hold, the grace after it, the backoff or the policy's next poll
+/// (1 s), and a connection that is slow to be made fit in that.
+const WATCH_HOLD: Duration = Duration::from_millis(2500);
+/// Time after the hold for the complete answer; then a new connection is made.
+const WATCH_GRACE: Duration = Duration::from_millis(800);
+/// Longest time for a call on a new connection, the connecting included. It asks for no hold, but a service that
+/// answers the calls of all gateways in turn may keep it waiting for 2 s, and giving up then costs another turn.
+const FIRST_CALL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Longest time for a connection to be made.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// One call; the text of the list that it brings: a watch on the connection that is kept, where there is one, else a
-/// question on a new connection that is answered at once. It has one clock for all its stages.
-pub async fn call(
-    addr: SocketAddr,
-    kept: &mut Option<HttpClient>,
-    version: Option<u64>,
-    most: usize,
-    begun: &Trace,
-) -> Result<Bytes, Fault> {
-    let kept_on = kept.take().and_then(|mut link| link.ready().then_some(link));
-    let hold = if kept_on.is_some() && version.is_some() { HOLD } else { Duration::ZERO };
-    let span = if hold.is_zero() { FIRST } else { HOLD + PATIENCE };
-    let limit = Instant::now() + span;
-    let mut link = match kept_on {
-        Some(link) => link,
-        None => HttpClient::open(addr, CONNECT).await.map_err(|_| Fault::Connect)?,
-    };
-    *begun.borrow_mut() = Some(link.progress());
-    let path = match version {
-        Some(v) => format!("/discovery/hosts?from={v}&hold_ms={}", hold.as_millis()),
-        None => "/discovery/hosts".to_owned(),
-    };
-    let mut request = Request::new(Outgoing::Whole(None));
-    *request.uri_mut() = Uri::try_from(path).map_err(|_| Fault::Unreadable)?;
-    request.headers_mut().insert(header::HOST, header::HeaderValue::from_static("backend.local"));
-    let is_too_long = Cell::new(false);
-    // Asked only about an answer that does not fit, as `limit` is the time for all others.
-    let begin = |_: &Parts, _: Option<u64>| {
-        is_too_long.set(true);
-        None
-    };
-    let bounds = Bounds { most, patience: span };
-    let answer = timeout_at(limit, link.exchange(request, None, bounds, &begin)).await;
-    let broken = |_| if is_too_long.get() { Fault::TooLong(most) } else { Fault::Broken };
-    let (parts, body) = answer.map_err(|_| Fault::Silent)?.map_err(broken)?;
-    if parts.status != StatusCode::OK {
-        return Err(Fault::Status(parts.status));
+/// What a call asks for, and of whom.
+#[derive(Debug, Clone, Copy)]
+pub struct ListCall {
+    /// Where discovery listens.
+    pub address: SocketAddr,
+    /// The version whose changes are asked for; `None` asks for the complete list.
+    pub version: Option<u64>,
+    /// Length of the longest list that is read.
+    pub max_list_bytes: usize,
+}
+
+impl ListCall {
+    /// Makes the call; returns the text of the list. If the kept connection is still usable the call is a watch on it,
+    /// otherwise it is answered at once on a new connection. One deadline holds for all stages. `progress` tells how far
+    /// the call has come once it has a connection, and `kept_connection` holds the connection after a success.
+    pub async fn make(
+        self,
+        kept_connection: &mut Option<HttpClient>,
+        progress: &Trace,
+    ) -> Result<Bytes, DiscoveryError> {
+        let usable = kept_connection.take().and_then(|mut kept| kept.ready().then_some(kept));
+        let hold = if usable.is_some() && self.version.is_some() { WATCH_HOLD } else { Duration::ZERO };
+        let time_limit = if hold.is_zero() { FIRST_CALL_TIMEOUT } else { WATCH_HOLD + WATCH_GRACE };
+        let deadline = Instant::now() + time_limit;
+        let mut connection = match usable {
+            Some(connection) => connection,
+            None => {
+                HttpClient::open(self.address, CONNECT_TIMEOUT).await.map_err(|_| DiscoveryError::Connect)?
+            }
+        };
+        *progress.borrow_mut() = Some(connection.progress());
+        let request = self.request(hold)?;
+        let exchange = self.exchange(&mut connection, request, time_limit);
+        let (parts, body) = timeout_at(deadline, exchange).await.map_err(|_| DiscoveryError::Timeout)??;
+        if parts.status != StatusCode::OK {
+            return Err(DiscoveryError::Status(parts.status));
+        }
+        *kept_connection = Some(connection);
+        Ok(body)
+    }
+
+    fn request(self, hold: Duration) -> Result<Request<Outgoing>, DiscoveryError> {
+        let path = match self.version {
+            Some(version) => format!("/discovery/hosts?from={version}&hold_ms={}", hold.as_millis()),
+            None => "/discovery/hosts".to_owned(),
+        };
+        let mut request = Request::new(Outgoing::Whole(None));
+        *request.uri_mut() = Uri::try_from(path).map_err(|_| DiscoveryError::Unreadable)?;
+        request.headers_mut().insert(header::HOST, header::HeaderValue::from_static("backend.local"));
+        Ok(request)
+    }
+
+    async fn exchange(
+        self,
+        connection: &mut HttpClient,
+        request: Request<Outgoing>,
+        time_limit: Duration,
+    ) -> Result<(Parts, Bytes), DiscoveryError> {
+        let is_too_long = Cell::new(false);
+        // Called only for an answer that exceeds the bounds. The time limit is the same for all answers, so that is one
+        // that is too long.
+        let reject = |_: &Parts, _: Option<u64>| {
+            is_too_long.set(true);
+            None
+        };
+        let bounds = Bounds { most: self.max_list_bytes, patience: time_limit };
+        connection.exchange(request, None, bounds, &reject).await.map_err(|_| {
+            if is_too_long.get() {
+                DiscoveryError::TooLong { max_bytes: self.max_list_bytes }
+            } else {
+                DiscoveryError::ConnectionLost
+            }
+        })
     }
-    *kept = Some(link);
-    Ok(body)
 }
--- a/src/node/connection/discovery/error.rs
+++ b/src/node/connection/discovery/error.rs
@@ -1,28 +1,30 @@
-//! Why discovery told no list.
+//! Why a call to discovery brought no list.
 
 use hyper::StatusCode;
-use std::fmt;
+use thiserror::Error;
 
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Fault {
+/// Why a call to discovery brought no list.
+#[derive(Debug, Clone, Copy, PartialEq, Error)]
+pub enum DiscoveryError {
+    /// The connection could not be made.
+    #[error("no connection")]
     Connect,
-    Silent,
-    Broken,
+    /// The answer was not complete in time.
+    #[error("no answer")]
+    Timeout,
+    /// The connection ended before the answer did.
+    #[error("the connection broke")]
+    ConnectionLost,
+    /// Discovery rejected the call.
+    #[error("status {0}")]
     Status(StatusCode),
-    /// Longer than so many bytes.
-    TooLong(usize),
+    /// The list is longer than what may be read of it.
+    #[error("the list is longer than the {max_bytes} bytes that fit in memory")]
+    TooLong {
+        /// Length of the longest list that is read.
+        max_bytes: usize,
+    },
+    /// The answer is not a list.
+    #[error("the list is unreadable")]
     Unreadable,
 }
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Connect => f.write_str("no connection"),
-            Self::Silent => f.write_str("no answer"),
-            Self::Broken => f.write_str("the connection broke"),
-            Self::Status(status) => write!(f, "status {status}"),
-            Self::TooLong(most) => write!(f, "the list is longer than the {most} bytes that fit in memory"),
-            Self::Unreadable => f.write_str("the list is unreadable"),
-        }
-    }
-}
--- a/src/node/connection/discovery/follower.rs
+++ b/src/node/connection/discovery/follower.rs
@@ -1,9 +1,8 @@
-//! Follows the list of endpoints: one watch after another, the whole list after any doubt. Where beginning a watch has
-//! its price, the module says when, and the watch goes on from the list that is known.
+//! Follows the list of endpoints by one call after another.
 
 use crate::node::{
     connection::{
-        discovery::{call::call, error::Fault},
+        discovery::{call::ListCall, error::DiscoveryError},
         http_client::HttpClient,
         write_progress::Trace,
     },
@@ -19,181 +18,217 @@
 };
 use tracing::{info, warn};
 
-/// The first wait after a failed call: what the agent learns at its return counts as told at once, and the
-/// grace after that is half a second.
+/// Wait after the first failed call. What discovery learns when it returns must be known within half a second.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest.
+/// Longest wait after a failed call.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// After a move, how long an answer of the old address that has begun may take to its end: what was written counts
-/// as told. That address closes its connections by then.
-const LAST_WORD: Duration = Duration::from_millis(1500);
+/// After a move of discovery, time for an answer of the old address whose first byte was seen. The old address closes
+/// its connections by then.
+const MOVED_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Takes the lists that discovery tells.
+/// Takes the lists.
 pub trait ListSink {
-    /// News of the endpoints.
+    /// A complete list, or changes to the last one.
     fn list(&self, kind: ListKind, endpoints: Vec<Listed>);
-    /// Discovery was asked for the list in vain.
+    /// A poll that the policy requested brought no list.
     fn unlisted(&self);
 }
 
 /// How discovery is followed.
 pub struct Discovery {
-    /// The list must be asked for, at the moments that `asked` tells.
+    /// Calls have a price: after a failure the next one is made when the policy requests it.
     pub must_ask: bool,
     /// The version of the list that is known at the start.
     pub version: u64,
-    /// Longest list that is taken in, in bytes.
+    /// Length of the longest list that is read.
     pub list_bound: usize,
     /// Names of the zones, by number.
     pub zones: Vec<String>,
-    /// The module wants the list followed, where that has its price.
+    /// The policy requests a poll.
     pub asked: Rc<Notify>,
     /// Takes the lists.
     pub sink: Rc<dyn ListSink>,
 }
 
-/// Follows discovery for good, at the address that `addresses` names at the time. A new one has versions of its
-/// own, so it is asked for the whole list.
+/// Follows discovery for the rest of the process's life, at the address that `addresses` holds at the time.
 pub async fn follow(addresses: watch::Receiver<SocketAddr>, discovery: Discovery) {
     let mut follower = Follower::new(addresses, discovery);
     loop {
-        // Here for every move, also one that comes between an answer and the next call.
-        follower.note_move();
-        if !follower.is_following {
-            follower.wait_until_asked().await;
-            continue;
-        }
-        let Some(answer) = follower.call().await else { continue };
-        let list = match &answer {
-            Ok(text) => serde_json::from_slice::<List>(text).map_err(|_| Fault::Unreadable),
-            Err(fault) => Err(*fault),
-        };
-        let pause = match list {
-            Ok(list) => follower.take_in(&list),
-            Err(fault) => Some(follower.note_fault(fault)),
-        };
-        if let Some(pause) = pause {
-            follower.pause(pause).await;
-        }
+        follower.step().await;
     }
 }
 
-/// Where the following of discovery stands.
+/// What the follower does next.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum FollowerState {
+    /// It waits until the policy requests a poll. Only where discovery is polled.
+    AwaitingPollRequest,
+    /// It makes a call, and another one after each list.
+    Watching,
+    /// It waits before the next call. Only where discovery is not polled.
+    BackingOff { delay: Duration },
+}
+
+/// See the [module](self).
 struct Follower {
     discovery: Discovery,
     addresses: watch::Receiver<SocketAddr>,
     address: SocketAddr,
-    /// The connection that the last answer came on.
-    client: Option<HttpClient>,
-    /// Of the list that is known; `None`: the whole one is to be asked for.
+    state: FollowerState,
+    /// The connection on which the last list came.
+    connection: Option<HttpClient>,
+    /// The version of the known list; `None` if the complete list must be asked for.
     version: Option<u64>,
-    /// The wait after the next call that fails.
-    backoff: Duration,
-    /// Why the last call failed.
-    trouble: Option<Fault>,
-    is_following: bool,
+    /// The wait after the next failed call.
+    next_backoff: Duration,
+    /// Why the last call failed; `None` if it did not.
+    last_error: Option<DiscoveryError>,
 }
 
 impl Follower {
     fn new(addresses: watch::Receiver<SocketAddr>, discovery: Discovery) -> Self {
         let address = *addresses.borrow();
+        let is_polled = discovery.must_ask;
         Self {
-            // A whole list costs the service much more than what has changed; elsewhere it is free, and sure.
-            version: discovery.must_ask.then_some(discovery.version),
-            is_following: !discovery.must_ask,
+            state: if is_polled { FollowerState::AwaitingPollRequest } else { FollowerState::Watching },
+            // A complete list costs a polled service far more than changes do. Elsewhere it is the safer start.
+            version: is_polled.then_some(discovery.version),
             discovery,
             addresses,
             address,
-            client: None,
-            backoff: MIN_BACKOFF,
-            trouble: None,
+            connection: None,
+            next_backoff: MIN_BACKOFF,
+            last_error: None,
+        }
+    }
+
+    /// Does what the state says, and enters the next one.
+    async fn step(&mut self) {
+        // A change of the address ends a backoff, so it is left to be noticed there.
+        if !matches!(self.state, FollowerState::BackingOff { .. }) {
+            self.follow_address();
+        }
+        match self.state {
+            FollowerState::AwaitingPollRequest => self.await_poll_request().await,
+            FollowerState::Watching => self.watch().await,
+            FollowerState::BackingOff { delay } => self.back_off(delay).await,
         }
     }
 
-    fn note_move(&mut self) {
+    /// Follows discovery to another address, where versions have another meaning.
+    fn follow_address(&mut self) {
         let address = *self.addresses.borrow_and_update();
         if address == self.address {
             return;
         }
-        (self.address, self.client, self.version, self.backoff) = (address, None, None, MIN_BACKOFF);
-        if self.discovery.must_ask && self.is_following {
-            self.discovery.sink.unlisted();
-            self.is_following = false;
+        self.address = address;
+        self.connection = None;
+        self.version = None;
+        self.next_backoff = MIN_BACKOFF;
+        if self.discovery.must_ask && self.state == FollowerState::Watching {
+            self.report_failed_poll();
+        }
+    }
+
+    async fn await_poll_request(&mut self) {
+        tokio::select! {
+            () = self.discovery.asked.notified() => self.state = FollowerState::Watching,
+            Ok(()) = self.addresses.changed() => {}
         }
     }
 
-    async fn wait_until_asked(&mut self) {
+    async fn back_off(&mut self, delay: Duration) {
         tokio::select! {
-            () = self.discovery.asked.notified() => self.is_following = true,
+            () = sleep(delay) => {}
             Ok(()) = self.addresses.changed() => {}
         }
+        self.state = FollowerState::Watching;
     }
 
-    /// One call; `None`: discovery has moved before it was answered.
-    async fn call(&mut self) -> Option<Result<Bytes, Fault>> {
-        let begun = Trace::default();
-        let list_bound = self.discovery.list_bound;
-        let mut call = pin!(call(self.address, &mut self.client, self.version, list_bound, &begun));
-        // A lost branch loses nothing: the call goes on below, and a move stays in `addresses`.
+    /// Makes one call and takes in its list.
+    async fn watch(&mut self) {
+        let Some(answer) = self.call().await else { return };
+        let parsed = match &answer {
+            Ok(text) => serde_json::from_slice::<List>(text).map_err(|_| DiscoveryError::Unreadable),
+            Err(error) => Err(*error),
+        };
+        match parsed {
+            Ok(list) => self.take_in(&list),
+            Err(error) => self.note_failure(error),
+        }
+    }
+
+    /// Makes one call; `None` if discovery moved before it was answered.
+    async fn call(&mut self) -> Option<Result<Bytes, DiscoveryError>> {
+        let progress = Trace::default();
+        let max_list_bytes = self.discovery.list_bound;
+        let call = ListCall { address: self.address, version: self.version, max_list_bytes };
+        let mut answer = pin!(call.make(&mut self.connection, &progress));
+        // The branch that is not taken loses nothing: the call goes on below, and a move stays in `addresses`.
         tokio::select! {
-            answer = &mut call => Some(answer),
+            answer = &mut answer => Some(answer),
             Ok(()) = self.addresses.changed() => tokio::select! {
                 biased;
-                answer = &mut call => Some(answer),
-                // By then the runtime knows of all that had been written before the move. A call without
-                // an answer is given up.
+                answer = &mut answer => Some(answer),
+                // By its next turn the runtime has seen everything that was written before the move. A call whose
+                // answer has not begun by then is abandoned.
                 () = yield_now() => {
-                    let begun = begun.borrow().as_ref().is_some_and(|p| p.answered());
-                    if begun { timeout(LAST_WORD, &mut call).await.ok() } else { None }
+                    let first_byte_seen = progress.borrow().as_ref().is_some_and(|p| p.answered());
+                    if first_byte_seen { timeout(MOVED_ANSWER_TIMEOUT, &mut answer).await.ok() } else { None }
                 }
             },
         }
     }
 
-    /// Takes in a list; how long to pause, where it is not one that the known one can be followed by.
-    fn take_in(&mut self, list: &List) -> Option<Duration> {
-        let recovered = self.trouble.take().is_some();
-        if recovered {
+    /// Takes in a list. One that does not follow from the known list is dropped, and the complete list is asked for.
+    fn take_in(&mut self, list: &List) {
+        let has_recovered = self.last_error.take().is_some();
+        if has_recovered {
             info!("discovery answers again");
         }
-        self.backoff = MIN_BACKOFF;
-        // Changes to a list that is not ours, or a version that went back: ask for the whole.
-        let fits = list.full || self.version.is_some_and(|v| list.version >= v);
-        self.version = fits.then_some(list.version);
+        self.next_backoff = MIN_BACKOFF;
+        let follows_known_list = self.version.is_some_and(|version| list.version >= version);
+        if !list.full && !follows_known_list {
+            self.version = None;
+            self.retry_after(MIN_BACKOFF);
+            return;
+        }
+        self.version = Some(list.version);
         let endpoints = list.endpoints(&self.discovery.zones);
-        if fits && (list.full || recovered || !endpoints.is_empty()) {
+        if list.full || has_recovered || !endpoints.is_empty() {
             let kind = if list.full { ListKind::Full } else { ListKind::Changes };
             self.discovery.sink.list(kind, endpoints);
         }
-        if fits { None } else { Some(MIN_BACKOFF) }
     }
 
-    /// Notes that a call has failed; how long to pause.
-    fn note_fault(&mut self, fault: Fault) -> Duration {
-        // One line for each kind of fault in a row, not one a call.
-        if self.trouble.replace(fault) != Some(fault) {
-            warn!(reason = %fault, "discovery failed");
+    /// Notes that a call has failed.
+    fn note_failure(&mut self, error: DiscoveryError) {
+        // One warning for each kind of error in a row.
+        if self.last_error.replace(error) != Some(error) {
+            warn!(reason = %error, "discovery failed");
         }
-        self.client = None;
-        // A service that turns calls away says nothing of the version.
-        if fault == Fault::Unreadable || matches!(fault, Fault::Status(_)) && !self.discovery.must_ask {
+        self.connection = None;
+        // A polled service that rejects calls as it is busy says nothing about the version.
+        let is_rejection = matches!(error, DiscoveryError::Status(_));
+        if error == DiscoveryError::Unreadable || is_rejection && !self.discovery.must_ask {
             self.version = None;
         }
-        let pause = self.backoff;
-        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
-        pause
+        let delay = self.next_backoff;
+        self.next_backoff = (delay * 2).min(MAX_BACKOFF);
+        self.retry_after(delay);
     }
 
-    /// Waits before the next call; where calls have their price, until the policy asks for it.
-    async fn pause(&mut self, pause: Duration) {
+    /// Makes the next call after a delay or, where discovery is polled, when the policy requests it.
+    fn retry_after(&mut self, delay: Duration) {
         if self.discovery.must_ask {
-            self.discovery.sink.unlisted();
-            self.is_following = false;
-            return;
-        }
-        tokio::select! {
-            () = sleep(pause) => {}
-            Ok(()) = self.addresses.changed() => {}
+            self.report_failed_poll();
+        } else {
+            self.state = FollowerState::BackingOff { delay };
         }
     }
+
+    fn report_failed_poll(&mut self) {
+        self.discovery.sink.unlisted();
+        self.state = FollowerState::AwaitingPollRequest;
+    }
 }
