--- a/src/node/connection/discovery.rs
+++ b/src/node/connection/discovery.rs
@@ -2,7 +2,7 @@
 //! its price, the module says when, and the watch goes on from the list that is known.
 
 use crate::node::{
-    connection::{answer_body::Bounds, http_client::HttpClient, write_progress::Trace},
+    connection::{http_client::HttpClient, response_body::BufferLimits, write_progress::Trace},
     wire::{
         endpoint_list::{List, Listed},
         stream::Outgoing,
@@ -178,7 +178,7 @@
                 // By then the runtime knows of all that had been written before the move. A call without
                 // an answer is given up.
                 () = yield_now() => {
-                    let begun = begun.borrow().as_ref().is_some_and(|p| p.answered());
+                    let begun = begun.borrow().as_ref().is_some_and(|p| p.has_response_started());
                     if begun { timeout(LAST_WORD, &mut call).await.ok() } else { None }
                 }
             },
@@ -264,13 +264,13 @@
         is_too_long.set(true);
         None
     };
-    let bounds = Bounds { most, patience: span };
-    let answer = timeout_at(limit, link.exchange(request, None, bounds, &begin)).await;
+    let limits = BufferLimits { max_bytes: most, max_time: span };
+    let answer = timeout_at(limit, link.exchange(request, limits, &begin)).await;
     let broken = |_| if is_too_long.get() { Fault::TooLong(most) } else { Fault::Broken };
-    let (parts, body) = answer.map_err(|_| Fault::Silent)?.map_err(broken)?;
-    if parts.status != StatusCode::OK {
-        return Err(Fault::Status(parts.status));
+    let response = answer.map_err(|_| Fault::Silent)?.map_err(broken)?;
+    if response.status() != StatusCode::OK {
+        return Err(Fault::Status(response.status()));
     }
     *kept = Some(link);
-    Ok(body)
+    Ok(response.into_body())
 }
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -1,84 +1,137 @@
-//! Attempts and probes: one exchange with an endpoint each, and how it ended.
+//! Attempts: each sends a request to an endpoint once, and reports how that ended.
 
 use crate::node::{
     connection::{
-        answer_body::{Begin, Bounds},
-        endpoint_pool::{EndpointPool, KEEP_LEAST, Target},
-        http_client::Failure,
+        endpoint_pool::{EndpointPool, PooledConnection, Target},
+        http_client::ExchangeError,
+        response_body::BufferLimits,
         write_progress::Trace,
     },
     wire::{
         client_request::UpstreamRequest,
         limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES},
         load_report,
-        stream::{Content, Outgoing, Piece},
+        stream::{Outgoing, Piece},
     },
 };
 use bytes::Bytes;
-use hyper::{HeaderMap, Request, StatusCode, http::response::Parts};
+use hyper::{HeaderMap, Request, Response, StatusCode, http::response::Parts};
 use oliverack::{LoadReport, Status};
-use std::{cell::Cell, rc::Rc, time::Duration};
+use std::time::Duration;
 use tokio::{sync::mpsc, time::sleep};
 
-/// An answer that is larger, or of no told length and takes longer, passes through in pieces.
-const BOUNDS: Bounds = Bounds { most: MAX_BUFFERED_BODY_BYTES, patience: Duration::from_millis(50) };
+/// Larger responses, and slower ones of unknown length, are streamed.
+const BUFFER_LIMITS: BufferLimits =
+    BufferLimits { max_bytes: MAX_BUFFERED_BODY_BYTES, max_time: Duration::from_millis(50) };
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd {
     pub status: Status,
+    /// The response's body; empty if it was streamed.
     pub body: Bytes,
     pub load: LoadReport,
 }
 
 impl AttemptEnd {
-    /// One that brought no answer.
-    pub fn without_answer(status: Status) -> Self {
+    /// An attempt that got no response.
+    pub fn without_response(status: Status) -> Self {
         Self { status, body: Bytes::new(), load: LoadReport::default() }
     }
+
+    fn from_response(response: Response<Bytes>) -> Self {
+        let status = attempt_status(response.status(), response.headers());
+        let load = response.headers().get("x-pressure").and_then(|value| value.to_str().ok());
+        let load = load.map(load_report::parse).unwrap_or_default();
+        Self { status, body: response.into_body(), load }
+    }
+}
+
+/// What a response's head says about the attempt.
+fn attempt_status(status: StatusCode, headers: &HeaderMap) -> Status {
+    let is_rejection = headers.get("x-turned-away").is_some_and(|value| value == "1");
+    match status.as_u16() {
+        200 => Status::Ok,
+        503 | 504 if is_rejection => Status::Rejected,
+        _ => Status::Error,
+    }
+}
+
+/// An attempt that is under way.
+struct Attempt<'a, S, O> {
+    pool: &'a EndpointPool,
+    target: &'a Target,
+    upstream: &'a UpstreamRequest,
+    wait_seconds: f64,
+    progress: &'a Trace,
+    may_start: S,
+    open_stream: O,
 }
 
 impl EndpointPool {
-    /// One exchange. Nothing is sent a second time: only a kept connection on which not one byte was written
-    /// is replaced by another.
-    async fn exchange(
+    /// Sends a request to an endpoint once, provided that `may_start` still allows it when the connection is up. The
+    /// endpoint is told that the gateway waits `wait_seconds`. A large response goes to the stream that `open_stream`
+    /// returns for its length.
+    pub async fn attempt(
         &self,
         target: &Target,
-        trace: &Trace,
-        build: impl Fn() -> Result<Request<Outgoing>, Status>,
-        ended: Option<&Rc<Cell<bool>>>,
-        begin: &Begin<'_>,
-        tally: Option<&Rc<Cell<u64>>>,
-    ) -> Result<(StatusCode, HeaderMap, Bytes), Status> {
-        if let Some(rest) = self.rests(target) {
-            sleep(rest).await;
+        upstream: &UpstreamRequest,
+        wait_seconds: f64,
+        progress: &Trace,
+        may_start: impl Fn() -> bool,
+        open_stream: impl Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
+    ) -> AttemptEnd {
+        if !upstream.body.is_available() {
+            return AttemptEnd::without_response(Status::NotSent);
+        }
+        let attempt =
+            Attempt { pool: self, target, upstream, wait_seconds, progress, may_start, open_stream };
+        match attempt.run().await {
+            Ok(response) => AttemptEnd::from_response(response),
+            Err(status) => AttemptEnd::without_response(status),
+        }
+    }
+}
+
+impl<S, O> Attempt<'_, S, O>
+where
+    S: Fn() -> bool,
+    O: Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
+{
+    /// Nothing is sent a second time: only a reused connection on which not one byte was written is replaced by
+    /// another one.
+    async fn run(&self) -> Result<Response<Bytes>, Status> {
+        if let Some(wait) = self.pool.time_to_reuse(self.target) {
+            sleep(wait).await;
         }
         loop {
-            let (mut pooled, kept) = match self.take(target) {
-                Some(pooled) => (pooled, true),
-                None => (self.fresh(target).await?, false),
+            let mut connection = match self.pool.check_out(self.target) {
+                Some(connection) => connection,
+                None => self.pool.connect(self.target).await?,
             };
-            *trace.borrow_mut() = Some(pooled.link.progress());
-            pooled.link.progress().tell(tally);
-            let idle = pooled.since.elapsed();
-            // A connection may take long to come up. From here on to the first byte nothing is waited for.
-            if !self.stands(target) {
-                return Err(Status::NotSent);
-            }
-            let request = build()?;
-            match pooled.link.exchange(request, ended.cloned(), BOUNDS, begin).await {
-                Ok((parts, bytes)) => {
-                    if kept && idle >= self.keep.get() / 2 {
-                        self.keep.set((self.keep.get() * 5 / 4).min(self.keep_most));
+            *self.progress.borrow_mut() = Some(connection.client.progress());
+            connection.client.progress().count_sent_in(&self.pool.dispatches);
+            let idle = connection.idle_since.elapsed();
+            let request = self.build_request()?;
+            let error = match self.exchange(&mut connection, request).await {
+                Ok(response) => {
+                    if connection.is_reused {
+                        self.pool.idle_limit.note_success(idle);
                     }
-                    self.put(target, pooled);
-                    return Ok((parts.status, parts.headers, bytes));
+                    self.pool.check_in(self.target, connection);
+                    return Ok(response);
                 }
-                Err(Failure::Unsent) if kept => {}
-                Err(Failure::Unsent | Failure::Partial) => return Err(Status::ConnectFailed),
-                Err(Failure::Reset) => {
-                    if kept && !pooled.link.progress().answered() {
-                        self.keep.set((idle / 2).max(KEEP_LEAST).min(self.keep.get()));
+                Err(error) => error,
+            };
+            match error {
+                ExchangeError::NotWritten if connection.is_reused => {}
+                ExchangeError::NotWritten | ExchangeError::PartlyWritten => {
+                    return Err(Status::ConnectFailed);
+                }
+                ExchangeError::NoResponse => {
+                    let has_response_started = connection.client.progress().has_response_started();
+                    if connection.is_reused && !has_response_started {
+                        self.pool.idle_limit.note_reset(idle);
                     }
                     return Err(Status::Reset);
                 }
@@ -86,54 +139,26 @@
         }
     }
 
-    /// Sends `what` to the endpoint once, if it `may_begin` when the connection is there; `wait` tells the endpoint how
-    /// long the gateway will wait. A large answer goes to what `begin` returns for its length.
-    pub async fn attempt(
-        &self,
-        target: &Target,
-        what: &UpstreamRequest,
-        wait: f64,
-        trace: &Trace,
-        may_begin: impl Fn() -> bool,
-        begin: impl Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
-    ) -> AttemptEnd {
-        if !what.body.is_available() {
-            return AttemptEnd::without_answer(Status::NotSent);
+    /// The request for a connection that is up. The endpoint and the request are checked once more, because the
+    /// connection may have taken long; from here on to the first byte nothing is awaited.
+    fn build_request(&self) -> Result<Request<Outgoing>, Status> {
+        if !self.pool.is_current(self.target) || !(self.may_start)() {
+            return Err(Status::NotSent);
         }
-        let build = || {
-            if !may_begin() {
-                return Err(Status::NotSent);
-            }
-            // A body that went by the connection before can't go by another one.
-            what.to_endpoint(wait).ok_or(Status::ConnectFailed)
-        };
-        let ended = match &what.body {
-            Content::Whole(_) => None,
-            Content::Stream { is_finished, .. } => Some(is_finished),
-        };
-        // Only what is served has a body that matters.
-        let begin = |parts: &Parts, length: Option<u64>| {
-            let wanted = parts.status == StatusCode::OK && length.is_none_or(|l| l <= MAX_BODY_BYTES as u64);
-            if wanted { begin(length) } else { None }
-        };
-        let tally = Some(&self.dispatches);
-        let (status, headers, body) = match self.exchange(target, trace, build, ended, &begin, tally).await {
-            Ok(answer) => answer,
-            Err(status) => return AttemptEnd::without_answer(status),
-        };
-        let (status, load) = judge(status, &headers);
-        AttemptEnd { status, body, load }
+        // A streamed body that an earlier connection has taken can't be sent on another one.
+        self.upstream.to_endpoint(self.wait_seconds).ok_or(Status::ConnectFailed)
     }
-}
 
-/// What an answer's head says of the attempt, and of the endpoint.
-fn judge(status: StatusCode, headers: &HeaderMap) -> (Status, LoadReport) {
-    let turned_away = headers.get("x-turned-away").is_some_and(|v| v == "1");
-    let status = match status.as_u16() {
-        200 => Status::Ok,
-        503 | 504 if turned_away => Status::Rejected,
-        _ => Status::Error,
-    };
-    let load = headers.get("x-pressure").and_then(|v| v.to_str().ok()).map(load_report::parse);
-    (status, load.unwrap_or_default())
+    async fn exchange(
+        &self,
+        connection: &mut PooledConnection,
+        request: Request<Outgoing>,
+    ) -> Result<Response<Bytes>, ExchangeError> {
+        // Only a served response has a body that matters.
+        let open_stream = |parts: &Parts, length: Option<u64>| {
+            let fits = length.is_none_or(|length| length <= MAX_BODY_BYTES as u64);
+            if parts.status == StatusCode::OK && fits { (self.open_stream)(length) } else { None }
+        };
+        connection.client.exchange(request, BUFFER_LIMITS, &open_stream).await
+    }
 }
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -1,6 +1,9 @@
 //! Connections to the endpoints, kept and reused within a budget.
 
-use crate::node::{connection::http_client::HttpClient, wire::endpoint_list::Listed};
+use crate::node::{
+    connection::{http_client::HttpClient, idle_limit::IdleLimit},
+    wire::endpoint_list::Listed,
+};
 use fnv::FnvHashMap;
 use oliverack::{EndpointId, Lifecycle, Status};
 use std::{
@@ -10,7 +13,13 @@
     time::{Duration, Instant},
 };
 
-/// A connection's place in the budget, given back when the connection goes.
+/// Shortest time between a response and the next request on its connection. An endpoint may send a response twice, some
+/// milliseconds apart; one that arrives after the next request was sent would be taken for that request's response.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
+/// How far below the endpoints' own idle time-out the gateway closes: a request that crosses an endpoint's close is lost.
+const IDLE_LIMIT_MARGIN: Duration = Duration::from_secs(2);
+
+/// A connection's place in the budget, given back when the connection closes.
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl Drop for ConnectionSlot {
@@ -19,209 +28,249 @@
     }
 }
 
-/// Shortest time that an idle connection is kept for: the next request of a rush comes sooner, and a new
-/// connection costs the endpoint work.
-pub(super) const KEEP_LEAST: Duration = Duration::from_millis(50);
-
-/// A connection rests for so long between an answer and the next request: an endpoint may say the same answer again some
-/// milliseconds later, and what comes while a request is out is read as that one's answer.
-const REUSE_AFTER: Duration = Duration::from_millis(10);
-
 /// A connection that may carry a request.
-pub(super) struct Pooled {
-    pub(super) link: HttpClient,
-    /// The endpoint's life that it was opened in.
-    life: u64,
-    /// Since when it has been idle.
-    pub(super) since: Instant,
+pub(super) struct PooledConnection {
+    pub(super) client: HttpClient,
+    /// The endpoint's incarnation that it was opened to.
+    incarnation: u64,
+    /// Since when it has been idle, or open if it has carried no request.
+    pub(super) idle_since: Instant,
+    /// It has carried a request before.
+    pub(super) is_reused: bool,
     _slot: ConnectionSlot,
 }
 
-/// An endpoint as the list last told it.
+/// An endpoint according to the endpoint list.
 struct KnownEndpoint {
-    addr: SocketAddr,
+    address: SocketAddr,
     started: f64,
-    /// Its own number: another endpoint at the same address, or the same one started anew, has another.
-    life: u64,
-    /// It may be sent to.
-    serving: bool,
+    /// A number of its own for each start of an endpoint, and for another endpoint at the same address.
+    incarnation: u64,
+    /// New requests may be sent to it.
+    is_running: bool,
 }
 
-/// The idle connections to one endpoint, the one that has stood idle longest first; never none.
-type Pool = Vec<Pooled>;
+/// The idle connections to one endpoint, the longest idle first; never empty.
+type IdleConnections = Vec<PooledConnection>;
 
 /// See the [module](self).
 pub struct EndpointPool {
     endpoints: RefCell<FnvHashMap<EndpointId, KnownEndpoint>>,
-    /// Only of endpoints to which there are idle connections: few of a long list.
-    pools: RefCell<FnvHashMap<EndpointId, Pool>>,
-    lives: Cell<u64>,
-    open: Rc<Cell<usize>>,
-    budget: usize,
-    /// What this process may have of it.
-    share: Cell<usize>,
-    /// An idle connection is kept for so long: at most, and as resets and answers on kept ones have shown. What
-    /// stands between may forget a connection far sooner than the endpoint closes it, and says so only to a
-    /// request, which may then have run.
-    pub(super) keep_most: Duration,
-    pub(super) keep: Cell<Duration>,
-    connect: Duration,
-    /// Attempts written whole.
+    /// Has no entry for an endpoint without idle connections, which most of a long list are.
+    idle: RefCell<FnvHashMap<EndpointId, IdleConnections>>,
+    last_incarnation: Cell<u64>,
+    open_connections: Rc<Cell<usize>>,
+    /// Most connections of all processes of this gateway together.
+    max_connections: usize,
+    /// This process's part of them.
+    process_max_connections: Cell<usize>,
+    pub(super) idle_limit: IdleLimit,
+    connect_timeout: Duration,
+    /// Attempts that were written completely.
     pub(super) dispatches: Rc<Cell<u64>>,
 }
 
-/// Where an attempt goes.
+/// An endpoint's incarnation that an attempt goes to.
 #[derive(Clone)]
 pub struct Target {
     id: EndpointId,
-    addr: SocketAddr,
-    life: u64,
+    address: SocketAddr,
+    incarnation: u64,
 }
 
 impl EndpointPool {
-    /// `budget` connections at most, none kept idle for `idle_limit`, none waited for past `connect`.
-    pub fn new(budget: usize, idle_limit: Duration, connect: Duration, dispatches: Rc<Cell<u64>>) -> Self {
-        // An endpoint closes at its limit, and a request that crosses that is lost: close well before.
-        let keep_most = idle_limit.saturating_sub(Duration::from_secs(2)).max(idle_limit / 2);
+    /// Holds at most `max_connections`. Endpoints close connections that are idle for `endpoint_idle_timeout`.
+    pub fn new(
+        max_connections: usize,
+        endpoint_idle_timeout: Duration,
+        connect_timeout: Duration,
+        dispatches: Rc<Cell<u64>>,
+    ) -> Self {
+        let max_idle = endpoint_idle_timeout.saturating_sub(IDLE_LIMIT_MARGIN).max(endpoint_idle_timeout / 2);
         Self {
             endpoints: RefCell::default(),
-            pools: RefCell::default(),
-            lives: Cell::new(0),
-            open: Rc::default(),
-            budget,
-            share: Cell::new(budget),
-            keep_most,
-            keep: Cell::new(keep_most),
-            connect,
+            idle: RefCell::default(),
+            last_incarnation: Cell::new(0),
+            open_connections: Rc::default(),
+            max_connections,
+            process_max_connections: Cell::new(max_connections),
+            idle_limit: IdleLimit::new(max_idle),
+            connect_timeout,
             dispatches,
         }
     }
 
-    /// Takes in the list: the whole one, or what has changed, each with its address if it has a usable one.
-    /// What is not named by a whole list, or is gone, is forgotten, and its idle connections are closed.
-    pub fn listed(&self, whole: bool, list: &[Listed]) {
-        let (mut endpoints, mut pools) = (self.endpoints.borrow_mut(), self.pools.borrow_mut());
-        let mut old = if whole { std::mem::take(&mut *endpoints) } else { FnvHashMap::default() };
+    /// Applies a full endpoint list, or the entries of one that have changed. Endpoints that a full list does not name,
+    /// or that are gone, are forgotten and their idle connections closed.
+    pub fn listed(&self, is_full: bool, list: &[Listed]) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let mut idle = self.idle.borrow_mut();
+        let mut previous = if is_full { std::mem::take(&mut *endpoints) } else { FnvHashMap::default() };
         endpoints.reserve(list.len());
-        for Listed { endpoint, addr } in list {
-            let known = endpoints.remove_entry(&endpoint.id).or_else(|| old.remove_entry(&endpoint.id));
-            // The name that is held already is kept, so that each is held once.
-            let (id, known) =
-                known.map_or_else(|| (endpoint.id.clone(), None), |(id, known)| (id, Some(known)));
-            let addr = addr.or(known.as_ref().map(|h| h.addr));
-            let (Some(addr), true) = (addr, endpoint.lifecycle != Lifecycle::Gone) else {
-                pools.remove(&id);
+        for entry in list {
+            let id = &entry.endpoint.id;
+            let known = endpoints.remove_entry(id).or_else(|| previous.remove_entry(id));
+            // A known id is kept, so that each is held in memory once.
+            let (id, known) = match known {
+                Some((id, known)) => (id, Some(known)),
+                None => (id.clone(), None),
+            };
+            let Some(endpoint) = self.apply_entry(entry, known.as_ref()) else {
+                idle.remove(&id);
                 continue;
             };
-            let same = known.filter(|h| h.addr == addr && h.started == endpoint.started);
-            let renewed = same.is_none();
-            let mut known = same.unwrap_or_else(|| {
-                self.lives.set(self.lives.get() + 1);
-                KnownEndpoint { addr, started: endpoint.started, life: self.lives.get(), serving: false }
-            });
-            known.serving = endpoint.lifecycle == Lifecycle::Running;
-            if renewed || !known.serving {
-                pools.remove(&id);
+            let is_same = known.is_some_and(|known| known.incarnation == endpoint.incarnation);
+            if !is_same || !endpoint.is_running {
+                idle.remove(&id);
             }
-            endpoints.insert(id, known);
+            endpoints.insert(id, endpoint);
+        }
+        for id in previous.keys() {
+            idle.remove(id);
         }
-        old.keys().for_each(|id| drop(pools.remove(id)));
     }
 
-    /// Operators have left the endpoint out and restart it: its connections are of no further use.
+    /// The endpoint according to its entry; `None` if it is gone or has no address.
+    fn apply_entry(&self, entry: &Listed, known: Option<&KnownEndpoint>) -> Option<KnownEndpoint> {
+        let address = entry.addr.or(known.map(|known| known.address))?;
+        if entry.endpoint.lifecycle == Lifecycle::Gone {
+            return None;
+        }
+        let started = entry.endpoint.started;
+        let same = known.filter(|known| known.address == address && known.started == started);
+        Some(KnownEndpoint {
+            address,
+            started,
+            incarnation: same.map_or_else(|| self.new_incarnation(), |known| known.incarnation),
+            is_running: entry.endpoint.lifecycle == Lifecycle::Running,
+        })
+    }
+
+    fn new_incarnation(&self) -> u64 {
+        self.last_incarnation.set(self.last_incarnation.get() + 1);
+        self.last_incarnation.get()
+    }
+
+    /// Operators have put an endpoint into maintenance or taken it out, and may restart it: its connections are of no
+    /// further use.
     pub fn in_maintenance(&self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(id) {
-            self.lives.set(self.lives.get() + 1);
-            endpoint.life = self.lives.get();
-            self.pools.borrow_mut().remove(id);
+            endpoint.incarnation = self.new_incarnation();
+            self.idle.borrow_mut().remove(id);
         }
     }
 
-    /// Where to reach an endpoint; `None` if the list does not name it.
+    /// The target for an attempt at an endpoint; `None` if the endpoint list does not name it.
     pub fn target(&self, id: &EndpointId) -> Option<Target> {
-        self.endpoints.borrow().get(id).map(|h| Target { id: id.clone(), addr: h.addr, life: h.life })
+        let endpoints = self.endpoints.borrow();
+        let endpoint = endpoints.get(id)?;
+        Some(Target { id: id.clone(), address: endpoint.address, incarnation: endpoint.incarnation })
     }
 
-    /// Closes idle connections that are dead or due.
+    /// Closes idle connections that are dead or have been idle for too long.
     pub fn sweep(&self) {
-        self.pools.borrow_mut().retain(|_, pool| {
-            pool.retain_mut(|p| p.since.elapsed() < self.keep.get() && p.link.ready());
-            !pool.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain_mut(|connection| self.is_usable(connection));
+            !connections.is_empty()
         });
     }
 
-    /// Whether something new may still go to the endpoint that was chosen: the list has told nothing else since, and
-    /// it is the same one, in the same life.
-    pub(super) fn stands(&self, target: &Target) -> bool {
-        self.endpoints.borrow().get(&target.id).is_some_and(|h| h.serving && h.life == target.life)
+    fn is_usable(&self, connection: &mut PooledConnection) -> bool {
+        self.idle_limit.allows(connection.idle_since.elapsed()) && connection.client.ready()
+    }
+
+    /// Whether a request may still be sent to the target: the endpoint is running, in the same incarnation.
+    pub(super) fn is_current(&self, target: &Target) -> bool {
+        let endpoints = self.endpoints.borrow();
+        let endpoint = endpoints.get(&target.id);
+        endpoint.is_some_and(|known| known.is_running && known.incarnation == target.incarnation)
     }
 
-    pub(super) fn take(&self, target: &Target) -> Option<Pooled> {
-        let mut pools = self.pools.borrow_mut();
+    /// Takes an idle connection to the target: the one that was used last, so that the others stay idle and are closed.
+    /// Dead ones on the way are closed.
+    pub(super) fn check_out(&self, target: &Target) -> Option<PooledConnection> {
+        let mut idle = self.idle.borrow_mut();
         loop {
-            let pool = pools.get_mut(&target.id)?;
-            // The last one used first, once it has rested: the others stay idle and go. A dead one is dropped here,
-            // unreported.
-            let rested =
-                pool.iter().rposition(|p| p.life == target.life && p.since.elapsed() >= REUSE_AFTER)?;
-            let mut pooled = pool.remove(rested);
-            if pool.is_empty() {
-                pools.remove(&target.id);
+            let connections = idle.get_mut(&target.id)?;
+            let position = connections.iter().rposition(|connection| {
+                connection.incarnation == target.incarnation && connection.idle_since.elapsed() >= REUSE_DELAY
+            })?;
+            let mut connection = connections.remove(position);
+            if connections.is_empty() {
+                idle.remove(&target.id);
             }
-            if pooled.since.elapsed() < self.keep.get() && pooled.link.ready() {
-                return Some(pooled);
+            if self.is_usable(&mut connection) {
+                return Some(connection);
             }
         }
     }
 
-    /// How long until one of the idle connections has rested, if none has yet: that costs the endpoint less than a new
-    /// one would.
-    pub(super) fn rests(&self, target: &Target) -> Option<Duration> {
-        let pools = self.pools.borrow();
-        let pool = pools.get(&target.id)?.iter().filter(|p| p.life == target.life);
-        let longest = pool.map(|p| p.since.elapsed()).max()?;
-        REUSE_AFTER.checked_sub(longest)
+    /// Time until an idle connection may be reused, if none may yet: the wait costs the endpoint less than a new
+    /// connection.
+    pub(super) fn time_to_reuse(&self, target: &Target) -> Option<Duration> {
+        let idle = self.idle.borrow();
+        let connections = idle.get(&target.id)?.iter();
+        let current = connections.filter(|connection| connection.incarnation == target.incarnation);
+        let longest_idle = current.map(|connection| connection.idle_since.elapsed()).max()?;
+        REUSE_DELAY.checked_sub(longest_idle)
     }
 
-    pub(super) fn put(&self, target: &Target, mut pooled: Pooled) {
+    /// Keeps a connection after a response, if its endpoint may still get requests.
+    pub(super) fn check_in(&self, target: &Target, mut connection: PooledConnection) {
         let endpoints = self.endpoints.borrow();
-        let serves = endpoints.get(&target.id).is_some_and(|h| h.serving && h.life == pooled.life);
-        if serves && pooled.link.ready() {
-            pooled.since = Instant::now();
-            self.pools.borrow_mut().entry(target.id.clone()).or_default().push(pooled);
+        let endpoint = endpoints.get(&target.id);
+        let is_current =
+            endpoint.is_some_and(|known| known.is_running && known.incarnation == connection.incarnation);
+        if is_current && connection.client.ready() {
+            connection.idle_since = Instant::now();
+            connection.is_reused = true;
+            self.idle.borrow_mut().entry(target.id.clone()).or_default().push(connection);
         }
     }
 
-    /// The budget is dealt out among so many processes.
-    pub fn share(&self, of: usize) {
-        self.share.set((self.budget / of).max(1));
-        while self.open.get() > self.share.get() && self.close_longest_idle().is_some() {}
+    /// Shares the budget with the other processes of this gateway.
+    pub fn share(&self, process_count: usize) {
+        let max_connections = (self.max_connections / process_count).max(1);
+        self.process_max_connections.set(max_connections);
+        while self.open_connections.get() > max_connections && self.close_longest_idle() {}
     }
 
-    fn close_longest_idle(&self) -> Option<()> {
-        let mut pools = self.pools.borrow_mut();
-        let longest = pools.iter().min_by_key(|(_, pool)| pool[0].since)?.0.clone();
-        let pool = pools.get_mut(&longest)?;
-        pool.remove(0);
-        if pool.is_empty() {
-            pools.remove(&longest);
+    /// Closes the longest idle connection of all; false if there is none.
+    fn close_longest_idle(&self) -> bool {
+        let mut idle = self.idle.borrow_mut();
+        let longest = idle.iter().min_by_key(|(_, connections)| connections[0].idle_since);
+        let Some(id) = longest.map(|(id, _)| id.clone()) else { return false };
+        let Some(connections) = idle.get_mut(&id) else { return false };
+        connections.remove(0);
+        if connections.is_empty() {
+            idle.remove(&id);
         }
-        Some(())
+        true
     }
 
-    /// A place for one more connection; at the edge the connection that has stood idle longest makes room.
-    fn slot(&self) -> Option<ConnectionSlot> {
-        if self.open.get() >= self.share.get() {
-            self.close_longest_idle()?;
+    /// A place for one more connection. If the budget is used up, the longest idle connection gives way.
+    fn reserve_slot(&self) -> Option<ConnectionSlot> {
+        let is_full = self.open_connections.get() >= self.process_max_connections.get();
+        if is_full && !self.close_longest_idle() {
+            return None;
         }
-        self.open.set(self.open.get() + 1);
-        Some(ConnectionSlot(self.open.clone()))
+        self.open_connections.set(self.open_connections.get() + 1);
+        Some(ConnectionSlot(self.open_connections.clone()))
     }
 
-    pub(super) async fn fresh(&self, target: &Target) -> Result<Pooled, Status> {
-        // No descriptor left says nothing of the endpoint: the attempt was never sent.
-        let slot = self.slot().ok_or(Status::NotSent)?;
-        let link = HttpClient::open(target.addr, self.connect).await.map_err(|_| Status::ConnectFailed)?;
-        Ok(Pooled { link, life: target.life, since: Instant::now(), _slot: slot })
+    /// Opens a new connection.
+    ///
+    /// # Errors
+    /// The budget is used up, which says nothing about the endpoint, or the connection did not come up.
+    pub(super) async fn connect(&self, target: &Target) -> Result<PooledConnection, Status> {
+        let slot = self.reserve_slot().ok_or(Status::NotSent)?;
+        let client = HttpClient::open(target.address, self.connect_timeout).await;
+        Ok(PooledConnection {
+            client: client.map_err(|_| Status::ConnectFailed)?,
+            incarnation: target.incarnation,
+            idle_since: Instant::now(),
+            is_reused: false,
+            _slot: slot,
+        })
     }
 }
--- a/src/node/connection/events.rs
+++ b/src/node/connection/events.rs
@@ -1,13 +1,13 @@
-//! How the parts that hold connections tell what has happened, without knowing who listens.
+//! How connections report events to the policy without knowing who drives it.
 
 use oliverack::Event;
 use std::rc::Rc;
 
 /// Takes events, one at a time.
 pub trait EventSink {
-    /// Something has happened.
+    /// Handles an event that has just happened.
     fn post(self: Rc<Self>, event: Event);
 }
 
-/// A shared way to tell of events.
+/// A shared event sink.
 pub type EventSender = Rc<dyn EventSink>;
--- a/src/node/connection/mod.rs
+++ b/src/node/connection/mod.rs
@@ -1,7 +1,6 @@
-//! Connections to clients, endpoints, the counter, discovery, operators and sibling processes. They tell of what happens through
-//! small traits and know nothing of who listens.
+//! Connections to clients, endpoints, the counter, discovery, operators and sibling processes. They report through small
+//! traits and know nothing about their users.
 
-pub mod answer_body;
 pub mod clients;
 pub mod counter_client;
 pub mod counter_line;
@@ -10,7 +9,9 @@
 pub mod endpoint_pool;
 pub mod events;
 pub mod http_client;
+pub mod idle_limit;
 pub mod operators;
+pub mod response_body;
 pub mod siblings;
 pub mod socket_input;
 pub mod write_progress;
--- a/src/node/connection/write_progress.rs
+++ b/src/node/connection/write_progress.rs
@@ -1,4 +1,6 @@
-//! How much of a request has been written to a connection, as a socket that counts what it takes tells.
+//! How much of a request has been written to a connection, observed by the socket that the bytes go through.
+//!
+//! It decides whether an attempt may have run: an endpoint starts to work on a request with its last byte.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,122 +14,136 @@
     net::TcpStream,
 };
 
-/// How much of the present request has been written to the socket.
+/// The progress of the present request on a connection.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
-    /// `None`: its body's length is not known before its end.
-    body: Cell<Option<usize>>,
-    /// The body's end has been handed over, where it comes in pieces.
-    ended: RefCell<Option<Rc<Cell<bool>>>>,
-    written: Cell<usize>,
-    /// Bytes of the whole request, known from the first write on, which begins with the whole head.
-    whole: Cell<Option<usize>>,
-    /// The first bytes of the final answer have come.
-    begun: Cell<bool>,
-    /// Is one more with each request written whole.
-    tally: RefCell<Option<Rc<Cell<u64>>>>,
+    /// Length of the request's body, if it is known from the start.
+    body_length: Cell<Option<usize>>,
+    /// Set once the last byte of a streamed body was handed over.
+    is_body_finished: RefCell<Option<Rc<Cell<bool>>>>,
+    written_bytes: Cell<usize>,
+    /// Length of the request with its head, known from the first write on, which begins with the complete head.
+    request_length: Cell<Option<usize>>,
+    /// The first bytes of the final response have arrived.
+    has_response_started: Cell<bool>,
+    /// Incremented when the request is written completely.
+    sent_counter: RefCell<Option<Rc<Cell<u64>>>>,
 }
 
 impl WriteProgress {
-    /// A new request begins, with a body of this length if that is known.
-    pub fn begin(&self, body: Option<usize>, ended: Option<Rc<Cell<bool>>>) {
-        self.body.set(body);
-        self.ended.replace(ended);
-        self.written.set(0);
-        self.whole.set(None);
-        self.begun.set(false);
+    /// Starts over for a new request. `is_body_finished` belongs to a streamed body.
+    pub fn start_request(&self, body_length: Option<usize>, is_body_finished: Option<Rc<Cell<bool>>>) {
+        self.body_length.set(body_length);
+        self.is_body_finished.replace(is_body_finished);
+        self.written_bytes.set(0);
+        self.request_length.set(None);
+        self.has_response_started.set(false);
     }
 
-    /// Counts the next request there, once it has been written whole.
-    pub fn tell(&self, tally: Option<&Rc<Cell<u64>>>) {
-        self.tally.replace(tally.cloned());
+    /// Sets the counter to be incremented when the next request is written completely.
+    pub fn count_sent_in(&self, counter: &Rc<Cell<u64>>) {
+        self.sent_counter.replace(Some(counter.clone()));
     }
 
-    fn wrote(&self, bytes: usize) {
-        self.written.set(self.written.get() + bytes);
-        if self.sent_whole() {
-            self.tally.take().into_iter().for_each(|tally| tally.set(tally.get() + 1));
-        }
+    /// Whether not one byte of the request was written.
+    pub fn is_unwritten(&self) -> bool {
+        self.written_bytes.get() == 0
     }
 
-    /// Not one byte of the request has been handed to the socket.
-    pub fn wrote_nothing(&self) -> bool {
-        self.written.get() == 0
+    /// Whether the last byte of the request was written, so that the endpoint may work on it.
+    pub fn is_completely_written(&self) -> bool {
+        match self.request_length.get() {
+            Some(length) => self.written_bytes.get() >= length,
+            // The end mark of a chunked body follows its last byte at once.
+            None => self.is_body_finished.borrow().as_ref().is_some_and(|is_finished| is_finished.get()),
+        }
     }
 
-    /// The last byte has been handed to the socket: the endpoint may have begun.
-    pub fn sent_whole(&self) -> bool {
-        match self.whole.get() {
-            Some(whole) => self.written.get() >= whole,
-            // Its end mark follows at once.
-            None => self.ended.borrow().as_ref().is_some_and(|ended| ended.get()),
-        }
+    /// Whether bytes of the final response have arrived.
+    pub fn has_response_started(&self) -> bool {
+        self.has_response_started.get()
     }
 
-    /// Something of the final answer has come.
-    pub fn answered(&self) -> bool {
-        self.begun.get()
+    fn note_written(&self, bytes: usize) {
+        self.written_bytes.set(self.written_bytes.get() + bytes);
+        if self.is_completely_written() {
+            if let Some(counter) = self.sent_counter.take() {
+                counter.set(counter.get() + 1);
+            }
+        }
     }
 
-    /// An answer of 1xx only says that the final one is on its way.
-    fn came(&self, bytes: &[u8]) {
+    /// An interim response (1xx) is not the final one.
+    fn note_read(&self, bytes: &[u8]) {
         if !bytes.is_empty() && !bytes.starts_with(b"HTTP/1.1 1") {
-            self.begun.set(true);
+            self.has_response_started.set(true);
         }
     }
 
-    fn offered(&self, bytes: &[u8]) {
-        if let (None, Some(body)) = (self.whole.get(), self.body.get()) {
-            let head = bytes.windows(4).position(|w| w == b"\r\n\r\n").map_or(bytes.len(), |at| at + 4);
-            self.whole.set(Some(head + body));
+    /// Works out the request's length from the bytes of its first write.
+    fn note_write_offered(&self, bytes: &[u8]) {
+        if self.request_length.get().is_some() {
+            return;
+        }
+        if let Some(body_length) = self.body_length.get() {
+            let head_end = bytes.windows(4).position(|window| window == b"\r\n\r\n");
+            let head_length = head_end.map_or(bytes.len(), |end| end + 4);
+            self.request_length.set(Some(head_length + body_length));
         }
     }
 }
 
-/// A socket that counts what it takes. It offers no vectored writes, so that hyper hands over the head, and
-/// what it has of the body, as one piece.
+/// A socket that records the progress. It offers no vectored writes, so that hyper hands over the head, with what it
+/// has of the body, in one buffer.
 pub struct CountedSocket {
     pub socket: Rc<TcpStream>,
     pub progress: Rc<WriteProgress>,
 }
 
 impl AsyncRead for CountedSocket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        output: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.socket.poll_read_ready(cx))?;
-            match self.socket.try_read(to.initialize_unfilled()) {
-                Ok(n) => {
-                    to.advance(n);
-                    self.progress.came(&to.filled()[to.filled().len() - n..]);
+            match self.socket.try_read(output.initialize_unfilled()) {
+                Ok(count) => {
+                    output.advance(count);
+                    let filled = output.filled();
+                    self.progress.note_read(&filled[filled.len() - count..]);
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Poll::Ready(Err(e)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
         }
     }
 }
 
 impl AsyncWrite for CountedSocket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        self.progress.offered(from);
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        self.progress.note_write_offered(bytes);
         loop {
-            match self.socket.try_write(from) {
-                Ok(n) => {
-                    self.progress.wrote(n);
-                    return Poll::Ready(Ok(n));
+            match self.socket.try_write(bytes) {
+                Ok(count) => {
+                    self.progress.note_written(count);
+                    return Poll::Ready(Ok(count));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Poll::Ready(Err(e)),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Poll::Ready(Err(error)),
             }
             ready!(self.socket.poll_write_ready(cx))?;
         }
     }
+
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
+
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Ended by the close, which follows.
+        // The close that follows ends it.
         Poll::Ready(Ok(()))
     }
 }
@@ -137,5 +153,5 @@
 
 /// Whether the attempt's last byte has been written.
 pub fn may_have_run(trace: &Trace) -> bool {
-    trace.borrow().as_ref().is_some_and(|p| p.sent_whole())
+    trace.borrow().as_ref().is_some_and(|p| p.is_completely_written())
 }
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -143,7 +143,7 @@
         if let Some(may_have_run) = stopped {
             // Not written whole: it was never sent, whatever ended it.
             let status = if may_have_run { status } else { Status::NotSent };
-            self.ended(request_id, number, AttemptEnd::without_answer(status));
+            self.ended(request_id, number, AttemptEnd::without_response(status));
         }
     }
 }
--- a/src/node/wire/stream.rs
+++ b/src/node/wire/stream.rs
@@ -42,28 +42,24 @@
 pub enum Content {
     Whole(Bytes),
     /// Too large to be buffered; it can be sent only once.
-    Stream {
-        /// `None` once an attempt has taken it.
-        upload: RefCell<Option<Upload>>,
-        /// The last byte was handed to the connection.
-        is_finished: Rc<Cell<bool>>,
-    },
+    /// The upload is `None` once an attempt has taken it.
+    Stream(RefCell<Option<Upload>>),
 }
 
 impl Content {
     /// A streamed body and the sender of its pieces; `length` is in bytes, if it is known.
     pub fn stream(length: Option<usize>) -> (mpsc::Sender<Piece>, Self) {
         let (sender, pieces) = pipe();
-        let is_finished = Rc::new(Cell::new(false));
-        let upload = Upload { pieces, remaining: length.map(|l| l as u64), is_finished: is_finished.clone() };
-        (sender, Self::Stream { upload: RefCell::new(Some(upload)), is_finished })
+        let remaining = length.map(|length| length as u64);
+        let upload = Upload { pieces, remaining, is_finished: Rc::default() };
+        (sender, Self::Stream(RefCell::new(Some(upload))))
     }
 
     /// The body for one attempt; `None` if it is streamed and an earlier attempt has taken it.
     pub fn take(&self) -> Option<Outgoing> {
         match self {
             Self::Whole(bytes) => Some(Outgoing::Whole(Some(bytes.clone()).filter(|b| !b.is_empty()))),
-            Self::Stream { upload, .. } => upload.take().map(Outgoing::Stream),
+            Self::Stream(upload) => upload.take().map(Outgoing::Stream),
         }
     }
 
@@ -71,7 +67,7 @@
     pub fn is_available(&self) -> bool {
         match self {
             Self::Whole(_) => true,
-            Self::Stream { upload, .. } => upload.borrow().is_some(),
+            Self::Stream(upload) => upload.borrow().is_some(),
         }
     }
 }
@@ -93,6 +89,16 @@
     Stream(Upload),
 }
 
+impl Outgoing {
+    /// Set once the last byte of a streamed body was handed over; `None` for a buffered one.
+    pub fn finished_flag(&self) -> Option<Rc<Cell<bool>>> {
+        match self {
+            Self::Whole(_) => None,
+            Self::Stream(upload) => Some(upload.is_finished.clone()),
+        }
+    }
+}
+
 impl Body for Outgoing {
     type Data = Bytes;
     type Error = TruncatedBody;
