--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -1,7 +1,7 @@
-//! The operators' listener: one call a connection, answered from live state whatever the clients do.
+//! The operators' HTTP API: one request a connection, answered from live state.
 //!
-//! Nothing here waits on clients, endpoints or the counter. Calls run side by side on descriptors kept aside for
-//! them; callers that hold a connection without a whole call make room for others.
+//! Nothing here waits for clients, endpoints or the counter. Connections have descriptors set aside for them; a caller
+//! that holds one without a complete request gives way to others.
 
 use crate::node::{config::Config, maintenance_file::MaintenanceFileError};
 use bytes::Bytes;
@@ -15,135 +15,184 @@
 };
 use hyper_util::rt::TokioIo;
 use percent_encoding::percent_decode_str;
-use std::{collections::VecDeque, convert::Infallible, fmt, rc::Rc, time::Duration};
+use std::{collections::VecDeque, convert::Infallible, rc::Rc, time::Duration};
+use thiserror::Error;
 use tokio::{
     net::{TcpListener, TcpStream},
     task::{JoinHandle, spawn_local},
     time::{Instant, sleep, sleep_until, timeout},
 };
 
-/// Calls at once: what the descriptors leave beside one just accepted and the listener.
-const CALLS: usize = Config::OPERATOR_SOCKETS - 2;
-/// Longest time for a call, from its connection on to its answer's last byte.
-const CALL_TIME: Duration = Duration::from_secs(2);
-/// At the edge the call held open longest ends, though not before it had so long to be sent.
-const SPARED: Duration = Duration::from_millis(100);
-/// Pause after a failure to accept.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Longest head of a call; hyper takes no smaller bound.
-const MAX_HEAD: usize = 8192;
-
-type Answer = Response<Full<Bytes>>;
-
-/// Why operators are told no.
-#[derive(Debug)]
+/// Most connections at once: the descriptors set aside, less the listener and one connection just accepted.
+const MAX_CONCURRENT_CALLS: usize = Config::OPERATOR_SOCKETS - 2;
+/// Longest time for a call, from the connection to the last byte of the response.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The oldest call may give way to a new one after this time.
+const MIN_CALL_TIME: Duration = Duration::from_millis(100);
+/// Wait after a failure to accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+/// Longest head of a request; hyper takes no smaller limit.
+const MAX_HEAD_BYTES: usize = 8192;
+
+type OperatorResponse = Response<Full<Bytes>>;
+
+/// Why an endpoint could not be put into maintenance or taken out.
+#[derive(Debug, Error)]
 pub enum MaintenanceError {
-    /// Nobody has this id.
+    #[error("no worker has this id")]
     UnknownEndpoint,
-    /// It holds in this process, but an upgrade would lose it.
+    /// The change holds in this process, but the next one would not know it.
+    #[error("not kept: {0}")]
     NotKept(MaintenanceFileError),
 }
 
-impl fmt::Display for MaintenanceError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::UnknownEndpoint => f.write_str("no worker has this id"),
-            Self::NotKept(e) => write!(f, "not kept: {e}"),
-        }
-    }
-}
-
-/// What operators may ask.
+/// What operators may ask for.
 pub trait Operations {
-    /// Clients are being taken.
+    /// Whether clients are accepted.
     fn is_accepting(&self) -> bool;
-    /// The metrics as they stand, in Prometheus' text format.
+    /// The current metrics in Prometheus' text format.
     fn render_metrics(&self) -> String;
-    /// Leaves an endpoint out, or puts it back.
-    fn set_maintenance(&self, id: &str, out: bool) -> Result<(), MaintenanceError>;
+    /// Puts an endpoint into maintenance, or takes it out.
+    ///
+    /// # Errors
+    /// The endpoint is unknown, or the change could not be stored.
+    fn set_maintenance(&self, id: &str, in_maintenance: bool) -> Result<(), MaintenanceError>;
 }
 
+/// The server of the operators' API.
 pub struct Operators {
     pub operations: Box<dyn Operations>,
 }
 
+/// A call that is being served.
+struct OpenCall {
+    started_at: Instant,
+    task: JoinHandle<()>,
+}
+
+/// A call according to its path.
+enum Call<'a> {
+    HealthCheck,
+    Metrics,
+    StartMaintenance { endpoint_id: &'a str },
+    EndMaintenance { endpoint_id: &'a str },
+}
+
+impl<'a> Call<'a> {
+    /// `None` if there is no such call.
+    fn parse(path: &'a str) -> Option<Self> {
+        let segments: Vec<&str> = path.split('/').skip(1).collect();
+        match segments.as_slice() {
+            ["healthcheck"] => Some(Self::HealthCheck),
+            ["stats"] => Some(Self::Metrics),
+            ["workers", endpoint_id, "maint"] => Some(Self::StartMaintenance { endpoint_id }),
+            ["workers", endpoint_id, "ready"] => Some(Self::EndMaintenance { endpoint_id }),
+            _ => None,
+        }
+    }
+
+    fn method(&self) -> Method {
+        match self {
+            Self::HealthCheck | Self::Metrics => Method::GET,
+            Self::StartMaintenance { .. } | Self::EndMaintenance { .. } => Method::PUT,
+        }
+    }
+}
+
 impl Operators {
-    /// Serves calls for good.
+    /// Serves calls until it is cancelled.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let mut calls: VecDeque<(Instant, JoinHandle<()>)> = VecDeque::new();
+        let mut open_calls = VecDeque::new();
         loop {
             let Ok((socket, _)) = listener.accept().await else {
-                sleep(PAUSE).await;
+                sleep(ACCEPT_BACKOFF).await;
                 continue;
             };
-            calls.retain(|(_, call)| !call.is_finished());
-            if calls.len() >= CALLS {
-                if let Some((since, longest)) = calls.pop_front() {
-                    sleep_until(since + SPARED).await;
-                    longest.abort();
-                }
+            open_calls.retain(|call: &OpenCall| !call.task.is_finished());
+            if open_calls.len() >= MAX_CONCURRENT_CALLS {
+                end_oldest(&mut open_calls).await;
             }
             let operators = self.clone();
-            let call = spawn_local(async move {
-                // A call that is not whole by then has no answer coming.
-                let _ = timeout(CALL_TIME, operators.converse(socket)).await;
+            let task = spawn_local(async move {
+                // A call that is incomplete by then gets no response.
+                let _ = timeout(CALL_TIMEOUT, operators.serve_connection(socket)).await;
             });
-            calls.push_back((Instant::now(), call));
+            open_calls.push_back(OpenCall { started_at: Instant::now(), task });
         }
     }
 
-    async fn converse(&self, socket: TcpStream) {
-        let service = service_fn(async |request| Ok::<_, Infallible>(self.answer(&request)));
-        let mut endpoint = http1::Builder::new();
-        // The whole call has a limit, so its head needs none of its own.
-        endpoint.keep_alive(false).max_buf_size(MAX_HEAD).header_read_timeout(None);
-        // A caller that goes, or speaks no HTTP, has had its answer from hyper or wants none.
-        let _ = endpoint.serve_connection(TokioIo::new(socket), service).await;
+    async fn serve_connection(&self, socket: TcpStream) {
+        let service = service_fn(async |request| Ok::<_, Infallible>(self.respond(&request)));
+        let mut server = http1::Builder::new();
+        // The call as a whole has a time limit, so its head needs none.
+        server.keep_alive(false).max_buf_size(MAX_HEAD_BYTES).header_read_timeout(None);
+        // After an error the caller is gone, or has got hyper's response to what is not HTTP.
+        let _ = server.serve_connection(TokioIo::new(socket), service).await;
     }
 
-    fn answer(&self, request: &Request<Incoming>) -> Answer {
-        let path: Vec<&str> = request.uri().path().split('/').skip(1).collect();
-        let (wanted, answer): (Method, &dyn Fn() -> Answer) = match path.as_slice() {
-            ["healthcheck"] => (Method::GET, &|| self.health()),
-            ["stats"] => (Method::GET, &|| say(StatusCode::OK, self.operations.render_metrics())),
-            ["workers", id, "maint"] => (Method::PUT, &|| self.set_maintenance(id, true)),
-            ["workers", id, "ready"] => (Method::PUT, &|| self.set_maintenance(id, false)),
-            _ => return say(StatusCode::NOT_FOUND, "no such call\n"),
+    fn respond(&self, request: &Request<Incoming>) -> OperatorResponse {
+        let Some(call) = Call::parse(request.uri().path()) else {
+            return text_response(StatusCode::NOT_FOUND, "no such call\n");
         };
-        if *request.method() == wanted {
-            return answer();
+        if *request.method() != call.method() {
+            return method_not_allowed(&call.method());
         }
-        let mut no = say(StatusCode::METHOD_NOT_ALLOWED, "no such method here\n");
-        // A method's name is plain text.
-        no.headers_mut().extend(HeaderValue::from_str(wanted.as_str()).ok().map(|value| (ALLOW, value)));
-        no
-    }
-
-    fn set_maintenance(&self, id: &str, out: bool) -> Answer {
-        let Ok(id) = percent_decode_str(id).decode_utf8() else {
-            return say(StatusCode::BAD_REQUEST, "the id is no text\n");
-        };
-        match self.operations.set_maintenance(&id, out) {
-            Ok(()) => say(StatusCode::OK, if out { "out\n" } else { "back\n" }),
-            Err(error @ MaintenanceError::UnknownEndpoint) => {
-                say(StatusCode::NOT_FOUND, format!("{error}\n"))
-            }
-            Err(error) => say(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
+        match call {
+            Call::HealthCheck => self.check_health(),
+            Call::Metrics => text_response(StatusCode::OK, self.operations.render_metrics()),
+            Call::StartMaintenance { endpoint_id } => self.set_maintenance(endpoint_id, true),
+            Call::EndMaintenance { endpoint_id } => self.set_maintenance(endpoint_id, false),
         }
     }
 
-    fn health(&self) -> Answer {
+    fn check_health(&self) -> OperatorResponse {
         if self.operations.is_accepting() {
-            say(StatusCode::OK, "ok\n")
+            text_response(StatusCode::OK, "ok\n")
         } else {
-            say(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n")
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n")
+        }
+    }
+
+    fn set_maintenance(&self, encoded_id: &str, in_maintenance: bool) -> OperatorResponse {
+        let Ok(id) = percent_decode_str(encoded_id).decode_utf8() else {
+            return text_response(StatusCode::BAD_REQUEST, "the id is no text\n");
+        };
+        match self.operations.set_maintenance(&id, in_maintenance) {
+            Ok(()) if in_maintenance => text_response(StatusCode::OK, "out\n"),
+            Ok(()) => text_response(StatusCode::OK, "back\n"),
+            Err(error) => text_response(error_status(&error), format!("{error}\n")),
         }
     }
 }
 
-fn say(status: StatusCode, text: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Full::new(text.into()));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
-    answer
+/// Ends the oldest call, once it has had its minimum time.
+async fn end_oldest(open_calls: &mut VecDeque<OpenCall>) {
+    if let Some(oldest) = open_calls.pop_front() {
+        sleep_until(oldest.started_at + MIN_CALL_TIME).await;
+        oldest.task.abort();
+    }
+}
+
+fn error_status(error: &MaintenanceError) -> StatusCode {
+    match error {
+        MaintenanceError::UnknownEndpoint => StatusCode::NOT_FOUND,
+        MaintenanceError::NotKept(_) => StatusCode::INTERNAL_SERVER_ERROR,
+    }
+}
+
+fn method_not_allowed(allowed: &Method) -> OperatorResponse {
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "no such method here\n");
+    // A method's name is always a valid header value.
+    if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
+        response.headers_mut().insert(ALLOW, allowed);
+    }
+    response
+}
+
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> OperatorResponse {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    let content_type = HeaderValue::from_static("text/plain; charset=utf-8");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
 }
