--- a/src/node/connection/clients/eviction.rs
+++ b/src/node/connection/clients/eviction.rs
@@ -64,3 +64,7 @@
 fn count(connections: &ConnectionTable, stage: Stage) -> usize {
     connections.values().filter(|connection| connection.stage.get() == stage).count()
 }
+
+#[cfg(test)]
+#[path = "../../../../tests/unit/eviction.rs"]
+mod tests;
--- a/src/node/connection/idle_limit.rs
+++ b/src/node/connection/idle_limit.rs
@@ -38,3 +38,7 @@
         self.current.set(lowered.min(self.current.get()));
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/idle_limit.rs"]
+mod tests;
