--- a/src/node/connection/discovery/call.rs
+++ b/src/node/connection/discovery/call.rs
@@ -2,12 +2,13 @@
 
 use crate::node::{
     connection::{
-        answer_body::Bounds, discovery::error::DiscoveryError, http_client::HttpClient, write_progress::Trace,
+        discovery::error::DiscoveryError, http_client::HttpClient, response_body::BufferLimits,
+        write_progress::Trace,
     },
     wire::stream::Outgoing,
 };
 use bytes::Bytes;
-use hyper::{Request, StatusCode, Uri, header, http::response::Parts};
+use hyper::{Request, Response, StatusCode, Uri, header, http::response::Parts};
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 use tokio::time::{Instant, timeout_at};
 
@@ -56,12 +57,12 @@
         *progress.borrow_mut() = Some(connection.progress());
         let request = self.request(hold)?;
         let exchange = self.exchange(&mut connection, request, time_limit);
-        let (parts, body) = timeout_at(deadline, exchange).await.map_err(|_| DiscoveryError::Timeout)??;
-        if parts.status != StatusCode::OK {
-            return Err(DiscoveryError::Status(parts.status));
+        let response = timeout_at(deadline, exchange).await.map_err(|_| DiscoveryError::Timeout)??;
+        if response.status() != StatusCode::OK {
+            return Err(DiscoveryError::Status(response.status()));
         }
         *kept_connection = Some(connection);
-        Ok(body)
+        Ok(response.into_body())
     }
 
     fn request(self, hold: Duration) -> Result<Request<Outgoing>, DiscoveryError> {
@@ -80,16 +81,16 @@
         connection: &mut HttpClient,
         request: Request<Outgoing>,
         time_limit: Duration,
-    ) -> Result<(Parts, Bytes), DiscoveryError> {
+    ) -> Result<Response<Bytes>, DiscoveryError> {
         let is_too_long = Cell::new(false);
-        // Called only for an answer that exceeds the bounds. The time limit is the same for all answers, so that is one
+        // Called only for an answer that exceeds the limits. The time limit is the same for all answers, so that is one
         // that is too long.
         let reject = |_: &Parts, _: Option<u64>| {
             is_too_long.set(true);
             None
         };
-        let bounds = Bounds { most: self.max_list_bytes, patience: time_limit };
-        connection.exchange(request, None, bounds, &reject).await.map_err(|_| {
+        let limits = BufferLimits { max_bytes: self.max_list_bytes, max_time: time_limit };
+        connection.exchange(request, limits, &reject).await.map_err(|_| {
             if is_too_long.get() {
                 DiscoveryError::TooLong { max_bytes: self.max_list_bytes }
             } else {
--- a/src/node/connection/discovery/follower.rs
+++ b/src/node/connection/discovery/follower.rs
@@ -173,7 +173,7 @@
                 // By its next turn the runtime has seen everything that was written before the move. A call whose
                 // answer has not begun by then is abandoned.
                 () = yield_now() => {
-                    let first_byte_seen = progress.borrow().as_ref().is_some_and(|p| p.answered());
+                    let first_byte_seen = progress.borrow().as_ref().is_some_and(|p| p.has_response_started());
                     if first_byte_seen { timeout(MOVED_ANSWER_TIMEOUT, &mut answer).await.ok() } else { None }
                 }
             },
--- a/src/node/connection/mod.rs
+++ b/src/node/connection/mod.rs
@@ -1,7 +1,6 @@
-//! Connections to clients, endpoints, the counter, discovery and operators. They tell of what happens through small
-//! traits and know nothing of who listens.
+//! Connections to clients, endpoints, the counter, discovery and operators. They report through small traits and know
+//! nothing about their users.
 
-pub mod answer_body;
 pub mod clients;
 pub mod counter;
 pub mod discovery;
@@ -9,6 +8,8 @@
 pub mod endpoint_pool;
 pub mod events;
 pub mod http_client;
+pub mod idle_limit;
 pub mod operators;
+pub mod response_body;
 pub mod socket_input;
 pub mod write_progress;
