--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -241,3 +241,23 @@
         }
     }
 }
+
+/// The paths below `src`, `lab` and `tests` that a page names in code spans.
+fn named_paths(text: &str) -> Vec<&str> {
+    let is_path = |span: &&str| ["src/", "lab/", "tests/"].iter().any(|root| span.starts_with(root));
+    // Code blocks hold commands, not paths.
+    let prose = text.split("```").step_by(2);
+    prose.flat_map(|prose| prose.split('`').skip(1).step_by(2)).filter(is_path).collect()
+}
+
+#[test]
+fn pages_name_only_files_that_exist() {
+    assert_eq!(named_paths("a `src/x.rs` b `c` ```sh\n`lab/no`\n``` `lab/y`"), ["src/x.rs", "lab/y"]);
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    for page in ["README.md", "docs/architecture.md", "docs/operations.md"] {
+        let text = fs::read_to_string(root.join(page)).expect("a page");
+        for path in named_paths(&text) {
+            assert!(root.join(path).exists(), "{page} names {path}");
+        }
+    }
+}
