--- a/src/node/connection/counter/call.rs
+++ b/src/node/connection/counter/call.rs
@@ -153,7 +153,8 @@
 #[derive(Debug)]
 pub struct CallEnd {
     counter: u64,
-    status: Status,
+    /// How the call ended.
+    pub status: Status,
     total: f64,
     started_at: Instant,
 }
--- a/src/node/connection/counter/call_queue.rs
+++ b/src/node/connection/counter/call_queue.rs
@@ -116,3 +116,7 @@
         Ok(end)
     }
 }
+
+#[cfg(test)]
+#[path = "../../../../tests/unit/counter_call_queue.rs"]
+mod tests;
