--- a/src/node/connection/counter/client.rs
+++ b/src/node/connection/counter/client.rs
@@ -3,7 +3,8 @@
 use crate::node::connection::{
     counter::{
         call::{Call, CallId},
-        connection::{ClientContext, CounterConnection},
+        client_context::ClientContext,
+        connection::CounterConnection,
         error::CounterError,
     },
     events::EventSender,
@@ -48,7 +49,7 @@
 
     /// Makes each connection end when no call is awaited on it.
     pub fn retire(&self) {
-        self.context.is_retired.set(true);
+        self.context.retire();
         for connection in &self.connections {
             connection.wake();
         }
--- a/src/node/connection/counter/connection.rs
+++ b/src/node/connection/counter/connection.rs
@@ -4,6 +4,7 @@
     counter::{
         call::{Call, CallId},
         call_queue::CallQueue,
+        client_context::ClientContext,
         error::CounterError,
         protocol::{self, MAX_REPLY_BYTES},
     },
@@ -11,9 +12,8 @@
 };
 use bytes::BytesMut;
 use std::{
-    cell::{Cell, RefCell},
+    cell::RefCell,
     convert::Infallible,
-    net::SocketAddr,
     rc::Rc,
     time::{Duration, Instant},
 };
@@ -24,55 +24,16 @@
     task::spawn_local,
     time::{MissedTickBehavior, interval, sleep, sleep_until, timeout},
 };
-use tracing::warn;
 
-/// Longest time for a connection to be made, in call timeouts.
-const CONNECT_TIMEOUT_CALLS: u32 = 5;
-/// Time without a reply after which a connection is replaced, in call timeouts. The counter rejects calls long before
-/// its queue takes so long, so a connection that is silent for longer is dead.
-const REPLY_TIMEOUT_CALLS: u32 = 4;
 /// Interval of pings, well under the shortest idle time after which the counter closes a connection.
 const PING_INTERVAL: Duration = Duration::from_secs(2);
 /// Wait before the first attempt to connect again.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 /// Longest wait before an attempt to connect again.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Least time between two warnings about failed connections of one client.
-const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 /// Size of the buffer that one read fills.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// What the connections of a client share.
-pub struct ClientContext {
-    /// Where the counter listens.
-    pub address: SocketAddr,
-    /// Time after which the policy no longer awaits a call.
-    pub call_timeout: Duration,
-    /// The client makes no connection again, and each one ends when no call is awaited on it.
-    pub is_retired: Cell<bool>,
-    last_warning_at: Cell<Option<Instant>>,
-}
-
-impl ClientContext {
-    /// The context of a client that is not retired.
-    pub fn new(address: SocketAddr, call_timeout: Duration) -> Rc<Self> {
-        let is_retired = Cell::new(false);
-        Rc::new(Self { address, call_timeout, is_retired, last_warning_at: Cell::new(None) })
-    }
-
-    fn reply_timeout(&self) -> Duration {
-        self.call_timeout * REPLY_TIMEOUT_CALLS
-    }
-
-    /// Logs a failure, at most once in [`WARNING_INTERVAL`].
-    fn warn(&self, error: &CounterError) {
-        if self.last_warning_at.get().is_none_or(|at| at.elapsed() > WARNING_INTERVAL) {
-            self.last_warning_at.set(Some(Instant::now()));
-            warn!(address = %self.address, reason = %error, "counter connection failed");
-        }
-    }
-}
-
 /// Where a connection stands.
 enum ConnectionState {
     /// It is made when a call needs it.
@@ -133,7 +94,7 @@
     /// Ends a call whose time ran out, if it is awaited here; whether it was.
     pub fn expire(&self, id: CallId, events: &EventSender) -> bool {
         let Some(end) = self.calls.borrow_mut().expire(id) else { return false };
-        if self.context.is_retired.get() {
+        if self.context.is_retired() {
             self.wake();
         }
         end.post(events);
@@ -195,7 +156,7 @@
         loop {
             let Err(error) = self.connect_and_serve(&events, &mut backoff).await;
             self.disconnect(&error, &events);
-            if self.context.is_retired.get() {
+            if self.context.is_retired() {
                 return;
             }
             self.context.warn(&error);
@@ -211,7 +172,7 @@
         events: &EventSender,
         backoff: &mut Duration,
     ) -> Result<Infallible, CounterError> {
-        let connect_timeout = self.context.call_timeout * CONNECT_TIMEOUT_CALLS;
+        let connect_timeout = self.context.connect_timeout();
         let connecting = TcpStream::connect(self.context.address);
         let socket =
             timeout(connect_timeout, connecting).await.map_err(|_| CounterError::ConnectTimeout)??;
@@ -267,7 +228,7 @@
             return Err(CounterError::ReplyOverdue);
         }
         self.write_calls()?;
-        if self.context.is_retired.get() && !self.has_awaited_calls() {
+        if self.context.is_retired() && !self.has_awaited_calls() {
             return Err(CounterError::Retired);
         }
         let calls = self.calls.borrow();
--- a/src/node/connection/counter/mod.rs
+++ b/src/node/connection/counter/mod.rs
@@ -7,6 +7,7 @@
 pub mod call;
 pub mod call_queue;
 pub mod client;
+pub mod client_context;
 pub mod connection;
 pub mod error;
 pub mod protocol;
