--- a/src/node/wire/endpoint_list.rs
+++ b/src/node/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints in discovery's form. It is read from its text without a copy of any of its strings.
+//! The endpoint list in the format of discovery. It borrows its strings from the text, as lists are long.
 
 use oliverack::{Endpoint, Lifecycle};
 use schemars::JsonSchema;
@@ -9,14 +9,17 @@
     net::SocketAddr,
 };
 
-/// A list of endpoints, borrowed from its text.
+/// Set in the numbers of zones that the settings don't name.
+const UNNAMED_ZONE_BIT: u32 = 1 << 31;
+
+/// An endpoint list, complete or with changes only.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub struct List<'a> {
     /// Grows with each change.
     pub version: u64,
-    /// It names all endpoints, not only those that have changed.
+    /// It names all endpoints, not only the changed ones.
     pub full: bool,
-    /// Its entries.
+    /// The endpoints.
     #[serde(borrow, rename = "servers")]
     endpoints: Vec<Entry<'a>>,
 }
@@ -24,7 +27,7 @@
 /// An endpoint as discovery shows it.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct Entry<'a> {
-    /// The same at all gateways.
+    /// Its identifier, the same at all gateways.
     #[serde(borrow)]
     id: Cow<'a, str>,
     /// Where this gateway reaches it.
@@ -36,7 +39,7 @@
     /// The number of its cell.
     #[serde(default)]
     cell: u32,
-    /// `SERVING`, `DRAINING` or `DELETED`; an entry with another one is passed over.
+    /// `SERVING`, `DRAINING` or `DELETED`; an entry with another one is ignored.
     #[serde(borrow)]
     state: Cow<'a, str>,
     /// When it last started, in Unix time in milliseconds; 0: long ago.
@@ -44,15 +47,17 @@
     started_ms: f64,
 }
 
-/// An endpoint in the module's terms, with its address if it has a usable one.
+/// An endpoint in the policy's terms, with the address at which this gateway reaches it.
 #[derive(Debug, Clone)]
 pub struct Listed {
+    /// What the policy knows of it.
     pub endpoint: Endpoint,
+    /// `None` if the list has no usable address.
     pub addr: Option<SocketAddr>,
 }
 
 impl List<'_> {
-    /// The endpoints whose state is known; `zones` are the names of the zones by number.
+    /// The endpoints whose state is known. `zones` are the names of the zones by number.
     pub fn endpoints(&self, zones: &[String]) -> Vec<Listed> {
         let mut endpoints = Vec::with_capacity(self.endpoints.len());
         endpoints.extend(self.endpoints.iter().filter_map(|entry| entry.listed(zones)));
@@ -61,7 +66,7 @@
 }
 
 impl Entry<'_> {
-    /// `None`: its state is unknown.
+    /// `None` if its state is unknown.
     fn listed(&self, zones: &[String]) -> Option<Listed> {
         let lifecycle = match &*self.state {
             "SERVING" => Lifecycle::Running,
@@ -80,13 +85,13 @@
     }
 }
 
-/// One that the settings don't name is a zone all the same, and another than the next such: endpoints of two zones don't
-/// know each other's requests.
+/// The number of a zone. A zone that the settings don't name gets a number of its own, as endpoints of different zones
+/// don't share their deduplication of requests.
 fn zone_number(name: &str, zones: &[String]) -> u32 {
     if let Some(number) = zones.iter().position(|zone| zone == name) {
         return number as u32;
     }
     let mut hasher = fnv::FnvHasher::default();
     name.hash(&mut hasher);
-    hasher.finish() as u32 | 1 << 31
+    hasher.finish() as u32 | UNNAMED_ZONE_BIT
 }
