--- a/src/node/connection/clients/connection.rs
+++ b/src/node/connection/clients/connection.rs
@@ -12,7 +12,7 @@
     metrics,
     wire::{
         client_request::{ClientRequest, InvalidRequest},
-        client_response::{self, ClientResponse},
+        client_response::ClientResponse,
         request_head::Head,
     },
 };
@@ -40,7 +40,7 @@
         self.socket.release_buffer();
         if let ConnectionEnd::WithStatus(status) = end {
             self.socket.state.enter(Stage::WritingResponse);
-            let response = client_response::render(&ClientResponse::plain(status), false, 1);
+            let response = ClientResponse::without_body(status).render(false, 1);
             // A client that can't be told sees the close.
             let _ = self.socket.tcp.write_all(&response).await;
             self.socket.linger().await;
@@ -124,7 +124,7 @@
         head: &Head,
     ) -> Result<(), ConnectionEnd> {
         let mut exchange = Exchange::unhandled(&mut self.socket, body);
-        let response = ClientResponse::plain(status);
+        let response = ClientResponse::without_body(status);
         let keep_alive = may_keep_alive(self.context, &exchange, &response, head);
         let delivery = exchange.respond(response, keep_alive, head.minor_version).await?;
         finish(exchange, &delivery, keep_alive).await
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -69,7 +69,7 @@
         };
         let Some((request_id, mut receiver)) = handler.accept(request) else {
             self.unread_body = upload.map(|upload| upload.decoder);
-            return Ok(ClientResponse::plain(StatusCode::CONFLICT));
+            return Ok(ClientResponse::without_body(StatusCode::CONFLICT));
         };
         let mut open_request = OpenRequest { handler, request_id: &request_id, is_answered: false };
         let early_response = match upload {
--- a/src/node/connection/clients/handler.rs
+++ b/src/node/connection/clients/handler.rs
@@ -45,14 +45,14 @@
 impl From<FinalAnswer> for ClientResponse {
     fn from(response: FinalAnswer) -> Self {
         match response {
-            FinalAnswer::Served(body) => Self::whole(StatusCode::OK, body),
+            FinalAnswer::Served(body) => Self::with_body(StatusCode::OK, body),
             FinalAnswer::Streamed { length, pieces } => {
-                Self { body: ResponseBody::Pieces { length, pieces }, ..Self::plain(StatusCode::OK) }
+                Self { body: ResponseBody::Streamed { length, pieces }, ..Self::without_body(StatusCode::OK) }
             }
             FinalAnswer::Refused { retry_after } => {
-                Self { retry_after, ..Self::plain(StatusCode::TOO_MANY_REQUESTS) }
+                Self { retry_after, ..Self::without_body(StatusCode::TOO_MANY_REQUESTS) }
             }
-            FinalAnswer::Failed => Self::plain(StatusCode::BAD_GATEWAY),
+            FinalAnswer::Failed => Self::without_body(StatusCode::BAD_GATEWAY),
         }
     }
 }
--- a/src/node/connection/clients/response_writer.rs
+++ b/src/node/connection/clients/response_writer.rs
@@ -4,7 +4,7 @@
     connection::clients::{memory::MemoryPermit, socket::ClientSocket, state::Stage},
     metrics,
     wire::{
-        client_response::{self, ClientResponse, ResponseBody},
+        client_response::{ClientResponse, ResponseBody},
         stream::{Piece, Pieces, STREAM_MEMORY_BYTES},
     },
 };
@@ -61,13 +61,13 @@
 ) -> io::Result<Delivery> {
     let outcome = response.outcome();
     socket.state.enter(Stage::WritingResponse);
-    let head = client_response::render(&response, keep_alive, minor_version);
+    let head = response.render(keep_alive, minor_version);
     let (length, pieces) = match response.body {
-        ResponseBody::Whole(_) => {
+        ResponseBody::Buffered(_) => {
             socket.tcp.write_all(&head).await?;
             return Ok(Delivery::Complete(outcome));
         }
-        ResponseBody::Pieces { length, pieces } => (length, pieces),
+        ResponseBody::Streamed { length, pieces } => (length, pieces),
     };
     // The bound on memory holds for responses, too: one that finds no memory waits at its endpoint.
     let stream_memory = reserve_stream_memory(socket, memory).await;
@@ -79,8 +79,8 @@
     match end {
         StreamEnd::Complete => Ok(Delivery::Complete(outcome)),
         StreamEnd::Unstarted => {
-            let failure = ClientResponse::plain(StatusCode::BAD_GATEWAY);
-            let text = client_response::render(&failure, keep_alive, minor_version);
+            let failure = ClientResponse::without_body(StatusCode::BAD_GATEWAY);
+            let text = failure.render(keep_alive, minor_version);
             socket.tcp.write_all(&text).await?;
             Ok(Delivery::Complete(failure.outcome()))
         }
--- a/src/node/wire/client_response.rs
+++ b/src/node/wire/client_response.rs
@@ -12,9 +12,9 @@
 
 /// A response's body.
 pub enum ResponseBody {
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Streamed as it arrives from the endpoint.
-    Pieces {
+    Streamed {
         /// In bytes, if it is known.
         length: Option<u64>,
         pieces: Pieces,
@@ -40,44 +40,44 @@
     }
 
     /// A response with a buffered body.
-    pub fn whole(status: StatusCode, body: Bytes) -> Self {
+    pub fn with_body(status: StatusCode, body: Bytes) -> Self {
         let is_overload = status == StatusCode::SERVICE_UNAVAILABLE;
         let retry_after = if is_overload { OVERLOAD_RETRY_AFTER_SECONDS } else { 0.0 };
-        Self { status, retry_after, body: ResponseBody::Whole(body) }
+        Self { status, retry_after, body: ResponseBody::Buffered(body) }
     }
 
     /// A response without a body.
-    pub fn plain(status: StatusCode) -> Self {
-        Self::whole(status, Bytes::new())
+    pub fn without_body(status: StatusCode) -> Self {
+        Self::with_body(status, Bytes::new())
     }
 
     /// Whether a client of this minor version of HTTP/1 can tell the end of the body without a close. HTTP/1.0 has no
     /// chunked encoding.
     pub fn is_self_delimiting(&self, minor_version: u8) -> bool {
-        minor_version > 0 || !matches!(self.body, ResponseBody::Pieces { length: None, .. })
+        minor_version > 0 || !matches!(self.body, ResponseBody::Streamed { length: None, .. })
     }
-}
 
-/// Writes the head, with the body behind it unless that is streamed.
-pub fn render(response: &ClientResponse, keep_alive: bool, minor_version: u8) -> Vec<u8> {
-    let code = response.status.as_str();
-    let reason = response.status.canonical_reason().unwrap_or_default();
-    let (length, body) = match &response.body {
-        ResponseBody::Whole(body) => (Some(body.len() as u64), &body[..]),
-        ResponseBody::Pieces { length, .. } => (*length, &[][..]),
-    };
-    let mut text = Vec::with_capacity(TYPICAL_HEAD_BYTES + body.len());
-    // Writing to memory does not fail.
-    let _ = write!(text, "HTTP/1.1 {code} {reason}\r\n");
-    if let Some(length) = length {
-        let _ = write!(text, "Content-Length: {length}\r\n");
-    } else if minor_version > 0 {
-        text.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
-    }
-    if response.retry_after > 0.0 {
-        let _ = write!(text, "Retry-After: {:.3}\r\n", response.retry_after);
+    /// The bytes of the head, with the body behind it unless that is streamed.
+    pub fn render(&self, keep_alive: bool, minor_version: u8) -> Vec<u8> {
+        let code = self.status.as_str();
+        let reason = self.status.canonical_reason().unwrap_or_default();
+        let (length, body) = match &self.body {
+            ResponseBody::Buffered(body) => (Some(body.len() as u64), &body[..]),
+            ResponseBody::Streamed { length, .. } => (*length, &[][..]),
+        };
+        let mut text = Vec::with_capacity(TYPICAL_HEAD_BYTES + body.len());
+        // Writing to memory does not fail.
+        let _ = write!(text, "HTTP/1.1 {code} {reason}\r\n");
+        if let Some(length) = length {
+            let _ = write!(text, "Content-Length: {length}\r\n");
+        } else if minor_version > 0 {
+            text.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
+        }
+        if self.retry_after > 0.0 {
+            let _ = write!(text, "Retry-After: {:.3}\r\n", self.retry_after);
+        }
+        text.extend_from_slice(if keep_alive { b"\r\n" } else { b"Connection: close\r\n\r\n" });
+        text.extend_from_slice(body);
+        text
     }
-    text.extend_from_slice(if keep_alive { b"\r\n" } else { b"Connection: close\r\n\r\n" });
-    text.extend_from_slice(body);
-    text
 }
