--- /dev/null
+++ b/lab/src/fleet/gateways.rs
@@ -0,0 +1,170 @@
+//! A simulated gateway: it hosts the policy itself, which starts without any state at every restart.
+
+use super::configuration::{self, Configuration, DiscoveryMode, RepeatEffect};
+use super::processor::{PolicyWork, ProcessorTimes};
+use oliverack::{
+    Action, Class, Effect, EndpointCounts, Event, Gateway, IdempotencyScope, Plan, Settings, SettingsError,
+    Time,
+};
+use std::collections::HashSet;
+use std::time::Instant;
+
+/// One gateway.
+#[derive(Debug)]
+pub struct SimulatedGateway {
+    /// Its zone.
+    pub zone: u32,
+    incarnation: u32,
+    down_since: Option<Time>,
+    open_requests: usize,
+    max_open_requests: usize,
+    /// Tenants whose requests it has received, over all incarnations.
+    tenants: HashSet<usize>,
+    policy: Gateway,
+}
+
+impl SimulatedGateway {
+    /// A gateway that is up, without any state.
+    ///
+    /// # Errors
+    /// The policy rejects its settings.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        Ok(Self {
+            zone: settings.zone,
+            incarnation: 0,
+            down_since: None,
+            open_requests: 0,
+            max_open_requests: 0,
+            tenants: HashSet::new(),
+            policy: Gateway::new(settings, seed)?,
+        })
+    }
+
+    /// Number of its present incarnation, or of the next one while it is down.
+    pub fn incarnation(&self) -> u32 {
+        self.incarnation
+    }
+
+    /// Since when it has been down; `None` if it is up.
+    pub fn down_since(&self) -> Option<Time> {
+        self.down_since
+    }
+
+    /// Ends this incarnation. Events for it are dropped from now on.
+    pub fn stop(&mut self, now: Time) {
+        self.incarnation += 1;
+        self.down_since = Some(now);
+        self.open_requests = 0;
+    }
+
+    /// Starts the next incarnation.
+    ///
+    /// # Errors
+    /// The policy rejects its settings.
+    pub fn start(&mut self, settings: Settings, seed: u64) -> Result<(), SettingsError> {
+        self.policy = Gateway::new(settings, seed)?;
+        self.down_since = None;
+        Ok(())
+    }
+
+    /// True if this incarnation is up.
+    pub fn is_running(&self, incarnation: u32) -> bool {
+        self.down_since.is_none() && self.incarnation == incarnation
+    }
+
+    /// Notifies the policy of an event, and measures the time that it takes.
+    pub fn notify(&mut self, now: Time, event: Event, times: &mut ProcessorTimes) -> Vec<Action> {
+        let work = PolicyWork::of(&event);
+        let mut actions = Vec::new();
+        let started = Instant::now();
+        self.policy.handle(now, event, &mut actions);
+        times.record(work, started.elapsed());
+        actions
+    }
+
+    /// Records that a request of a tenant was opened.
+    pub fn request_opened(&mut self, tenant: usize) {
+        self.open_requests += 1;
+        self.max_open_requests = self.max_open_requests.max(self.open_requests);
+        self.tenants.insert(tenant);
+    }
+
+    /// Records that a request was closed.
+    pub fn request_closed(&mut self) {
+        self.open_requests -= 1;
+    }
+
+    /// Most requests that were open at once.
+    pub fn max_open_requests(&self) -> usize {
+        self.max_open_requests
+    }
+
+    /// How many tenants it has received requests of, over all incarnations.
+    pub fn tenant_count(&self) -> usize {
+        self.tenants.len()
+    }
+
+    /// Endpoints that the policy lists, and those of them that it avoids.
+    pub fn endpoint_counts(&self, now: Time) -> EndpointCounts {
+        self.policy.endpoint_counts(now)
+    }
+}
+
+/// The policy's settings for a gateway.
+pub fn policy_settings(configuration: &Configuration, index: u32, zone: u32) -> Settings {
+    let mut settings = Settings::default();
+    settings.gateway_index = index;
+    settings.gateway_count = configuration.gateways.count;
+    settings.zone = zone;
+    settings.classes = configuration.classes.iter().map(policy_class).collect();
+    settings.plans = configuration.plans.iter().map(policy_plan).collect();
+    settings.has_counter = configuration.counter.is_some();
+    settings.counter_timeout = configuration.policy.counter_timeout;
+    settings.max_units = f64::from(configuration.tenants.max_units);
+    settings.cancellation_enabled = configuration.policy.cancellation_enabled;
+    settings.hedging_enabled = configuration.policy.hedging_enabled;
+    settings.max_attempts = configuration.policy.max_attempts;
+    settings.max_retry_after = configuration.policy.max_retry_after;
+    settings.discovery_is_polled = configuration.discovery.mode == DiscoveryMode::Poll;
+    settings.slow_start_initial_share = configuration.endpoints.slow_start_initial_share;
+    settings.slow_start_window = configuration.endpoints.slow_start_window;
+    settings.overload_multiple = configuration.endpoints.overload_multiple;
+    settings.overload_window = configuration.endpoints.overload_window;
+    settings
+}
+
+fn policy_class(figures: &configuration::Class) -> Class {
+    let mut class = Class::default();
+    class.latency_objective = figures.latency_objective;
+    class.late_weight_share = figures.late_weight_share;
+    class.effect = match figures.repeat_effect {
+        RepeatEffect::Idempotent => Effect::Idempotent,
+        RepeatEffect::IdempotencyKey => {
+            Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: figures.idempotency_window }
+        }
+        RepeatEffect::AtMostOnce => Effect::AtMostOnce,
+    };
+    class
+}
+
+fn policy_plan(figures: &configuration::Plan) -> Plan {
+    let mut plan = Plan::default();
+    plan.rate = figures.rate;
+    plan.burst = figures.burst;
+    plan.max_concurrent_attempts = figures.max_concurrent_attempts;
+    plan.priority_weight = figures.priority_weight;
+    plan.over_quota_weight_share = figures.over_quota_weight_share;
+    plan.over_quota_cost_share = figures.over_quota_cost_share;
+    plan.ceiling_rate = figures.ceiling_rate;
+    plan.ceiling_burst = figures.ceiling_burst;
+    plan
+}
+
+/// One incarnation of a gateway, to which an event is addressed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct GatewayAddress {
+    /// Index of the gateway.
+    pub gateway: usize,
+    /// Number of the incarnation.
+    pub incarnation: u32,
+}
--- /dev/null
+++ b/lab/src/fleet/incident_plan.rs
@@ -0,0 +1,157 @@
+//! The schedule of faults: turns those of a configuration into single incidents, each with its time.
+
+use super::configuration::{Configuration, Fault, Range};
+use super::event_queue::RUN_START;
+use super::randomness::{sample, uniform};
+use oliverack::{Seconds, Time};
+use rand::Rng;
+use rand_chacha::ChaCha8Rng;
+
+/// The begin or the end of a fault at one part of the fleet.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Incident {
+    /// A gateway stops, and starts again after its restart time.
+    RestartGateway(usize),
+    /// The gateways of a zone stop, and its endpoints become unreachable.
+    LoseZone(u32),
+    /// The gateways and endpoints of a lost zone start again.
+    RestoreZone(u32),
+    /// A zone is cut off from the counter, or connected again.
+    SetCounterCut {
+        /// The zone.
+        zone: u32,
+        /// True if it is cut off from now on.
+        is_cut: bool,
+    },
+    /// The time that the counter takes for a call is multiplied by this factor.
+    SlowCounter(f64),
+    /// The counter stops to respond (true), or responds again (false).
+    SilenceCounter(bool),
+    /// The counter loses this share of its entries.
+    LoseCounterEntries(f64),
+    /// An endpoint crashes.
+    CrashEndpoint(usize),
+    /// A crashed endpoint starts again.
+    StartEndpoint(usize),
+    /// An endpoint hangs.
+    HangEndpoint(usize),
+    /// A hung endpoint serves again.
+    ResumeEndpoint(usize),
+    /// An endpoint starts to drain.
+    DrainEndpoint(usize),
+    /// A draining endpoint shuts down.
+    RemoveEndpoint(usize),
+    /// An endpoint is added.
+    AddEndpoint,
+}
+
+/// An incident and its time.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct PlannedIncident {
+    /// When it happens.
+    pub at: Time,
+    /// What happens.
+    pub incident: Incident,
+}
+
+/// The incidents planned so far.
+#[derive(Debug, Default)]
+struct IncidentPlan {
+    incidents: Vec<PlannedIncident>,
+}
+
+impl IncidentPlan {
+    /// Plans an incident so long after the start of the run.
+    fn add(&mut self, after: Seconds, incident: Incident) {
+        self.incidents.push(PlannedIncident { at: RUN_START + after, incident });
+    }
+
+    /// Plans the begin and the end of a fault.
+    fn add_span(&mut self, at: Seconds, begin: Incident, until: Seconds, end: Incident) {
+        self.add(at, begin);
+        self.add(until, end);
+    }
+
+    /// Plans that an endpoint is replaced by another.
+    fn add_replacement(&mut self, at: Seconds, endpoint: usize) {
+        let until = at + REPLACEMENT_DRAIN;
+        self.add_drain(at, until, endpoint);
+        self.add(until, Incident::AddEndpoint);
+    }
+
+    /// Plans that an endpoint drains, and then shuts down.
+    fn add_drain(&mut self, at: Seconds, until: Seconds, endpoint: usize) {
+        self.add_span(at, Incident::DrainEndpoint(endpoint), until, Incident::RemoveEndpoint(endpoint));
+    }
+
+    /// Plans all incidents of a fault.
+    fn add_fault(&mut self, configuration: &Configuration, fault: &Fault, generator: &mut ChaCha8Rng) {
+        let endpoints = configuration.endpoints.count as usize;
+        let gateways = configuration.gateways.count as usize;
+        match *fault {
+            Fault::RestartAtOnce { at, share } => {
+                for gateway in sample(generator, gateways, share) {
+                    self.add(at, Incident::RestartGateway(gateway));
+                }
+            }
+            Fault::RestartOneByOne { from, until, count } => {
+                for _ in 0..count {
+                    let gateway = generator.random_range(0..gateways);
+                    let at = uniform(generator, Range { min: from, max: until });
+                    self.add(at, Incident::RestartGateway(gateway));
+                }
+            }
+            Fault::LoseZone { at, until, zone } => {
+                self.add_span(at, Incident::LoseZone(zone), until, Incident::RestoreZone(zone));
+            }
+            Fault::CutCounter { at, until, zone } => {
+                let begin = Incident::SetCounterCut { zone, is_cut: true };
+                let end = Incident::SetCounterCut { zone, is_cut: false };
+                self.add_span(at, begin, until, end);
+            }
+            Fault::SlowCounter { at, until, factor } => {
+                self.add_span(at, Incident::SlowCounter(factor), until, Incident::SlowCounter(1.0));
+            }
+            Fault::SilenceCounter { at, until } => {
+                self.add_span(at, Incident::SilenceCounter(true), until, Incident::SilenceCounter(false));
+            }
+            Fault::LoseCounterEntries { at, share } => self.add(at, Incident::LoseCounterEntries(share)),
+            Fault::CrashEndpoints { at, until, share } => {
+                for endpoint in sample(generator, endpoints, share) {
+                    let (crash, start) =
+                        (Incident::CrashEndpoint(endpoint), Incident::StartEndpoint(endpoint));
+                    self.add_span(at, crash, until, start);
+                }
+            }
+            Fault::HangEndpoints { at, until, share } => {
+                for endpoint in sample(generator, endpoints, share) {
+                    let (hang, resume) =
+                        (Incident::HangEndpoint(endpoint), Incident::ResumeEndpoint(endpoint));
+                    self.add_span(at, hang, until, resume);
+                }
+            }
+            Fault::DrainEndpoints { at, until, share } => {
+                for endpoint in sample(generator, endpoints, share) {
+                    self.add_drain(at, until, endpoint);
+                }
+            }
+            Fault::ReplaceEndpoints { from, until, count } => {
+                for endpoint in sample(generator, endpoints, f64::from(count) / endpoints as f64) {
+                    self.add_replacement(uniform(generator, Range { min: from, max: until }), endpoint);
+                }
+            }
+        }
+    }
+}
+
+/// How long an endpoint drains before it is replaced.
+const REPLACEMENT_DRAIN: Seconds = 2.0;
+
+/// All incidents of a run, in the order of the file.
+pub fn plan(configuration: &Configuration, generator: &mut ChaCha8Rng) -> Vec<PlannedIncident> {
+    let mut plan = IncidentPlan::default();
+    for fault in &configuration.faults {
+        plan.add_fault(configuration, fault, generator);
+    }
+    plan.incidents
+}
--- a/src/node/connection/clients/memory.rs
+++ b/src/node/connection/clients/memory.rs
@@ -1,6 +1,6 @@
 //! The memory that bodies and streams may hold, reserved by permits.
 
-use crate::node::{processes::Processes, wire::limits::MAX_BUFFERED_BODY_BYTES};
+use crate::node::{hot_restart::replica_counts::Processes, wire::limits::MAX_BUFFERED_BODY_BYTES};
 use std::{cell::Cell, rc::Rc};
 
 /// Most bytes that are buffered for one request while memory is ample. A slow client takes seconds to send them, and
--- a/src/node/connection/mod.rs
+++ b/src/node/connection/mod.rs
@@ -1,9 +1,8 @@
-//! Connections to clients, endpoints, the counter, discovery, operators and sibling processes. They report through small
-//! traits and know nothing about their users.
+//! Connections to clients, endpoints, the counter, discovery and operators. They report through small traits and know
+//! nothing about their users.
 
 pub mod clients;
-pub mod counter_client;
-pub mod counter_line;
+pub mod counter;
 pub mod discovery;
 pub mod endpoint_attempt;
 pub mod endpoint_pool;
@@ -12,6 +11,5 @@
 pub mod idle_limit;
 pub mod operators;
 pub mod response_body;
-pub mod siblings;
 pub mod socket_input;
 pub mod write_progress;
--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -3,7 +3,7 @@
 //! Nothing here waits for clients, endpoints or the counter. Connections have descriptors set aside for them; a caller
 //! that holds one without a complete request gives way to others.
 
-use crate::node::{config::Config, maintenance_file::MaintenanceFileError};
+use crate::node::{config::Config, hot_restart::maintenance_file::MaintenanceFileError};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{
