--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,14 +1,14 @@
 //! The command line, on the built program.
 
 mod fakes;
-use fakes::*;
+use fakes::{EndpointBehaviour, FakeEndpoint, LaunchOptions, NodeBuilder, spawn_program};
 use serde_json::{Value, json};
 use std::{
     path::PathBuf,
     process::{Command, Output},
 };
 
-/// A configuration in a file of its own, removed with this.
+/// A configuration file, removed when it is dropped.
 struct File(PathBuf);
 
 impl File {
@@ -39,11 +39,11 @@
     (output.status.success(), text(output.stdout), text(output.stderr))
 }
 
-/// A configuration that can be used; no process is started on it.
+/// A valid configuration; no process is started with it.
 fn usable() -> Value {
-    let worker = Worker::start(Does::Holds);
-    let (setup, _discovery) = Setup::new(&[&worker]);
-    setup.config()
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
+    let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    builder.config()
 }
 
 fn with(pointer: &str, value: Value) -> String {
@@ -55,25 +55,25 @@
 #[test]
 fn check_of_valid_configuration_succeeds_and_lists_only_unknown_keys() {
     let mut config = usable();
-    // The protocol has these; the gateway has no use for them.
+    // Keys of the protocol that the gateway doesn't use.
     config["settings"]["Prices"] = json!({"Waste": 0.08});
     config["settings"]["Classes"][0]["Worth"] = json!(2.0);
     config["limits"]["cores"] = json!(1.0);
     let file = File::new("usable", &config.to_string());
-    let (passes, said, errors) = check(&file);
-    assert!(passes && errors.is_empty(), "{errors}");
-    assert_eq!(said, format!("{}: usable\n", file.0.display()));
-    // Two that are spelled wrong.
+    let (succeeded, stdout, stderr) = check(&file);
+    assert!(succeeded && stderr.is_empty(), "{stderr}");
+    assert_eq!(stdout, format!("{}: usable\n", file.0.display()));
+    // Two misspelled keys.
     config["settings"]["Limits"]["ConIdle"] = json!(3);
     config["settings"]["Classes"][1]["slo"] = json!(3);
     let file = File::new("unknown", &config.to_string());
-    let (passes, said, _) = check(&file);
+    let (succeeded, stdout, _) = check(&file);
     let name = file.0.display();
-    let wanted = format!(
+    let expected = format!(
         "{name}: unknown key settings.Classes[].slo\n{name}: unknown key settings.Limits.ConIdle\n{name}: usable\n"
     );
-    assert!(passes);
-    assert_eq!(said, wanted);
+    assert!(succeeded);
+    assert_eq!(stdout, expected);
 }
 
 #[test]
@@ -98,13 +98,13 @@
         ("malformed", usable().to_string() + "}"),
     ];
     for (path, text) in bad {
-        let (passes, said, errors) = check(&File::new("bad", &text));
-        assert!(!passes && said.is_empty(), "{path}: {said}");
-        assert!(errors.lines().count() == 1 && errors.starts_with("oliverack: "), "{path}: {errors}");
-        assert!(errors.contains(path), "{path}: {errors}");
+        let (succeeded, stdout, stderr) = check(&File::new("bad", &text));
+        assert!(!succeeded && stdout.is_empty(), "{path}: {stdout}");
+        assert!(stderr.lines().count() == 1 && stderr.starts_with("oliverack: "), "{path}: {stderr}");
+        assert!(stderr.contains(path), "{path}: {stderr}");
     }
-    let (passes, _, errors) = check(&File(std::env::temp_dir().join("oliverack-check-no-such-file")));
-    assert!(!passes && errors.lines().count() == 1, "{errors}");
+    let (succeeded, _, stderr) = check(&File(std::env::temp_dir().join("oliverack-check-no-such-file")));
+    assert!(!succeeded && stderr.lines().count() == 1, "{stderr}");
 }
 
 #[test]
@@ -131,7 +131,9 @@
                 covers(known, value, &format!("{path}.{key}"), root);
             }),
             Value::Array(items) => {
-                items.iter().for_each(|item| covers(&schema["items"], item, &format!("{path}[]"), root));
+                for item in items {
+                    covers(&schema["items"], item, &format!("{path}[]"), root);
+                }
             }
             _ => {}
         }
@@ -144,28 +146,30 @@
     let help = program(&["--help"]);
     let text = String::from_utf8(help.stdout).expect("text");
     assert!(help.status.success());
-    ["check", "schema", "NODE_CONFIG", "OLIVERACK_LOG"].iter().for_each(|word| assert!(text.contains(word)));
+    for word in ["check", "schema", "NODE_CONFIG", "OLIVERACK_LOG"] {
+        assert!(text.contains(word));
+    }
     let version = program(&["--version"]);
     assert!(version.status.success());
     assert_eq!(version.stdout, format!("oliverack {}\n", env!("CARGO_PKG_VERSION")).as_bytes());
     assert!(!program(&["chek"]).status.success());
-    let errors = String::from_utf8(program(&[]).stderr).expect("text");
-    assert_eq!(errors, "oliverack: NODE_CONFIG names no file\n");
+    let stderr = String::from_utf8(program(&[]).stderr).expect("text");
+    assert_eq!(stderr, "oliverack: NODE_CONFIG names no file\n");
 }
 
 #[test]
 fn invalid_configuration_prints_one_line_and_fails() {
-    let worker = Worker::start(Does::Holds);
-    let (setup, _discovery) = Setup::new(&[&worker]);
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
+    let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let broken = |key: &str, value: serde_json::Value| {
-        let mut config = setup.config();
+        let mut config = builder.config();
         *config.pointer_mut(key).expect("a key") = value;
         config.to_string()
     };
     let bad = [
         "{".to_owned(),
         broken("/listen", json!("nowhere")),
-        broken("/listen", json!(worker.addr.to_string())),
+        broken("/listen", json!(endpoint.addr.to_string())),
         broken("/seed", json!("xyz")),
         broken("/limits/sockets", json!(3)),
         broken("/settings/PeersTotal", json!(0)),
@@ -174,11 +178,11 @@
         broken("/settings/Domain/CountLimit", json!(-1)),
     ];
     for config in bad {
-        let (child, path) = run(&config);
+        let (child, path) = spawn_program(&config, &LaunchOptions::default());
         let output = child.wait_with_output().expect("it ends");
         let _ = std::fs::remove_file(path);
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert!(!output.status.success() && said.lines().count() == 1, "{config}: {said}");
-        assert!(said.starts_with("oliverack: ") && !said.contains("panicked"), "{said}");
+        let stderr = String::from_utf8(output.stderr).expect("text");
+        assert!(!output.status.success() && stderr.lines().count() == 1, "{config}: {stderr}");
+        assert!(stderr.starts_with("oliverack: ") && !stderr.contains("panicked"), "{stderr}");
     }
 }
--- a/tests/counter_connection.rs
+++ b/tests/counter_connection.rs
@@ -1,95 +1,103 @@
 //! Connections of the built program to the counter: shared quotas, failures, keep-alive.
 
 mod fakes;
-use fakes::*;
+use fakes::{
+    CounterBehaviour, EndpointBehaviour, FakeCounter, FakeEndpoint, NodeBuilder, TestRequest, WAIT_LIMIT,
+};
 use serde_json::json;
 
 #[test]
 fn two_gateways_share_one_quota_and_reject_with_retry_after() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let counter = Counter::start(Counts::Well);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
-    setup.counter = Some(counter.addr);
-    let one = setup.start();
-    setup.settings["Me"] = json!(1);
-    let two = setup.start();
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let counter = FakeCounter::start(CounterBehaviour::Normal);
+    let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    builder.counter(counter.addr);
+    let one = builder.start();
+    builder.settings["Me"] = json!(1);
+    let two = builder.start();
     let mut served = 0;
     for i in 0..20 {
         for node in [&one, &two] {
-            let answer = node.ask(&Ask::new(&format!("t{i}")).with("X-Plan", "pieni"));
-            match answer.status() {
+            let response = node.send_request(&TestRequest::new(&format!("t{i}")).header("X-Plan", "pieni"));
+            match response.status() {
                 200 => served += 1,
-                429 => assert!(answer.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0)),
+                429 => assert!(response.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0)),
                 other => panic!("answered {other}"),
             }
         }
     }
-    // A burst of eight, and at most a share of four that the count hears of late; kept apart, as with clocks
-    // or names that differ, they would serve sixteen.
+    // A burst of eight, and at most a share of four that is reported to the counter late. With counts kept
+    // apart, as by different clocks or names, the gateways would serve sixteen.
     assert!((6..=12).contains(&served), "{served} served of a burst of 8");
     assert!(counter.total() >= 5.0, "the count knows: {}", counter.total());
 }
 
 #[test]
 fn silent_busy_or_invalid_counter_falls_back_to_even_share() {
-    for how in [Counts::Never, Counts::Busy, Counts::Garbage] {
-        let worker = Worker::start(Does::Serves("ok"));
-        let counter = Counter::start(how);
-        let (mut setup, _discovery) = Setup::new(&[&worker]);
-        setup.counter = Some(counter.addr);
-        let node = setup.start();
-        let mut client = node.client();
-        let ask = |i: usize| Ask::new(&format!("c{i}")).with("X-Plan", "pieni");
-        let served = (0..12).filter(|i| client.ask(&ask(*i)).status() == 200).count();
-        counter.call();
+    for behaviour in [CounterBehaviour::Silent, CounterBehaviour::Busy, CounterBehaviour::Invalid] {
+        let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+        let counter = FakeCounter::start(behaviour);
+        let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+        builder.counter(counter.addr);
+        let node = builder.start();
+        let mut client = node.connect();
+        let request = |i: usize| TestRequest::new(&format!("c{i}")).header("X-Plan", "pieni");
+        let served = (0..12).filter(|i| client.send_request(&request(*i)).status() == 200).count();
+        counter.next_call();
         assert!((3..=5).contains(&served), "{served} served; half of a burst of 8");
     }
 }
 
 #[test]
 fn late_counter_reply_is_not_matched_to_another_call() {
-    let worker = Worker::start(Does::Serves("ok"));
-    // The first customer's count stands far beyond its quota; the second's is new.
-    let counter = Counter::with(Counts::FirstWaitsForSecond, 1000.0);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
-    setup.counter = Some(counter.addr);
-    // However late the second call comes on a busy machine, the first one is still waited for.
-    setup.settings["Domain"]["CountLimit"] = json!(5.0);
-    let node = setup.start();
-    let ask =
-        |n: usize, txn: &str| Ask::new(txn).with("X-Plan", "pieni").with("X-Customer", &format!("{n:016x}"));
-    assert_eq!(node.ask(&ask(1, "a")).status(), 200, "unseen: the share serves while the count is asked");
-    counter.call();
-    // Six of the second's eight are more than its share, so its count must have been read. One refused while
-    // an answer is still on its way asks again; with the first's total in hand it would ask for ever.
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    // The first customer's count is far beyond its quota; the second customer's is new.
+    let counter = FakeCounter::start_with_total(CounterBehaviour::FirstReplyAwaitsSecondCall, 1000.0);
+    let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    builder.counter(counter.addr);
+    // Long enough that the first call has not timed out when the second is made, even on a busy machine.
+    builder.settings["Domain"]["CountLimit"] = json!(5.0);
+    let node = builder.start();
+    let request = |n: usize, txn: &str| {
+        TestRequest::new(txn).header("X-Plan", "pieni").header("X-Customer", &format!("{n:016x}"))
+    };
+    assert_eq!(
+        node.send_request(&request(1, "a")).status(),
+        200,
+        "unseen: the share serves while the count is asked"
+    );
+    counter.next_call();
+    // Six of the second customer's eight units exceed the even share, so its count must have been read. A request
+    // rejected while the reply is pending is repeated; with the first customer's total it would always be rejected.
     for i in 0..6 {
         let start = std::time::Instant::now();
-        while node.ask(&ask(2, &format!("b{i}"))).status() != 200 {
-            assert!(start.elapsed() < LIMIT, "refused by another's count");
+        while node.send_request(&request(2, &format!("b{i}"))).status() != 200 {
+            assert!(start.elapsed() < WAIT_LIMIT, "refused by another's count");
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     }
-    assert_eq!(node.ask(&ask(1, "c")).status(), 429, "the first has had its own late answer");
+    assert_eq!(node.send_request(&request(1, "c")).status(), 429, "the first has had its own late answer");
 }
 
 #[test]
 fn stuck_counter_connection_does_not_block_other_calls() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let counter = Counter::start(Counts::FirstIsStuck);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
-    setup.counter = Some(counter.addr);
-    let node = setup.start();
-    let mut client = node.client();
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let counter = FakeCounter::start(CounterBehaviour::FirstConnectionSilent);
+    let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    builder.counter(counter.addr);
+    let node = builder.start();
+    let mut client = node.connect();
     let (mut served, mut connections) = (0, std::collections::BTreeSet::new());
     for i in 0..200 {
         let customer = format!("{i:016x}");
-        let ask = Ask::new(&format!("k{i}")).with("X-Plan", "pieni").with("X-Customer", &customer);
-        served += usize::from(client.ask(&ask).status() == 200);
+        let request =
+            TestRequest::new(&format!("k{i}")).header("X-Plan", "pieni").header("X-Customer", &customer);
+        served += usize::from(client.send_request(&request).status() == 200);
         connections.extend(counter.calls.try_iter().filter(|c| c.1 != "ping").map(|c| c.0));
         if connections.len() > 1 {
             break;
         }
-        // Until a call on the first has waited for its 50 ms.
+        // Until a call on the first connection has timed out after 50 ms.
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     assert!(served > 0 && connections.len() > 1, "{served} served, calls on {connections:?}");
@@ -97,15 +105,15 @@
 
 #[test]
 fn silent_counter_connections_are_replaced() {
-    let counter = Counter::start(Counts::AllAreStuck);
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
-    setup.counter = Some(counter.addr);
-    let _node = setup.start();
+    let counter = FakeCounter::start(CounterBehaviour::InitialConnectionsSilent);
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    builder.counter(counter.addr);
+    let _node = builder.start();
     let mut pings = [0; 4];
-    // Each line says a ping at first, and the next two seconds later: by then a silent one is long given up.
+    // Each connection sends a ping at first and the next after two seconds; a silent one is replaced before that.
     loop {
-        let (connection, call) = counter.calls.recv_timeout(LIMIT).expect("a ping");
+        let (connection, call) = counter.calls.recv_timeout(WAIT_LIMIT).expect("a ping");
         if connection >= 4 {
             break;
         }
@@ -116,14 +124,14 @@
 
 #[test]
 fn idle_counter_connections_are_kept_alive_by_pings() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let counter = Counter::start(Counts::Well);
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
-    setup.counter = Some(counter.addr);
-    let _node = setup.start();
-    // Two lines are up from the start.
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let counter = FakeCounter::start(CounterBehaviour::Normal);
+    let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    builder.counter(counter.addr);
+    let _node = builder.start();
+    // Two connections are open from the start.
     for _ in 0..6 {
-        let (connection, line) = counter.calls.recv_timeout(LIMIT).expect("a ping");
+        let (connection, line) = counter.calls.recv_timeout(WAIT_LIMIT).expect("a ping");
         assert!(connection < 2 && line == "ping", "{connection} {line}");
     }
 }
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -1,7 +1,10 @@
-//! A call to discovery that fails at each of its stages: what becomes of it, and when the next one asks.
+//! Calls to discovery that fail at each of their stages: how soon the next call is made.
 
 mod fakes;
-use fakes::*;
+use fakes::{
+    EndpointBehaviour, FakeEndpoint, NodeBuilder, ReservedPort, SaturatedListener, read_message,
+    wait_for_pending_connections,
+};
 use serde_json::json;
 use std::{
     io::{BufReader, Write},
@@ -10,12 +13,12 @@
     time::{Duration, Instant},
 };
 
-/// Whatever became of a call, a change counts as told so long after discovery had it.
-const TOLD: Duration = Duration::from_secs(6);
-/// The next call's connection may come up so late.
-const LATE: Duration = Duration::from_millis(1500);
+/// Time after which a gateway counts as notified of a change, even if a call has failed.
+const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
+/// Allowance for a slow connection of the next call.
+const CONNECT_DELAY_ALLOWANCE: Duration = Duration::from_millis(1500);
 
-/// Where a call fails.
+/// The stage at which a call fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
     Connecting,
@@ -26,63 +29,63 @@
     Status,
 }
 
-const STAGES: [Stage; 6] =
+const ALL_STAGES: [Stage; 6] =
     [Stage::Connecting, Stage::Refused, Stage::Head, Stage::Body, Stage::Reset, Stage::Status];
 
-fn answer(body: &str) -> String {
+fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// The next connection that brings a call, and the call's first line.
-fn call(listener: &TcpListener) -> (TcpStream, String) {
+/// Accepts the next connection; returns it with the first line of its call.
+fn accept_call(listener: &TcpListener) -> (TcpStream, String) {
     let (socket, _) = listener.accept().expect("a connection");
     let message = read_message(&mut BufReader::new(&socket)).expect("a call");
     (socket, message.line)
 }
 
-/// How long after a change that discovery had the next call asks, where the watch that should bring it fails at
-/// `stage`; the gateway is one of so many.
-fn asked_again(mode: &str, gateways: u32, stage: Stage) -> Duration {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _unused) = Setup::new(&[&worker]);
-    setup.settings["Discovery"] = json!(mode);
-    setup.settings["PeersTotal"] = json!(gateways);
+/// Time from a change at discovery to the next call of one of `gateways`, if the watch that would deliver the change
+/// fails at `stage`.
+fn time_until_next_call(mode: &str, gateways: u32, stage: Stage) -> Duration {
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (mut builder, _unused) = NodeBuilder::new(&[&endpoint]);
+    builder.settings["Discovery"] = json!(mode);
+    builder.settings["PeersTotal"] = json!(gateways);
     if stage == Stage::Refused {
-        let down = Down::new();
-        setup.discovery = down.addr;
-        let node = setup.start();
-        node.says("discovery failed reason=no connection");
+        let closed_port = ReservedPort::new();
+        builder.discovery(closed_port.addr);
+        let node = builder.start();
+        node.wait_for_log("discovery failed reason=no connection");
         let reached = Instant::now();
-        call(&down.listen());
+        accept_call(&closed_port.listen());
         return reached.elapsed();
     }
-    let late = Late::start();
-    setup.discovery = late.addr;
-    let (addr, listener) = (late.addr, late.listen());
-    let _node = setup.start();
-    let (mut socket, _) = call(&listener);
-    let body = json!({"version": 7, "full": true, "servers": setup.known}).to_string();
-    socket.write_all(answer(&body).as_bytes()).expect("it reads");
+    let saturated = SaturatedListener::start();
+    builder.discovery(saturated.addr);
+    let (addr, listener) = (saturated.addr, saturated.into_listener());
+    let _node = builder.start();
+    let (mut socket, _) = accept_call(&listener);
+    let body = json!({"version": 7, "full": true, "servers": builder.known_endpoints}).to_string();
+    socket.write_all(ok_response(&body).as_bytes()).expect("it reads");
     let watch = read_message(&mut BufReader::new(&socket)).expect("a watch on the same connection");
     assert!(watch.line.contains("from=7&hold_ms="), "{}", watch.line);
-    // From here on discovery has the change.
-    let had = Instant::now();
+    // Discovery has the change from this moment on.
+    let changed_at = Instant::now();
     match stage {
         Stage::Connecting => {
-            // The queue of one is taken again, so that the next connection does not come up.
+            // The backlog of one is full again, so that the next connection stays pending.
             let taken = TcpStream::connect(addr).expect("the one that fits");
             drop(socket);
-            wait_until_waiting(addr, 1);
-            wait_until_waiting(addr, 0);
+            wait_for_pending_connections(addr, 1);
+            wait_for_pending_connections(addr, 0);
             drop(taken);
             listener.accept().expect("the one that fitted");
         }
-        Stage::Refused | Stage::Head => drop(thread::spawn(move || held(socket))),
+        Stage::Refused | Stage::Head => drop(thread::spawn(move || hold_until_closed(socket))),
         Stage::Body => {
             let (half, _) = body.split_at(body.len() / 2);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{half}", body.len());
             socket.write_all(head.as_bytes()).expect("it reads");
-            thread::spawn(move || held(socket));
+            thread::spawn(move || hold_until_closed(socket));
         }
         Stage::Reset => drop(socket),
         Stage::Status => {
@@ -90,22 +93,22 @@
             socket.write_all(full).expect("it reads");
         }
     }
-    call(&listener);
-    had.elapsed()
+    accept_call(&listener);
+    changed_at.elapsed()
 }
 
-/// Keeps a connection open until the other side ends it.
-fn held(socket: TcpStream) {
+/// Keeps a connection open until the other side closes it.
+fn hold_until_closed(socket: TcpStream) {
     while read_message(&mut BufReader::new(&socket)).is_some() {}
 }
 
-fn at_each_stage(mode: &str, gateways: u32) {
+fn assert_next_call_in_time(mode: &str, gateways: u32) {
     thread::scope(|scope| {
-        let begin = |stage| (stage, scope.spawn(move || asked_again(mode, gateways, stage)));
-        for (stage, thread) in STAGES.map(begin) {
+        let begin = |stage| (stage, scope.spawn(move || time_until_next_call(mode, gateways, stage)));
+        for (stage, thread) in ALL_STAGES.map(begin) {
             let after = thread.join().expect("no panic inside");
             assert!(
-                after + LATE < TOLD,
+                after + CONNECT_DELAY_ALLOWANCE < NOTIFICATION_LIMIT,
                 "{mode}, {gateways} gateways, {stage:?}: asked again after {after:?}"
             );
         }
@@ -114,11 +117,11 @@
 
 #[test]
 fn failed_watch_in_push_mode_is_retried_in_time_at_every_stage() {
-    at_each_stage("push", 2);
+    assert_next_call_in_time("push", 2);
 }
 
 #[test]
 fn failed_watch_in_poll_mode_is_retried_in_time_at_every_stage() {
-    at_each_stage("ask", 2);
-    at_each_stage("ask", 350);
+    assert_next_call_in_time("ask", 2);
+    assert_next_call_in_time("ask", 350);
 }
--- a/tests/endpoint_pool.rs
+++ b/tests/endpoint_pool.rs
@@ -1,85 +1,88 @@
 //! Pooled connections of the built program to endpoints: reuse, idle limits, replacement.
 
 mod fakes;
-use fakes::*;
+use fakes::{
+    EndpointBehaviour, EndpointEvent, FakeEndpoint, Gate, NodeBuilder, TestRequest, endpoint_entry,
+    wait_until_connection_is_reusable,
+};
 use serde_json::json;
 use std::sync::Arc;
 
 #[test]
 fn dead_pooled_connection_is_replaced_without_error() {
-    let worker = Worker::start(Does::ServesAndEnds);
-    let (setup, _discovery) = Setup::new(&[&worker]);
-    let node = setup.start();
-    let mut client = node.client();
-    // Unsafe, so that an attempt on the dead connection would show as a failure.
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::RespondThenShutDown);
+    let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    let node = builder.start();
+    let mut client = node.connect();
+    // At-most-once requests, so that an attempt on the dead connection would be visible as a failure.
     for i in 0..4 {
-        assert_eq!(client.ask(&Ask::submit(&format!("d{i}"))).status(), 200);
-        worker.wait_for(|seen| matches!(seen, Seen::Ending));
-        rested();
+        assert_eq!(client.send_request(&TestRequest::submit(&format!("d{i}"))).status(), 200);
+        endpoint.wait_for(|event| matches!(event, EndpointEvent::WriteFinished));
+        wait_until_connection_is_reusable();
     }
 }
 
 #[test]
 fn connection_idle_as_long_as_one_that_was_reset_is_not_reused() {
-    let worker = Worker::start(Does::ServesOnce);
-    let (setup, _discovery) = Setup::new(&[&worker]);
-    let node = setup.start();
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::RespondOnce);
+    let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    let node = builder.start();
     let idle = || std::thread::sleep(std::time::Duration::from_millis(150));
-    let ask = |txn: &str| node.ask(&Ask::submit(txn)).status();
-    assert_eq!(ask("a"), 200);
+    let send = |txn: &str| node.send_request(&TestRequest::submit(txn)).status();
+    assert_eq!(send("a"), 200);
     idle();
-    assert_eq!(ask("b"), 502, "it may have run");
+    assert_eq!(send("b"), 502, "it may have run");
     for txn in ["c", "d", "e"] {
-        assert_eq!(ask(txn), 200, "a new connection, as the last one idled");
+        assert_eq!(send(txn), 200, "a new connection, as the last one idled");
         idle();
     }
 }
 
 #[test]
 fn idle_connection_is_closed_before_endpoint_idle_limit() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _discovery) = Setup::new(&[&worker]);
-    setup.settings["Limits"]["ConnIdle"] = json!(2.0);
-    let node = setup.start();
-    let mut client = node.client();
-    assert_eq!(client.ask(&Ask::submit("i")).status(), 200);
-    worker.wait_for(|seen| matches!(seen, Seen::Ended(0)));
-    assert_eq!(client.ask(&Ask::submit("j")).status(), 200, "the next has a new one");
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    builder.settings["Limits"]["ConnIdle"] = json!(2.0);
+    let node = builder.start();
+    let mut client = node.connect();
+    assert_eq!(client.send_request(&TestRequest::submit("i")).status(), 200);
+    endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(0)));
+    assert_eq!(client.send_request(&TestRequest::submit("j")).status(), 200, "the next has a new one");
 }
 
 #[test]
 fn unsolicited_bytes_on_idle_connection_do_not_answer_next_request() {
     let gate = Arc::new(Gate::default());
     let more = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-    let worker = Worker::start(Does::ServesAndSays(gate.clone(), more));
-    let (setup, _discovery) = Setup::new(&[&worker]);
-    let node = setup.start();
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::RespondThenWriteRaw(gate.clone(), more));
+    let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    let node = builder.start();
     for i in 0..4 {
-        assert_eq!(node.ask(&Ask::submit(&format!("l{i}"))).body, b"asked");
+        assert_eq!(node.send_request(&TestRequest::submit(&format!("l{i}"))).body, b"asked");
         gate.open();
-        worker.wait_for(|seen| matches!(seen, Seen::Ending));
-        rested();
+        endpoint.wait_for(|event| matches!(event, EndpointEvent::WriteFinished));
+        wait_until_connection_is_reusable();
     }
 }
 
 #[test]
 fn endpoint_reusing_address_of_deleted_one_gets_new_connections() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, discovery) = Setup::new(&[&worker]);
-    let node = setup.start();
-    assert_eq!(node.ask(&Ask::new("a")).status(), 200);
-    let (first, _) = worker.request();
-    rested();
-    discovery.change(entry("w0", worker.addr, "DELETED"));
-    discovery.told(discovery.change(entry("w1", worker.addr, "SERVING")));
-    assert_eq!(node.ask(&Ask::new("b")).status(), 200);
-    let (second, _) = worker.request();
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (builder, discovery) = NodeBuilder::new(&[&endpoint]);
+    let node = builder.start();
+    assert_eq!(node.send_request(&TestRequest::new("a")).status(), 200);
+    let (first, _) = endpoint.next_request();
+    wait_until_connection_is_reusable();
+    discovery.update_entry(endpoint_entry("w0", endpoint.addr, "DELETED"));
+    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w1", endpoint.addr, "SERVING")));
+    assert_eq!(node.send_request(&TestRequest::new("b")).status(), 200);
+    let (second, _) = endpoint.next_request();
     assert_ne!(first, second);
-    rested();
-    // So does the same one, started anew.
-    let mut anew = entry("w1", worker.addr, "SERVING");
-    anew["started_ms"] = json!(1000);
-    discovery.told(discovery.change(anew));
-    assert_eq!(node.ask(&Ask::new("c")).status(), 200);
-    assert_ne!(worker.request().0, second);
+    wait_until_connection_is_reusable();
+    // The same holds for the same endpoint after a restart.
+    let mut restarted_entry = endpoint_entry("w1", endpoint.addr, "SERVING");
+    restarted_entry["started_ms"] = json!(1000);
+    discovery.wait_until_applied(discovery.update_entry(restarted_entry));
+    assert_eq!(node.send_request(&TestRequest::new("c")).status(), 200);
+    assert_ne!(endpoint.next_request().0, second);
 }
--- /dev/null
+++ b/tests/fakes/client.rs
@@ -0,0 +1,107 @@
+//! Clients of the gateway, and the requests that they send.
+
+use super::{Message, WAIT_LIMIT, message::read_message};
+use std::{
+    io::{BufReader, ErrorKind, Read, Write},
+    net::{SocketAddr, TcpStream},
+};
+
+/// Builder of a client's request; by default a plain valid one.
+#[derive(Clone)]
+pub struct TestRequest {
+    pub line: String,
+    pub headers: Vec<(&'static str, String)>,
+    pub body: Vec<u8>,
+}
+
+impl TestRequest {
+    /// A request of the idempotent class.
+    pub fn new(txn: &str) -> Self {
+        let headers = vec![
+            ("Host", "backend.local".to_owned()),
+            ("X-Txn", txn.to_owned()),
+            ("X-Lane", "check-answer".to_owned()),
+            ("X-Plan", "free".to_owned()),
+            ("X-Customer", "00000000b4d65521".to_owned()),
+            ("X-Remaining", "25.0".to_owned()),
+            ("X-Quota", "units=1,spread=2,first=0".to_owned()),
+        ];
+        Self { line: "GET /check-answer HTTP/1.1".into(), headers, body: Vec::new() }
+    }
+
+    /// A request of the at-most-once class.
+    pub fn submit(txn: &str) -> Self {
+        let mut request = Self::new(txn).header("X-Lane", "submit");
+        request.line = "POST /submit HTTP/1.1".into();
+        request.body = b"answer".to_vec();
+        request
+    }
+
+    /// Adds or replaces a header.
+    pub fn header(mut self, name: &'static str, value: &str) -> Self {
+        self.headers.retain(|(n, _)| *n != name);
+        self.headers.push((name, value.to_owned()));
+        self
+    }
+
+    /// Removes a header.
+    pub fn without_header(mut self, name: &str) -> Self {
+        self.headers.retain(|(n, _)| *n != name);
+        self
+    }
+
+    /// The request as it is sent.
+    pub fn to_bytes(&self) -> Vec<u8> {
+        let mut text = format!("{}\r\n", self.line);
+        for (name, value) in &self.headers {
+            text += &format!("{name}: {value}\r\n");
+        }
+        let is_framed =
+            self.headers.iter().any(|(name, _)| *name == "Transfer-Encoding" || *name == "Content-Length");
+        if !self.body.is_empty() && !is_framed {
+            text += &format!("Content-Length: {}\r\n", self.body.len());
+        }
+        let mut bytes = (text + "\r\n").into_bytes();
+        bytes.extend_from_slice(&self.body);
+        bytes
+    }
+}
+
+/// A client's connection to the gateway.
+pub struct Client {
+    pub reader: BufReader<TcpStream>,
+}
+
+impl Client {
+    pub fn connect(addr: SocketAddr) -> Self {
+        let socket = TcpStream::connect(addr).expect("it listens");
+        socket.set_read_timeout(Some(WAIT_LIMIT)).expect("a socket");
+        Self { reader: BufReader::new(socket) }
+    }
+
+    /// Sends a request and doesn't wait for the response.
+    pub fn send(&mut self, request: &TestRequest) {
+        // The gateway may respond and close before it has read all of what is too long.
+        let _ = self.reader.get_mut().write_all(&request.to_bytes());
+    }
+
+    /// The next response; `None` if the connection ends first.
+    pub fn read_response(&mut self) -> Option<Message> {
+        read_message(&mut self.reader)
+    }
+
+    /// Sends a request and returns its response.
+    pub fn send_request(&mut self, request: &TestRequest) -> Message {
+        self.send(request);
+        self.read_response().expect("a complete response")
+    }
+
+    /// All that arrives until the gateway closes the connection, which it must do.
+    pub fn read_until_closed(&mut self) -> String {
+        let mut received = Vec::new();
+        // A reset is a close too; what arrived before it counts.
+        let end = self.reader.read_to_end(&mut received);
+        assert!(end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset), "it stays open");
+        String::from_utf8_lossy(&received).into_owned()
+    }
+}
--- /dev/null
+++ b/tests/fakes/discovery.rs
@@ -0,0 +1,166 @@
+//! A fake discovery service with one endpoint list.
+
+use super::{
+    WAIT_LIMIT,
+    message::read_message,
+    ports::{accept_connections, listen},
+};
+use serde_json::{Value, json};
+use std::{
+    io::{BufReader, Read, Write},
+    net::{SocketAddr, TcpListener, TcpStream},
+    sync::{
+        Arc, Condvar, Mutex,
+        mpsc::{Receiver, Sender, channel},
+    },
+    time::Duration,
+};
+
+/// Longest time for which a watch is held, whatever was asked: a shorter wait is allowed.
+const MAX_WATCH_TIME: Duration = Duration::from_secs(1);
+
+/// The endpoint list, and how calls for it are answered.
+#[derive(Default)]
+struct ListState {
+    /// Counts the changes.
+    version: u64,
+    /// Entries with the version of their last change.
+    entries: Vec<(u64, Value)>,
+    is_invalid: bool,
+    is_silent: bool,
+    /// Number of calls that are still to be rejected.
+    calls_to_reject: usize,
+}
+
+/// The list, shared between the test and the connections that serve it.
+#[derive(Default)]
+struct SharedList {
+    state: Mutex<ListState>,
+    changed: Condvar,
+}
+
+/// A discovery service on a loopback socket.
+pub struct FakeDiscovery {
+    pub addr: SocketAddr,
+    /// The version that each call starts from; 0 for the complete list.
+    calls: Receiver<u64>,
+    call_sender: Sender<u64>,
+    list: Arc<SharedList>,
+}
+
+/// An entry of the endpoint list.
+pub fn endpoint_entry(id: &str, addr: SocketAddr, state: &str) -> Value {
+    json!({"id": id, "addr": addr.to_string(), "zone": "hall-a", "kind": "k", "cell": 1, "state": state,
+        "weight": 1.0, "started_ms": 0})
+}
+
+impl FakeDiscovery {
+    pub fn start(entries: &[Value]) -> Self {
+        let (listener, addr) = listen();
+        let list = Arc::new(SharedList::default());
+        let (call_sender, calls) = channel();
+        serve_list(listener, list.clone(), call_sender.clone());
+        let discovery = Self { addr, calls, call_sender, list };
+        for entry in entries {
+            discovery.update_entry(entry.clone());
+        }
+        discovery
+    }
+
+    /// Serves the same list on another socket.
+    pub fn also_serve_on(&self, listener: TcpListener) {
+        serve_list(listener, self.list.clone(), self.call_sender.clone());
+    }
+
+    fn change_state(&self, change: impl FnOnce(&mut ListState)) {
+        change(&mut self.list.state.lock().expect("no panic inside"));
+        self.list.changed.notify_all();
+    }
+
+    /// Adds or replaces an entry; returns the list's new version.
+    pub fn update_entry(&self, entry: Value) -> u64 {
+        let mut version = 0;
+        self.change_state(|list| {
+            list.version += 1;
+            version = list.version;
+            list.entries.retain(|(_, e)| e["id"] != entry["id"]);
+            list.entries.push((version, entry));
+        });
+        version
+    }
+
+    /// Answers with a truncated list while it is set.
+    pub fn set_invalid(&self, is_invalid: bool) {
+        self.change_state(|list| list.is_invalid = is_invalid);
+    }
+
+    /// Answers nothing while it is set.
+    pub fn set_silent(&self, is_silent: bool) {
+        self.change_state(|list| list.is_silent = is_silent);
+    }
+
+    /// Answers 503 to so many calls from now on.
+    pub fn reject_calls(&self, count: usize) {
+        self.change_state(|list| list.calls_to_reject = count);
+    }
+
+    /// Waits until the gateway watches from `version`: it has applied all changes up to it.
+    pub fn wait_until_applied(&self, version: u64) {
+        while self.calls.recv_timeout(WAIT_LIMIT).expect("a watch") < version {}
+    }
+
+    /// Waits for one more call of any kind; returns the version that it starts from, 0 for the complete list.
+    pub fn next_call(&self) -> u64 {
+        self.calls.recv_timeout(WAIT_LIMIT).expect("a call")
+    }
+}
+
+/// Answers calls for a list, and reports the version that each starts from.
+fn serve_list(listener: TcpListener, list: Arc<SharedList>, calls: Sender<u64>) {
+    accept_connections(listener, move |socket, _| serve_connection(&socket, &list, &calls));
+}
+
+fn serve_connection(mut socket: &TcpStream, list: &SharedList, calls: &Sender<u64>) {
+    let mut reader = BufReader::new(socket);
+    while let Some(message) = read_message(&mut reader) {
+        let from = from_version(&message.line);
+        let _ = calls.send(from.unwrap_or(0));
+        let guard = list.state.lock().expect("no panic inside");
+        let must_wait = |list: &mut ListState| {
+            list.is_silent || (list.calls_to_reject == 0 && !list.is_invalid && from == Some(list.version))
+        };
+        let (mut state, _) =
+            list.changed.wait_timeout_while(guard, MAX_WATCH_TIME, must_wait).expect("no panic inside");
+        if state.calls_to_reject > 0 {
+            state.calls_to_reject -= 1;
+            drop(state);
+            let _ = socket.write_all(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");
+            continue;
+        }
+        if state.is_silent {
+            drop(state);
+            let _ = reader.read(&mut [0]);
+            return;
+        }
+        let body = list_body(&state, from);
+        drop(state);
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let _ = socket.write_all(response.as_bytes());
+    }
+}
+
+/// The version that a call starts from; `None` if it is for the complete list.
+fn from_version(request_line: &str) -> Option<u64> {
+    let (_, rest) = request_line.split_once("from=")?;
+    let version = rest.split(['&', ' ']).next().and_then(|v| v.parse::<u64>().ok());
+    Some(version.expect("a version"))
+}
+
+fn list_body(list: &ListState, from: Option<u64>) -> String {
+    if list.is_invalid {
+        return "{\"version\":".to_owned();
+    }
+    let newer = list.entries.iter().filter(|(version, _)| from.is_none_or(|from| *version > from));
+    let endpoints: Vec<&Value> = newer.map(|(_, entry)| entry).collect();
+    json!({"version": list.version, "full": from.is_none(), "servers": endpoints}).to_string()
+}
--- /dev/null
+++ b/tests/fakes/temp_dir.rs
@@ -0,0 +1,22 @@
+//! Folders for temporary files.
+
+use std::path::PathBuf;
+
+/// A folder of one test, removed when it is dropped.
+pub struct TempDir {
+    pub path: PathBuf,
+}
+
+impl TempDir {
+    pub fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("oliverack-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a writable folder for temporary files");
+        Self { path }
+    }
+}
+
+impl Drop for TempDir {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.path);
+    }
+}
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -1,7 +1,11 @@
 //! Hot restarts of the built program: the inherited listening socket, the handover and the maintenance file.
 
 mod fakes;
-use fakes::*;
+use fakes::{
+    Client, EndpointBehaviour, FakeEndpoint, LaunchOptions, Node, NodeBuilder, TempDir, TestRequest,
+    endpoint_entry,
+};
+use serde_json::json;
 use std::{
     io::{Read, Write},
     net::TcpListener,
@@ -9,30 +13,35 @@
     process::{Command, Stdio},
 };
 
+/// What the processes of one node share: the listening socket and the folder for temporary files.
+fn shared_launch_options<'a>(listener: &'a TcpListener, temp_dir: &'a TempDir) -> LaunchOptions<'a> {
+    LaunchOptions { listener: Some(listener), temp_dir: Some(&temp_dir.path), ..LaunchOptions::default() }
+}
+
 #[test]
 fn inherited_listening_descriptor_accepts_clients_and_outlives_process() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = operated(&[&worker]);
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&endpoint]);
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let start = || setup.start_as(Start { socket: Some(&socket), ..Start::default() });
+    let start = || builder.start_with(&LaunchOptions { listener: Some(&socket), ..LaunchOptions::default() });
     let mut first = start();
     assert_eq!(Some(first.addr), socket.local_addr().ok());
-    assert_eq!(first.ask(&Ask::new("a")).status(), 200);
+    assert_eq!(first.send_request(&TestRequest::new("a")).status(), 200);
     first.terminate();
-    assert!(first.exit().success());
-    // Connected while nobody accepts, served by the next process.
-    let mut waiting = first.client();
-    waiting.send(&Ask::new("b"));
+    assert!(first.wait_for_exit().success());
+    // Connected while no process accepts, and served by the next one.
+    let mut waiting = first.connect();
+    waiting.send(&TestRequest::new("b"));
     let _second = start();
-    assert_eq!(waiting.answer().map(|a| a.status()), Some(200));
+    assert_eq!(waiting.read_response().map(|response| response.status()), Some(200));
 }
 
 #[test]
 fn inherited_descriptor_that_is_not_listening_prints_one_line_and_fails() {
-    let (setup, _discovery) = operated(&[]);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[]);
     for fd in ["2", "77", "x", "-1"] {
         let path = std::env::temp_dir().join(format!("oliverack-fd-{}{fd}.json", std::process::id()));
-        std::fs::write(&path, setup.config().to_string()).expect("a writable folder for temporary files");
+        std::fs::write(&path, builder.config().to_string()).expect("a writable folder for temporary files");
         let output = Command::new(env!("CARGO_BIN_EXE_oliverack"))
             .env("NODE_CONFIG", &path)
             .env("NODE_ACCEPT_FD", fd)
@@ -40,188 +49,213 @@
             .output();
         let output = output.expect("it ends");
         let _ = std::fs::remove_file(&path);
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success() && said.lines().count() == 1, "{fd}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(!output.status.success() && stderr.lines().count() == 1, "{fd}: {stderr}");
     }
 }
 
 #[test]
 fn maintenance_survives_kill_and_corrupt_file_does_not_crash() {
-    let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
-    let (setup, _discovery) = operated(&[&one, &two]);
-    let folder = Folder::new("kept");
-    let start = || setup.start_as(Start { folder: Some(&folder.0), ..Start::default() });
+    let (one, two) = (
+        FakeEndpoint::start(EndpointBehaviour::Respond("one")),
+        FakeEndpoint::start(EndpointBehaviour::Respond("two")),
+    );
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let temp_dir = TempDir::new("kept");
+    let start =
+        || builder.start_with(&LaunchOptions { temp_dir: Some(&temp_dir.path), ..LaunchOptions::default() });
     let mut node = start();
-    assert_eq!(node.call("PUT /workers/w0/maint").status(), 200);
+    assert_eq!(node.operator_call("PUT /workers/w0/maint").status(), 200);
     node.child.kill().expect("a child");
-    node.exit();
+    node.wait_for_exit();
     let node = start();
-    (0..20).for_each(|i| assert_eq!(node.ask(&Ask::submit(&format!("a{i}"))).body, b"two"));
+    for i in 0..20 {
+        assert_eq!(node.send_request(&TestRequest::submit(&format!("a{i}"))).body, b"two");
+    }
     drop(node);
-    let file = folder.0.join("oliverack-n0.out.json");
+    let file = temp_dir.path.join("oliverack-n0.out.json");
     let whole = std::fs::read_to_string(&file).expect("it was kept");
     for text in [&whole[..whole.len() / 2], "", "[]", &whole.replace("n0", "n1"), &whole.replace(":1", ":2")]
     {
         std::fs::write(&file, text).expect("a writable folder");
         let node = start();
-        assert_eq!(node.ask(&Ask::submit("b")).status(), 200);
-        assert_eq!(node.call("PUT /workers/w1/maint").status(), 200, "and is replaced");
+        assert_eq!(node.send_request(&TestRequest::submit("b")).status(), 200);
+        assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200, "and is replaced");
     }
 }
 
 #[test]
 fn hot_restart_from_renamed_program_keeps_maintenance_and_finds_predecessor() {
-    let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
-    let (setup, _discovery) = operated(&[&one, &two]);
-    let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("renamed"));
-    let start =
-        || setup.start_as(Start { socket: Some(&socket), folder: Some(&folder.0), ..Start::default() });
-    let rename = |from: &str, to: &str| std::fs::rename(folder.0.join(from), folder.0.join(to));
-    // As the earlier program called its files.
-    let old = start();
-    assert_eq!(old.call("PUT /workers/w0/maint").status(), 200);
+    let (one, two) = (
+        FakeEndpoint::start(EndpointBehaviour::Respond("one")),
+        FakeEndpoint::start(EndpointBehaviour::Respond("two")),
+    );
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (socket, temp_dir) =
+        (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("renamed"));
+    let start = || builder.start_with(&shared_launch_options(&socket, &temp_dir));
+    let rename = |from: &str, to: &str| std::fs::rename(temp_dir.path.join(from), temp_dir.path.join(to));
+    // The file names of the earlier program.
+    let predecessor = start();
+    assert_eq!(predecessor.operator_call("PUT /workers/w0/maint").status(), 200);
     rename("oliverack-n0.out.json", "earlier-n0.out.json").expect("it was kept");
-    let name = format!("n0.{}.sock", old.child.id());
+    let name = format!("n0.{}.sock", predecessor.child.id());
     rename(&format!("oliverack-{name}"), &format!("earlier-{name}")).expect("its socket");
-    // Another node's, which ends alike.
+    // The file of another node whose name has the same end.
     let other = r#"{"form":1,"node":"a-n0","out":["w1"]}"#;
-    std::fs::write(folder.0.join("another-a-n0.out.json"), other).expect("a folder");
-    let new = start();
-    old.says("processes=2");
+    std::fs::write(temp_dir.path.join("another-a-n0.out.json"), other).expect("a folder");
+    let successor = start();
+    predecessor.wait_for_log("processes=2");
     let served = |node: &Node, tag: &str| {
-        (0..20).for_each(|i| assert_eq!(node.ask(&Ask::submit(&format!("{tag}{i}"))).body, b"two"));
+        for i in 0..20 {
+            assert_eq!(node.send_request(&TestRequest::submit(&format!("{tag}{i}"))).body, b"two");
+        }
     };
-    served(&new, "both");
-    drop((old, new));
-    // After a kill of both the file alone tells.
+    served(&successor, "both");
+    drop((predecessor, successor));
+    // After both were killed, only the file holds the maintenance state.
     served(&start(), "alone");
 }
 
-/// Two processes of one node, the second started while the first is at work.
-fn upgrade<'a>(setup: &Setup, socket: &'a TcpListener, folder: &'a Folder) -> (Node, Node) {
-    let start =
-        || setup.start_as(Start { socket: Some(socket), folder: Some(&folder.0), ..Start::default() });
-    let old = start();
-    while old.call("GET /healthcheck").status() != 200 {}
-    let new = start();
-    old.says("processes=2");
-    while new.call("GET /healthcheck").status() != 200 {}
-    (old, new)
+/// Two processes of one node, the second started while the first serves.
+fn start_hot_restart<'a>(
+    builder: &NodeBuilder,
+    socket: &'a TcpListener,
+    temp_dir: &'a TempDir,
+) -> (Node, Node) {
+    let start = || builder.start_with(&shared_launch_options(socket, temp_dir));
+    let predecessor = start();
+    while predecessor.operator_call("GET /healthcheck").status() != 200 {}
+    let successor = start();
+    predecessor.wait_for_log("processes=2");
+    while successor.operator_call("GET /healthcheck").status() != 200 {}
+    (predecessor, successor)
 }
 
 #[test]
 fn hot_restart_hands_over_10000_endpoints_within_32_mb() {
-    let worker = Worker::start(Does::Serves("ok"));
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
-    let (mut setup, _discovery) = operated(&[]);
+    let (mut builder, _discovery) = NodeBuilder::with_operator_address(&[]);
     let id = |i: usize| format!("worker-hall-a-{i:05}");
-    setup.known = (0..9_999).map(|i| entry(&id(i), nobody, "DRAINING")).collect();
-    setup.known.push(entry(&id(9_999), worker.addr, "SERVING"));
-    setup.known.iter_mut().for_each(|entry| entry["started_ms"] = serde_json::json!(1_700_000_000_123_u64));
-    // Lists that bring nothing, so that only the start's holds.
-    setup.discovery = nobody;
-    let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("long"));
-    let mut config = setup.config();
-    config["limits"]["memory_mb"] = serde_json::json!(32);
+    builder.known_endpoints = (0..9_999).map(|i| endpoint_entry(&id(i), nobody, "DRAINING")).collect();
+    builder.known_endpoints.push(endpoint_entry(&id(9_999), endpoint.addr, "SERVING"));
+    for entry in &mut builder.known_endpoints {
+        entry["started_ms"] = json!(1_700_000_000_123_u64);
+    }
+    // Discovery is unreachable, so that only the configured list applies.
+    builder.discovery(nobody);
+    let (socket, temp_dir) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("long"));
+    let mut config = builder.config();
+    config["limits"]["memory_mb"] = json!(32);
     let config = config.to_string();
-    let start = Start { socket: Some(&socket), folder: Some(&folder.0), ..Start::default() };
-    let old = setup.start_on(&config, start);
-    let start = Start { socket: Some(&socket), folder: Some(&folder.0), ..Start::default() };
-    let new = setup.start_on(&config, start);
-    old.says("processes=2");
-    drop(old);
-    new.says("processes=1");
-    assert_eq!(new.ask(&Ask::submit("after")).body, b"ok");
+    let start = shared_launch_options(&socket, &temp_dir);
+    let predecessor = builder.start_with_config(&config, &start);
+    let start = shared_launch_options(&socket, &temp_dir);
+    let successor = builder.start_with_config(&config, &start);
+    predecessor.wait_for_log("processes=2");
+    drop(predecessor);
+    successor.wait_for_log("processes=1");
+    assert_eq!(successor.send_request(&TestRequest::submit("after")).body, b"ok");
 }
 
 #[test]
 fn maintenance_call_during_hot_restart_reaches_both_processes_despite_corrupt_file() {
-    let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
-    let (setup, _discovery) = operated(&[&one, &two]);
-    let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("both"));
-    // A socket that nobody serves any more, and what is none.
-    drop(UnixListener::bind(folder.0.join("oliverack-n0.1.sock")).expect("a folder"));
-    std::fs::write(folder.0.join("oliverack-n0.2.sock"), "").expect("a folder");
-    let (old, new) = upgrade(&setup, &socket, &folder);
-    assert_eq!(old.call("PUT /workers/w0/maint").status(), 200);
-    new.says("put into maintenance endpoint=w0");
-    let ask =
-        |tag: &str| (0..20).map(|i| old.ask(&Ask::submit(&format!("{tag}{i}"))).body).collect::<Vec<_>>();
-    assert!(ask("a").iter().all(|b| b == b"two"), "whichever takes it");
-    assert_eq!(new.call("PUT /workers/w0/ready").status(), 200);
-    old.says("taken out of maintenance endpoint=w0");
-    assert_eq!(new.call("PUT /workers/w1/maint").status(), 200);
-    std::fs::write(folder.0.join("oliverack-n0.out.json"), "{").expect("a folder");
-    let third = setup.start_as(Start { socket: Some(&socket), folder: Some(&folder.0), ..Start::default() });
-    old.says("processes=3");
-    assert_eq!(third.call("GET /stats").status(), 200);
-    drop((old, new));
-    third.says("processes=1");
+    let (one, two) = (
+        FakeEndpoint::start(EndpointBehaviour::Respond("one")),
+        FakeEndpoint::start(EndpointBehaviour::Respond("two")),
+    );
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (socket, temp_dir) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("both"));
+    // A socket that nobody serves any more, and a file that is no socket.
+    drop(UnixListener::bind(temp_dir.path.join("oliverack-n0.1.sock")).expect("a folder"));
+    std::fs::write(temp_dir.path.join("oliverack-n0.2.sock"), "").expect("a folder");
+    let (predecessor, successor) = start_hot_restart(&builder, &socket, &temp_dir);
+    assert_eq!(predecessor.operator_call("PUT /workers/w0/maint").status(), 200);
+    successor.wait_for_log("put into maintenance endpoint=w0");
+    let response_bodies = |tag: &str| {
+        (0..20)
+            .map(|i| predecessor.send_request(&TestRequest::submit(&format!("{tag}{i}"))).body)
+            .collect::<Vec<_>>()
+    };
+    assert!(response_bodies("a").iter().all(|b| b == b"two"), "whichever takes it");
+    assert_eq!(successor.operator_call("PUT /workers/w0/ready").status(), 200);
+    predecessor.wait_for_log("taken out of maintenance endpoint=w0");
+    assert_eq!(successor.operator_call("PUT /workers/w1/maint").status(), 200);
+    std::fs::write(temp_dir.path.join("oliverack-n0.out.json"), "{").expect("a folder");
+    let third = builder.start_with(&shared_launch_options(&socket, &temp_dir));
+    predecessor.wait_for_log("processes=3");
+    assert_eq!(third.operator_call("GET /stats").status(), 200);
+    drop((predecessor, successor));
+    third.wait_for_log("processes=1");
     for i in 0..20 {
-        let answer = third.ask(&Ask::submit(&format!("c{i}")));
-        assert!(answer.status() == 429 || answer.body == b"one", "w1 is out, w0 may be cold");
+        let response = third.send_request(&TestRequest::submit(&format!("c{i}")));
+        assert!(response.status() == 429 || response.body == b"one", "w1 is out, w0 may be cold");
     }
 }
 
 #[test]
 fn sigterm_during_hot_restart_sends_new_clients_to_successor() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = operated(&[&worker]);
-    let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("drained"));
-    let start =
-        || setup.start_as(Start { socket: Some(&socket), folder: Some(&folder.0), ..Start::default() });
-    let mut old = start();
-    let mut kept: Vec<Client> = (0..10).map(|_| old.client()).collect();
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&endpoint]);
+    let (socket, temp_dir) =
+        (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("drained"));
+    let start = || builder.start_with(&shared_launch_options(&socket, &temp_dir));
+    let mut predecessor = start();
+    let mut kept: Vec<Client> = (0..10).map(|_| predecessor.connect()).collect();
     for (i, client) in kept.iter_mut().enumerate() {
-        assert_eq!(client.ask(&Ask::new(&format!("a{i}"))).status(), 200);
+        assert_eq!(client.send_request(&TestRequest::new(&format!("a{i}"))).status(), 200);
     }
-    let new = start();
-    old.says("processes=2");
-    old.terminate();
-    old.says("stopping gateway=n0 waiting=0");
-    assert_eq!(new.ask(&Ask::new("b")).status(), 200);
+    let successor = start();
+    predecessor.wait_for_log("processes=2");
+    predecessor.terminate();
+    predecessor.wait_for_log("stopping gateway=n0 waiting=0");
+    assert_eq!(successor.send_request(&TestRequest::new("b")).status(), 200);
     for (i, client) in kept.iter_mut().enumerate() {
-        let answer = client.ask(&Ask::new(&format!("c{i}")));
-        assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+        let response = client.send_request(&TestRequest::new(&format!("c{i}")));
+        assert_eq!((response.status(), response.header("connection")), (200, "close"));
     }
-    assert!(old.exit().success(), "after its last answer");
-    new.says("processes=1");
+    assert!(predecessor.wait_for_exit().success(), "after its last answer");
+    successor.wait_for_log("processes=1");
 }
 
 #[test]
 fn successor_death_returns_full_share_to_predecessor() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = operated(&[&worker]);
-    let (socket, folder) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), Folder::new("killed"));
-    let (old, mut new) = upgrade(&setup, &socket, &folder);
-    new.child.kill().expect("a child");
-    new.exit();
-    old.says("processes=1");
-    (0..20).for_each(|i| assert_eq!(old.ask(&Ask::new(&format!("a{i}"))).status(), 200));
-    // And the next attempt finds it.
-    let _next = setup.start_as(Start { socket: Some(&socket), folder: Some(&folder.0), ..Start::default() });
-    old.says("processes=2");
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&endpoint]);
+    let (socket, temp_dir) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("killed"));
+    let (predecessor, mut successor) = start_hot_restart(&builder, &socket, &temp_dir);
+    successor.child.kill().expect("a child");
+    successor.wait_for_exit();
+    predecessor.wait_for_log("processes=1");
+    for i in 0..20 {
+        assert_eq!(predecessor.send_request(&TestRequest::new(&format!("a{i}"))).status(), 200);
+    }
+    // The next process finds the predecessor again.
+    let _next = builder.start_with(&shared_launch_options(&socket, &temp_dir));
+    predecessor.wait_for_log("processes=2");
 }
 
 #[test]
 fn invalid_handover_message_is_ignored() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = operated(&[&worker]);
-    let folder = Folder::new("foreign");
-    let node = setup.start_as(Start { folder: Some(&folder.0), ..Start::default() });
-    while node.call("GET /healthcheck").status() != 200 {}
-    let door = folder.0.join(format!("oliverack-n0.{}.sock", node.child.id()));
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&endpoint]);
+    let temp_dir = TempDir::new("foreign");
+    let node =
+        builder.start_with(&LaunchOptions { temp_dir: Some(&temp_dir.path), ..LaunchOptions::default() });
+    while node.operator_call("GET /healthcheck").status() != 200 {}
+    let socket_path = temp_dir.path.join(format!("oliverack-n0.{}.sock", node.child.id()));
     for word in [
         "nonsense\n",
         "{\"Hello\":{\"form\":2,\"node\":\"n0\"}}\n",
         "{\"Hello\":{\"form\":1,\"node\":\"n1\"}}\n",
         "{\"ByHand\":{\"server\":\"w0\",\"out\":true}}\n",
     ] {
-        let mut caller = UnixStream::connect(&door).expect("it listens");
+        let mut caller = UnixStream::connect(&socket_path).expect("it listens");
         caller.write_all(word.as_bytes()).expect("a socket");
-        node.says("a caller is no sibling process");
-        // Reset or ended: it may not have been read whole.
+        node.wait_for_log("a caller is no sibling process");
+        // Reset or closed, as the message may not have been read to its end.
         let _ = caller.read(&mut [0]);
     }
-    assert_eq!(node.ask(&Ask::new("a")).status(), 200);
+    assert_eq!(node.send_request(&TestRequest::new("a")).status(), 200);
 }
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,7 +1,9 @@
 //! The structured log, as the built program writes it.
 
 mod fakes;
-use fakes::*;
+use fakes::{
+    Client, EndpointBehaviour, FakeEndpoint, LaunchOptions, NodeBuilder, TestRequest, spawn_program,
+};
 use serde_json::Value;
 use std::{
     collections::BTreeMap,
@@ -10,18 +12,22 @@
     process::Command,
 };
 
-/// The lines that a program logs, at a setting, while it serves one request and refuses one, up to its end.
+/// All lines that the program logs at a log setting while it serves one request, rejects one and stops.
 fn lines(setting: &str) -> Vec<String> {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = Setup::new(&[&worker]);
-    let (mut child, path) =
-        run_as(&setup.config().to_string(), Start { log: Some(setting), ..Start::default() });
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    let (mut child, path) = spawn_program(
+        &builder.config().to_string(),
+        &LaunchOptions { log_setting: Some(setting), ..LaunchOptions::default() },
+    );
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines().map(|line| line.expect("text"));
     let mut lines: Vec<String> = log.by_ref().take(1).collect();
     let addr = address(&lines[0]);
-    assert_eq!(Client::connect(addr).ask(&Ask::new("served")).status(), 200);
-    worker.now(Does::Says("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"));
-    assert_eq!(Client::connect(addr).ask(&Ask::new("refused")).status(), 429);
+    assert_eq!(Client::connect(addr).send_request(&TestRequest::new("served")).status(), 200);
+    endpoint.set_behaviour(EndpointBehaviour::WriteRaw(
+        "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+    ));
+    assert_eq!(Client::connect(addr).send_request(&TestRequest::new("refused")).status(), 429);
     let killed = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().expect("kill runs");
     assert!(killed.success());
     lines.extend(log);
@@ -30,7 +36,7 @@
     lines
 }
 
-/// What the first line says that the program listens on.
+/// The listening address in the first line.
 fn address(line: &str) -> SocketAddr {
     let (_, address) = line.split_once("address").expect("an address");
     let plain = address.trim_matches(|c: char| !c.is_ascii_digit());
@@ -72,18 +78,20 @@
 
 #[test]
 fn closed_log_pipe_does_not_stop_process() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (setup, _discovery) = Setup::new(&[&worker]);
-    let (mut child, path) =
-        run_as(&setup.config().to_string(), Start { log: Some("debug"), ..Start::default() });
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
+    let (mut child, path) = spawn_program(
+        &builder.config().to_string(),
+        &LaunchOptions { log_setting: Some("debug"), ..LaunchOptions::default() },
+    );
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
     let listening =
         log.find_map(|line| line.expect("text").rsplit_once("address=").map(|(_, a)| a.to_owned()));
     let addr = listening.and_then(|addr| addr.parse().ok()).expect("what it bound");
-    // From here on each write of the log fails.
+    // Every write to the log fails from now on.
     drop(log);
     for i in 0..20 {
-        assert_eq!(Client::connect(addr).ask(&Ask::new(&format!("r{i}"))).status(), 200);
+        assert_eq!(Client::connect(addr).send_request(&TestRequest::new(&format!("r{i}"))).status(), 200);
     }
     assert!(child.try_wait().expect("a child").is_none(), "it has ended");
     let _ = child.kill();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,70 +1,77 @@
 //! Calls of the operators to the built program: health check, maintenance, statistics.
 
 mod fakes;
-use fakes::*;
+use fakes::{Client, EndpointBehaviour, FakeEndpoint, Gate, NodeBuilder, TestRequest, endpoint_entry};
 use std::{
     io::{Read, Write},
     sync::Arc,
 };
 
-const ERROR: &str = "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n";
+const ERROR_RESPONSE: &str = "HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
 fn health_check_succeeds_while_accepting_and_invalid_calls_get_errors() {
-    let (setup, _discovery) = operated(&[]);
-    let node = setup.start();
-    // The yes is due once clients are taken; what is bound before may still say no.
-    while node.call("GET /healthcheck").status() != 200 {}
-    assert_eq!(node.call("GET /nonesuch").status(), 404);
-    let no = node.call("POST /healthcheck");
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[]);
+    let node = builder.start();
+    // The health check may fail until the process accepts clients, though the port is bound before.
+    while node.operator_call("GET /healthcheck").status() != 200 {}
+    assert_eq!(node.operator_call("GET /nonesuch").status(), 404);
+    let no = node.operator_call("POST /healthcheck");
     assert_eq!((no.status(), no.header("allow")), (405, "GET"));
-    let mut client = Client::connect(node.operator);
+    let mut client = Client::connect(node.operator_addr);
     client.reader.get_mut().write_all(b"\x16\x03\x01 nonsense\r\n\r\n").expect("a socket");
-    assert_eq!(client.answer().expect("an answer").status(), 400);
+    assert_eq!(client.read_response().expect("an answer").status(), 400);
 }
 
 #[test]
 fn operator_calls_succeed_at_connection_limits() {
-    let worker = Worker::start(Does::Holds);
-    let (mut setup, _discovery) = operated(&[&worker]);
-    setup.sockets = 96;
-    let node = setup.start();
-    let mut clients: Vec<Client> = (0..60).map(|_| node.client()).collect();
-    clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&Ask::new(&format!("h{i}"))));
-    worker.request();
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
+    let (mut builder, _discovery) = NodeBuilder::with_operator_address(&[&endpoint]);
+    builder.max_sockets(96);
+    let node = builder.start();
+    let mut clients: Vec<Client> = (0..60).map(|_| node.connect()).collect();
+    for (i, client) in clients.iter_mut().enumerate() {
+        client.send(&TestRequest::new(&format!("h{i}")));
+    }
+    endpoint.next_request();
     let half = |_| {
-        let mut caller = Client::connect(node.operator);
+        let mut caller = Client::connect(node.operator_addr);
         let _ = caller.reader.get_mut().write_all(b"GET /healthcheck HTT");
         caller
     };
     let mut held: Vec<Client> = (0..60).map(half).collect();
-    while node.call("GET /healthcheck").status() != 200 {}
+    while node.operator_call("GET /healthcheck").status() != 200 {}
     assert!(held[0].reader.read(&mut [0]).is_ok_and(|n| n == 0), "it made room");
 }
 
 #[test]
 fn health_check_fails_during_shutdown() {
-    let worker = Worker::start(Does::Holds);
-    let (setup, _discovery) = operated(&[&worker]);
-    let node = setup.start();
-    let mut client = node.client();
-    client.send(&Ask::new("held"));
-    worker.request();
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&endpoint]);
+    let node = builder.start();
+    let mut client = node.connect();
+    client.send(&TestRequest::new("held"));
+    endpoint.next_request();
     node.terminate();
-    node.says("stopping gateway=n0 waiting=1");
-    while node.call("GET /healthcheck").status() != 503 {}
+    node.wait_for_log("stopping gateway=n0 waiting=1");
+    while node.operator_call("GET /healthcheck").status() != 503 {}
 }
 
 #[test]
 fn endpoint_in_maintenance_gets_no_requests_until_ready() {
-    let (one, two) = (Worker::start(Does::Serves("one")), Worker::start(Does::Serves("two")));
-    let (setup, discovery) = operated(&[&one, &two]);
-    let node = setup.start();
-    assert_eq!(node.call("PUT /workers/w0/maint").status(), 200);
-    assert_eq!(node.call("PUT /workers/w%30/maint").status(), 200, "the same, twice");
-    // The list says that it serves.
-    discovery.told(discovery.change(entry("w0", one.addr, "SERVING")));
-    (0..20).for_each(|i| assert_eq!(node.ask(&Ask::submit(&format!("a{i}"))).body, b"two"));
+    let (one, two) = (
+        FakeEndpoint::start(EndpointBehaviour::Respond("one")),
+        FakeEndpoint::start(EndpointBehaviour::Respond("two")),
+    );
+    let (builder, discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let node = builder.start();
+    assert_eq!(node.operator_call("PUT /workers/w0/maint").status(), 200);
+    assert_eq!(node.operator_call("PUT /workers/w%30/maint").status(), 200, "the same, twice");
+    // The endpoint list says that it is running.
+    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", one.addr, "SERVING")));
+    for i in 0..20 {
+        assert_eq!(node.send_request(&TestRequest::submit(&format!("a{i}"))).body, b"two");
+    }
     for (call, status) in [
         ("PUT /workers/nobody/maint", 404),
         ("PUT /workers/nobody/ready", 404),
@@ -73,13 +80,13 @@
         ("PUT /workers/%ff/maint", 400),
         ("GET /workers/w0/maint", 405),
     ] {
-        assert_eq!(node.call(call).status(), status, "{call}");
+        assert_eq!(node.operator_call(call).status(), status, "{call}");
     }
-    assert_eq!(node.call("PUT /workers/w0/ready").status(), 200);
-    assert_eq!(node.call("PUT /workers/w1/maint").status(), 200);
+    assert_eq!(node.operator_call("PUT /workers/w0/ready").status(), 200);
+    assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200);
     for i in 0.. {
-        // Cold: what it can't take yet is refused.
-        match node.ask(&Ask::submit(&format!("b{i}"))) {
+        // Slow start: requests beyond its allowance are rejected.
+        match node.send_request(&TestRequest::submit(&format!("b{i}"))) {
             served if served.status() == 200 => return assert_eq!(served.body, b"one"),
             refused => assert_eq!(refused.status(), 429),
         }
@@ -88,13 +95,16 @@
 
 #[test]
 fn stats_match_client_and_endpoint_observations() {
-    let (one, two) = (Worker::start(Does::Serves("ok")), Worker::start(Does::Serves("ok")));
-    let (setup, _discovery) = operated(&[&one, &two]);
-    let node = setup.start();
+    let (one, two) = (
+        FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
+        FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
+    );
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let node = builder.start();
     let figure = |name: &str| -> u64 {
-        let answer = node.call("GET /stats");
-        assert!(answer.status() == 200 && answer.header("content-type").starts_with("text/plain"));
-        let text = String::from_utf8(answer.body).expect("text");
+        let response = node.operator_call("GET /stats");
+        assert!(response.status() == 200 && response.header("content-type").starts_with("text/plain"));
+        let text = String::from_utf8(response.body).expect("text");
         let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
         line.unwrap_or_else(|| panic!("{name} in {text}"))
     };
@@ -102,31 +112,41 @@
     for (kind, class) in ["success", "overload", "error"].iter().flat_map(|k| classes.map(|c| (k, c))) {
         assert_eq!(figure(&format!("svc_{kind}{{type=\"{class}\"}}")), 0, "from the start");
     }
-    (0..3).for_each(|i| assert_eq!(node.ask(&Ask::new(&format!("a{i}"))).status(), 200));
-    [&one, &two].iter().for_each(|w| w.now(Does::Says(ERROR)));
-    assert_eq!(node.ask(&Ask::submit("b")).status(), 502);
-    assert_eq!(node.ask(&Ask::new("c")).status(), 429);
-    // Not a request: counted nowhere.
-    assert_eq!(node.ask(&Ask::new("d").without("X-Plan")).status(), 400);
+    for i in 0..3 {
+        assert_eq!(node.send_request(&TestRequest::new(&format!("a{i}"))).status(), 200);
+    }
+    for endpoint in [&one, &two] {
+        endpoint.set_behaviour(EndpointBehaviour::WriteRaw(ERROR_RESPONSE));
+    }
+    assert_eq!(node.send_request(&TestRequest::submit("b")).status(), 502);
+    assert_eq!(node.send_request(&TestRequest::new("c")).status(), 429);
+    // An invalid request is not counted.
+    assert_eq!(node.send_request(&TestRequest::new("d").without_header("X-Plan")).status(), 400);
     assert_eq!(figure("svc_success{type=\"check-answer\"}"), 3);
     assert_eq!(figure("svc_success{type=\"submit\"}"), 0);
     assert_eq!(figure("svc_overload{type=\"check-answer\"}"), 1);
     assert_eq!(figure("svc_error{type=\"submit\"}"), 1);
-    let whole = one.rest().len() + two.rest().len();
+    let whole = one.drain_requests().len() + two.drain_requests().len();
     assert_eq!(figure("svc_dispatches"), whole as u64);
-    // In hand: until the client has its answer, or has gone.
+    // A request is in flight until its client has the response or has disconnected.
     let gate = Arc::new(Gate::default());
-    [&one, &two].iter().for_each(|w| w.now(Does::Waits(gate.clone())));
-    let mut clients: Vec<Client> = (0..3).map(|_| node.client()).collect();
-    clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&Ask::submit(&format!("w{i}"))));
+    for endpoint in [&one, &two] {
+        endpoint.set_behaviour(EndpointBehaviour::RespondAfter(gate.clone()));
+    }
+    let mut clients: Vec<Client> = (0..3).map(|_| node.connect()).collect();
+    for (i, client) in clients.iter_mut().enumerate() {
+        client.send(&TestRequest::submit(&format!("w{i}")));
+    }
     while figure("svc_concurrent") != 3 {}
     drop(clients.pop());
     while figure("svc_concurrent") != 2 {}
     gate.open();
-    clients.iter_mut().for_each(|c| assert_eq!(c.answer().map(|a| a.status()), Some(200)));
+    for client in &mut clients {
+        assert_eq!(client.read_response().map(|response| response.status()), Some(200));
+    }
     while figure("svc_concurrent") != 0 {}
     assert_eq!(figure("svc_success{type=\"submit\"}"), 2);
     assert_eq!((figure("svc_targets"), figure("svc_targets_disabled")), (2, 0));
-    assert_eq!(node.call("PUT /workers/w1/maint").status(), 200);
+    assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200);
     assert_eq!((figure("svc_targets"), figure("svc_targets_disabled")), (2, 1));
 }
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -1,8 +1,11 @@
-//! Two things at one moment: each test holds a peer at the chosen point, lets the other thing happen, and goes on
-//! when the gateway has shown that it saw it.
+//! Race conditions: each test holds a peer at a chosen point, lets a second event happen, and goes on when the
+//! gateway has shown that it detected that event.
 
 mod fakes;
-use fakes::*;
+use fakes::{
+    Client, EndpointBehaviour, FakeDiscovery, FakeEndpoint, Gate, Node, NodeBuilder, SaturatedListener,
+    TestRequest, endpoint_entry, read_message,
+};
 use serde_json::json;
 use socket2::SockRef;
 use std::{
@@ -12,255 +15,268 @@
     time::{Duration, Instant},
 };
 
-/// Connections may take longer to come up, and requests to be answered, than any test waits.
-fn patient(mut setup: Setup) -> Setup {
-    setup.settings["Limits"]["ConnectTimeout"] = json!(100.0);
+/// Sets timeouts of connections and requests beyond the length of any test.
+fn with_long_timeouts(mut builder: NodeBuilder) -> NodeBuilder {
+    builder.settings["Limits"]["ConnectTimeout"] = json!(100.0);
     for class in 0..2 {
-        setup.settings["Classes"][class]["Slo"] = json!(100.0);
-        setup.settings["Classes"][class]["Deadline"] = json!(100.0);
+        builder.settings["Classes"][class]["Slo"] = json!(100.0);
+        builder.settings["Classes"][class]["Deadline"] = json!(100.0);
     }
-    setup
+    builder
 }
 
-fn ask(txn: &str) -> Ask {
-    Ask::new(txn).with("X-Remaining", "100.0")
+fn patient_request(txn: &str) -> TestRequest {
+    TestRequest::new(txn).header("X-Remaining", "100.0")
 }
 
-/// A setup whose one worker is `late`.
-fn only(late: &Late) -> (Setup, Discovery) {
-    let (mut setup, discovery) = Setup::new(&[]);
-    setup.known.push(entry("w0", late.addr, "SERVING"));
-    discovery.change(setup.known[0].clone());
-    (patient(setup), discovery)
+/// A builder whose only endpoint is `saturated`.
+fn node_with_saturated_endpoint(saturated: &SaturatedListener) -> (NodeBuilder, FakeDiscovery) {
+    let (mut builder, discovery) = NodeBuilder::new(&[]);
+    builder.known_endpoints.push(endpoint_entry("w0", saturated.addr, "SERVING"));
+    discovery.update_entry(builder.known_endpoints[0].clone());
+    (with_long_timeouts(builder), discovery)
 }
 
-/// A gateway whose one worker is late, and a client that has connected.
+/// A gateway whose only endpoint accepts no connections, and a connected client.
 struct Scene {
-    late: Late,
+    saturated: SaturatedListener,
     node: Node,
     client: Client,
-    _discovery: Discovery,
+    _discovery: FakeDiscovery,
 }
 
 impl Scene {
     fn new() -> Self {
-        let late = Late::start();
-        let (setup, discovery) = only(&late);
-        let node = setup.start();
-        let client = node.client();
-        Self { late, node, client, _discovery: discovery }
+        let saturated = SaturatedListener::start();
+        let (builder, discovery) = node_with_saturated_endpoint(&saturated);
+        let node = builder.start();
+        let client = node.connect();
+        Self { saturated, node, client, _discovery: discovery }
     }
 }
 
 #[test]
 fn client_disconnect_cancels_attempt_that_awaits_connection() {
-    let Scene { late, node: _node, mut client, .. } = Scene::new();
-    client.send(&ask("gone"));
-    late.awaited(1);
+    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    client.send(&patient_request("gone"));
+    saturated.wait_for_pending_connections(1);
     drop(client);
-    late.given_up();
+    saturated.wait_until_abandoned();
 }
 
 #[test]
 fn disconnect_behind_pipelined_requests_beyond_read_buffer_is_detected() {
-    let Scene { late, node: _node, mut client, .. } = Scene::new();
-    // More requests than the gateway reads while one is in hand.
+    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    // More requests than the gateway reads ahead while one is in flight.
     for i in 0..100 {
-        client.send(&ask(&format!("p{i}")).with("X-Other", &"x".repeat(500)));
+        client.send(&patient_request(&format!("p{i}")).header("X-Other", &"x".repeat(500)));
     }
-    late.awaited(1);
+    saturated.wait_for_pending_connections(1);
     drop(client);
-    late.given_up();
+    saturated.wait_until_abandoned();
 }
 
 #[test]
 fn disconnect_behind_pipelined_requests_beyond_socket_buffers_is_detected() {
-    let Scene { late, node: _node, mut client, .. } = Scene::new();
+    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
     let pieces = client.reader.get_ref().try_clone().expect("a socket");
-    // The close stands behind what the client's own system holds for ours.
+    // The close follows data in the send buffer of the client's socket.
     SockRef::from(&pieces).set_send_buffer_size(1 << 20).expect("a socket");
     drop(pieces);
-    client.send(&ask("first"));
-    late.awaited(1);
+    client.send(&patient_request("first"));
+    saturated.wait_for_pending_connections(1);
     for i in 0..40 {
-        client.send(&ask(&format!("p{i}")).with("X-Other", &"x".repeat(10_000)));
+        client.send(&patient_request(&format!("p{i}")).header("X-Other", &"x".repeat(10_000)));
     }
     drop(client);
-    late.given_up();
+    saturated.wait_until_abandoned();
 }
 
 #[test]
 fn pipelined_requests_read_ahead_are_answered_in_order() {
-    let Scene { late, node: _node, mut client, .. } = Scene::new();
-    client.send(&ask("first"));
-    late.awaited(1);
+    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    client.send(&patient_request("first"));
+    saturated.wait_for_pending_connections(1);
     for i in 0..40 {
-        client.send(&ask(&format!("p{i}")).with("X-Other", &"x".repeat(10_000)));
+        client.send(&patient_request(&format!("p{i}")).header("X-Other", &"x".repeat(10_000)));
+    }
+    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    for i in 0..41 {
+        assert_eq!(client.read_response().expect("a whole answer").status(), 200, "{i}");
     }
-    let worker = late.open(Does::Serves("ok"));
-    (0..41).for_each(|i| assert_eq!(client.answer().expect("a whole answer").status(), 200, "{i}"));
-    assert_eq!(worker.rest().len(), 41);
+    assert_eq!(endpoint.drain_requests().len(), 41);
 }
 
 #[test]
 fn disconnect_during_upload_that_awaits_connection_is_detected() {
-    let Scene { late, node: _node, mut client, .. } = Scene::new();
-    // Too large to be gathered; some of it has been read, some waits in the socket, the end never comes.
-    let mut upload = Ask::submit("body").with("X-Remaining", "100.0").with("Content-Length", "4000000");
+    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    // Too large to be buffered: some of it has been read, some waits in the socket, the end never arrives.
+    let mut upload =
+        TestRequest::submit("body").header("X-Remaining", "100.0").header("Content-Length", "4000000");
     upload.body = vec![b'x'; 60_000];
     client.send(&upload);
-    late.awaited(1);
+    saturated.wait_for_pending_connections(1);
     drop(client);
-    late.given_up();
+    saturated.wait_until_abandoned();
 }
 
 #[test]
 fn disconnect_behind_upload_beyond_socket_buffers_is_detected() {
-    let Scene { late, node: _node, mut client, .. } = Scene::new();
+    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
     let pieces = client.reader.get_ref().try_clone().expect("a socket");
     SockRef::from(&pieces).set_send_buffer_size(1 << 20).expect("a socket");
     drop(pieces);
-    let mut upload = Ask::submit("body").with("X-Remaining", "100.0").with("Content-Length", "4000000");
+    let mut upload =
+        TestRequest::submit("body").header("X-Remaining", "100.0").header("Content-Length", "4000000");
     upload.body = vec![b'x'; 400_000];
     client.send(&upload);
-    late.awaited(1);
+    saturated.wait_for_pending_connections(1);
     drop(client);
-    late.given_up();
+    saturated.wait_until_abandoned();
 }
 
 #[test]
 fn body_read_before_endpoint_connects_is_forwarded_complete() {
-    let Scene { late, node: _node, mut client, .. } = Scene::new();
-    let mut upload = Ask::submit("body").with("X-Remaining", "100.0");
+    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    let mut upload = TestRequest::submit("body").header("X-Remaining", "100.0");
     upload.body = (0..900_000u32).map(|i| (i % 251) as u8).collect();
     client.send(&upload);
-    late.awaited(1);
-    let worker = late.open(Does::Serves("ok"));
-    assert_eq!(client.answer().expect("a whole answer").status(), 200);
-    assert!(worker.request().1.body == upload.body, "unchanged");
+    saturated.wait_for_pending_connections(1);
+    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    assert_eq!(client.read_response().expect("a whole answer").status(), 200);
+    assert!(endpoint.next_request().1.body == upload.body, "unchanged");
 }
 
 #[test]
 fn request_followed_by_close_is_not_forwarded() {
-    let late = Late::start();
-    let (setup, _discovery) = only(&late);
-    let node = setup.start();
-    let mut held = node.client();
-    held.send(&ask("held"));
-    late.awaited(1);
+    let saturated = SaturatedListener::start();
+    let (builder, _discovery) = node_with_saturated_endpoint(&saturated);
+    let node = builder.start();
+    let mut held = node.connect();
+    held.send(&patient_request("held"));
+    saturated.wait_for_pending_connections(1);
     for i in 0..20 {
-        let mut client = node.client();
-        client.send(&ask(&format!("c{i}")));
+        let mut client = node.connect();
+        client.send(&patient_request(&format!("c{i}")));
         client.reader.get_ref().shutdown(Shutdown::Write).expect("a connection");
-        // Seen by the gateway, which closes its side.
-        assert!(client.answer().is_none());
+        // The gateway has detected the close when it closes its side.
+        assert!(client.read_response().is_none());
     }
-    late.awaited(1);
-    let worker = late.open(Does::Serves("ok"));
-    assert_eq!(held.answer().expect("a whole answer").status(), 200);
-    assert_eq!(worker.rest().len(), 1);
+    saturated.wait_for_pending_connections(1);
+    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    assert_eq!(held.read_response().expect("a whole answer").status(), 200);
+    assert_eq!(endpoint.drain_requests().len(), 1);
 }
 
 #[test]
 fn response_cancels_hedged_request_that_awaits_connection() {
-    let late = Late::start();
+    let saturated = SaturatedListener::start();
     let gate = Arc::new(Gate::default());
-    let well = Worker::start(Does::Waits(gate.clone()));
-    let (mut setup, discovery) = Setup::new(&[&well]);
-    setup.known.push(entry("w1", late.addr, "SERVING"));
-    discovery.change(setup.known[1].clone());
-    let mut setup = patient(setup);
-    // A copy goes out after a part of the aim, and is of use past that.
-    setup.settings["Classes"][0]["Slo"] = json!(1.0);
-    setup.settings["Classes"][0]["LateWorth"] = json!(0.1);
-    let node = setup.start();
-    let mut client = node.client();
-    client.send(&ask("twice"));
-    // Whichever of the two was first.
-    late.awaited(1);
-    well.request();
+    let healthy = FakeEndpoint::start(EndpointBehaviour::RespondAfter(gate.clone()));
+    let (mut builder, discovery) = NodeBuilder::new(&[&healthy]);
+    builder.known_endpoints.push(endpoint_entry("w1", saturated.addr, "SERVING"));
+    discovery.update_entry(builder.known_endpoints[1].clone());
+    let mut builder = with_long_timeouts(builder);
+    // A hedged request is sent after a part of the latency objective, and has a value beyond it.
+    builder.settings["Classes"][0]["Slo"] = json!(1.0);
+    builder.settings["Classes"][0]["LateWorth"] = json!(0.1);
+    let node = builder.start();
+    let mut client = node.connect();
+    client.send(&patient_request("twice"));
+    // Whichever endpoint was selected first.
+    saturated.wait_for_pending_connections(1);
+    healthy.next_request();
     gate.open();
-    assert_eq!(client.answer().expect("a whole answer").status(), 200);
-    late.given_up();
+    assert_eq!(client.read_response().expect("a whole answer").status(), 200);
+    saturated.wait_until_abandoned();
 }
 
-/// A keyed request that `well` keeps for itself, and a copy of it that waits for its connection to `late`: whichever
-/// of the two was first. The workers remember it for four seconds.
-fn copied(late: &Late, well: &Worker) -> (Setup, Node, Client, Discovery) {
-    let (mut setup, discovery) = Setup::new(&[well]);
-    setup.known.push(entry("w1", late.addr, "SERVING"));
-    discovery.change(setup.known[1].clone());
-    let mut setup = patient(setup);
-    let class = &mut setup.settings["Classes"][0];
-    (class["Effect"], class["Group"], class["Window"]) = (json!("deduplicated"), json!("zone"), json!(4.0));
-    // A copy goes out after a part of the aim, and is of use past that.
-    (class["Slo"], class["LateWorth"]) = (json!(1.0), json!(0.1));
-    let node = setup.start();
-    let mut client = node.client();
-    client.send(&ask("keyed").with("Idempotency-Key", "k"));
-    late.awaited(1);
-    well.request();
-    (setup, node, client, discovery)
+/// Sends a request with an idempotency key that `healthy` holds, and whose hedged request waits for its connection to
+/// `saturated`, whichever of the two was selected first. The idempotency window is four seconds.
+fn send_hedged_request(
+    saturated: &SaturatedListener,
+    healthy: &FakeEndpoint,
+) -> (NodeBuilder, Node, Client, FakeDiscovery) {
+    let (mut builder, discovery) = NodeBuilder::new(&[healthy]);
+    builder.known_endpoints.push(endpoint_entry("w1", saturated.addr, "SERVING"));
+    discovery.update_entry(builder.known_endpoints[1].clone());
+    let mut builder = with_long_timeouts(builder);
+    let class = &mut builder.settings["Classes"][0];
+    class["Effect"] = json!("deduplicated");
+    class["Group"] = json!("zone");
+    class["Window"] = json!(4.0);
+    // A hedged request is sent after a part of the latency objective, and has a value beyond it.
+    class["Slo"] = json!(1.0);
+    class["LateWorth"] = json!(0.1);
+    let node = builder.start();
+    let mut client = node.connect();
+    client.send(&patient_request("keyed").header("Idempotency-Key", "k"));
+    saturated.wait_for_pending_connections(1);
+    healthy.next_request();
+    (builder, node, client, discovery)
 }
 
 #[test]
 fn hedged_request_awaiting_connection_past_idempotency_window_is_cancelled() {
-    let (late, well) = (Late::start(), Worker::start(Does::Holds));
-    let (_setup, _node, _client, _discovery) = copied(&late, &well);
-    late.given_up();
-    assert_eq!(well.rest().len(), 0);
+    let (saturated, healthy) =
+        (SaturatedListener::start(), FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed));
+    let (_setup, _node, _client, _discovery) = send_hedged_request(&saturated, &healthy);
+    saturated.wait_until_abandoned();
+    assert_eq!(healthy.drain_requests().len(), 0);
 }
 
 #[test]
 fn connection_opened_at_end_of_idempotency_window_carries_no_hedged_request() {
-    let (late, gate) = (Late::start(), Arc::new(Gate::default()));
-    let well = Worker::start(Does::Waits(gate.clone()));
+    let (saturated, gate) = (SaturatedListener::start(), Arc::new(Gate::default()));
+    let healthy = FakeEndpoint::start(EndpointBehaviour::RespondAfter(gate.clone()));
     let sent = Instant::now();
-    let (setup, node, mut client, _discovery) = copied(&late, &well);
+    let (builder, node, mut client, _discovery) = send_hedged_request(&saturated, &healthy);
     let mut opened = None;
-    node.reload_while(&setup.config().to_string(), || {
-        opened = Some(late.open_to_one(Does::Serves("late")));
+    node.reload_while(&builder.config().to_string(), || {
+        opened = Some(saturated.open_to_pending(EndpointBehaviour::Respond("late")));
         std::thread::sleep(Duration::from_secs(5).saturating_sub(sent.elapsed()));
     });
-    // The process has found both at once.
-    node.says("configuration reloaded");
+    // The process has found both the connection and the end of the window at once.
+    node.wait_for_log("configuration reloaded");
     gate.open();
-    assert_eq!(client.answer().expect("a whole answer").body, b"waited");
-    assert_eq!(opened.expect("set above").rest().len(), 0);
+    assert_eq!(client.read_response().expect("a whole answer").body, b"waited");
+    assert_eq!(opened.expect("set above").drain_requests().len(), 0);
 }
 
 #[test]
 fn attempt_that_awaits_connection_moves_when_endpoint_becomes_unavailable() {
     for news in ["DRAINING", "DELETED", "restarted", "by hand"] {
-        let (late, well) = (Late::start(), Worker::start(Does::Serves("elsewhere")));
-        let (mut setup, discovery) = only(&late);
-        setup.operator = true;
-        let node = setup.start();
-        let mut client = node.client();
-        // Unsafe, so that it goes elsewhere only if it is known not to have run.
-        client.send(&Ask::submit("moved").with("X-Remaining", "100.0"));
-        late.awaited(1);
-        discovery.change(entry("w1", well.addr, "SERVING"));
-        let mut told = entry("w0", late.addr, if news.starts_with('D') { news } else { "SERVING" });
+        let (saturated, healthy) =
+            (SaturatedListener::start(), FakeEndpoint::start(EndpointBehaviour::Respond("elsewhere")));
+        let (mut builder, discovery) = node_with_saturated_endpoint(&saturated);
+        builder.operator_address();
+        let node = builder.start();
+        let mut client = node.connect();
+        // At-most-once, so that it is retried elsewhere only if it is known not to have run.
+        client.send(&TestRequest::submit("moved").header("X-Remaining", "100.0"));
+        saturated.wait_for_pending_connections(1);
+        discovery.update_entry(endpoint_entry("w1", healthy.addr, "SERVING"));
+        let mut changed_entry =
+            endpoint_entry("w0", saturated.addr, if news.starts_with('D') { news } else { "SERVING" });
         match news {
-            "restarted" => told["started_ms"] = json!(1),
-            "by hand" => assert_eq!(node.call("PUT /workers/w0/maint").status(), 200),
+            "restarted" => changed_entry["started_ms"] = json!(1),
+            "by hand" => assert_eq!(node.operator_call("PUT /workers/w0/maint").status(), 200),
             _ => {}
         }
-        discovery.told(discovery.change(told));
-        let late = late.open(Does::Serves("late"));
-        let answer = client.answer().expect("a whole answer");
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, b"elsewhere".as_slice()), "{news}");
-        assert_eq!(late.rest().len(), 0, "{news}");
+        discovery.wait_until_applied(discovery.update_entry(changed_entry));
+        let saturated = saturated.open(EndpointBehaviour::Respond("late"));
+        let response = client.read_response().expect("a whole answer");
+        assert_eq!((response.status(), response.body.as_slice()), (200, b"elsewhere".as_slice()), "{news}");
+        assert_eq!(saturated.drain_requests().len(), 0, "{news}");
     }
 }
 
 #[test]
 fn connection_that_may_repeat_its_response_is_not_reused_immediately() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let (mut setup, discovery) = Setup::new(&[]);
-    setup.known.push(entry("w0", listener.local_addr().expect("bound"), "SERVING"));
-    discovery.change(setup.known[0].clone());
+    let (mut builder, discovery) = NodeBuilder::new(&[]);
+    builder.known_endpoints.push(endpoint_entry("w0", listener.local_addr().expect("bound"), "SERVING"));
+    discovery.update_entry(builder.known_endpoints[0].clone());
     let (tell, gaps) = channel();
     std::thread::spawn(move || {
         for mut socket in listener.incoming().flatten() {
@@ -269,7 +285,7 @@
                 let mut reader = BufReader::new(socket.try_clone().expect("a socket"));
                 let mut answered: Option<Instant> = None;
                 while read_message(&mut reader).is_some() {
-                    // From before the answer, so no less than the gateway can have waited.
+                    // Measured from before the response, so at least as long as the gateway waited.
                     let _ = tell.send(answered.map(|at| at.elapsed()));
                     answered = Some(Instant::now());
                     let _ = socket.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -277,12 +293,14 @@
             });
         }
     });
-    let node = setup.start();
-    let mut client = node.client();
-    // Each is there when the one before has its answer.
-    let all: Vec<u8> = (0..20).flat_map(|i| Ask::new(&format!("r{i}")).bytes()).collect();
+    let node = builder.start();
+    let mut client = node.connect();
+    // Each request has arrived when the one before it is answered.
+    let all: Vec<u8> = (0..20).flat_map(|i| TestRequest::new(&format!("r{i}")).to_bytes()).collect();
     client.reader.get_mut().write_all(&all).expect("it reads");
-    (0..20).for_each(|i| assert_eq!(client.answer().expect("a whole answer").status(), 200, "{i}"));
+    for i in 0..20 {
+        assert_eq!(client.read_response().expect("a whole answer").status(), 200, "{i}");
+    }
     for gap in gaps.try_iter().flatten() {
         assert!(gap >= Duration::from_millis(10), "again after {gap:?}");
     }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,7 +1,10 @@
-//! Many of everything: descriptors taken by idle clients, processes that start together, long lists, large fleets.
+//! Limits of scale: descriptors used up by idle clients, simultaneous starts, long endpoint lists, large fleets.
 
 mod fakes;
-use fakes::*;
+use fakes::{
+    Client, CounterBehaviour, EndpointBehaviour, FakeCounter, FakeEndpoint, LaunchOptions, Node, NodeBuilder,
+    ReservedPort, SaturatedListener, TestRequest, WAIT_LIMIT, endpoint_entry, read_message,
+};
 use serde_json::json;
 use std::{
     io::{BufRead, BufReader, Write},
@@ -9,8 +12,8 @@
     time::{Duration, Instant},
 };
 
-/// Processor time that the process has had, in hundredths of a second.
-fn worked(node: &Node) -> u64 {
+/// Processor time that the process has used, in hundredths of a second.
+fn processor_time(node: &Node) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.child.id())).expect("a process");
     let fields: Vec<&str> = stat.rsplit(')').next().expect("its name").split_whitespace().collect();
     fields[11..13].iter().map(|v| v.parse::<u64>().expect("a time")).sum()
@@ -18,74 +21,75 @@
 
 #[test]
 fn idle_clients_at_descriptor_limit_do_not_block_discovery_recovery() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, discovery) = Setup::new(&[&worker]);
-    let counter = Counter::start(Counts::Well);
-    setup.counter = Some(counter.addr);
-    setup.sockets = 96;
-    let down = Down::new();
-    setup.discovery = down.addr;
-    let node = setup.start_as(Start { descriptors: Some(96), ..Start::default() });
-    node.says("discovery failed reason=no connection");
-    let mut old = node.client();
-    assert_eq!(old.ask(&Ask::new("old")).status(), 200);
-    // Far more than there are descriptors; some ask once and rest, some ask nothing, some half.
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (mut builder, discovery) = NodeBuilder::new(&[&endpoint]);
+    let counter = FakeCounter::start(CounterBehaviour::Normal);
+    builder.counter(counter.addr);
+    builder.max_sockets(96);
+    let closed_port = ReservedPort::new();
+    builder.discovery(closed_port.addr);
+    let node = builder.start_with(&LaunchOptions { max_descriptors: Some(96), ..LaunchOptions::default() });
+    node.wait_for_log("discovery failed reason=no connection");
+    let mut old = node.connect();
+    assert_eq!(old.send_request(&TestRequest::new("old")).status(), 200);
+    // Far more clients than descriptors: some send one request and idle, some a part of one, some nothing.
     let mut idle = Vec::new();
     for i in 0..300 {
-        let mut client = node.client();
+        let mut client = node.connect();
         match i % 3 {
-            0 => client.send(&Ask::new(&format!("i{i}"))),
+            0 => client.send(&TestRequest::new(&format!("i{i}"))),
             1 => drop(client.reader.get_mut().write_all(b"GET /check-answer HT")),
             _ => {}
         }
         idle.push(client);
     }
-    // Each of those that ask is answered in the end, old connections and new ones.
+    // Every complete request is answered, on old and new connections.
     for client in idle.iter_mut().step_by(3) {
-        let status = client.answer().expect("a whole answer").status();
+        let status = client.read_response().expect("a whole answer").status();
         assert!(matches!(status, 200 | 429), "{status}, though so many at once may be refused");
     }
-    let before = worked(&node);
+    let before = processor_time(&node);
     std::thread::sleep(Duration::from_secs(1));
-    assert!(worked(&node) - before < 50, "it spins");
-    // Discovery returns, with a change.
-    let well = Worker::start(Does::Serves("well"));
-    discovery.change(entry("w1", well.addr, "SERVING"));
-    let version = discovery.change(entry("w0", worker.addr, "DRAINING"));
-    discovery.also_on(down.listen());
-    discovery.told(version);
-    let plan = |txn: &str| Ask::new(txn).with("X-Plan", "pieni");
-    assert_eq!(node.ask(&plan("new")).body, b"well", "the counter is reached, too");
+    assert!(processor_time(&node) - before < 50, "it spins");
+    // Discovery recovers, with a change.
+    let serving = FakeEndpoint::start(EndpointBehaviour::Respond("well"));
+    discovery.update_entry(endpoint_entry("w1", serving.addr, "SERVING"));
+    let version = discovery.update_entry(endpoint_entry("w0", endpoint.addr, "DRAINING"));
+    discovery.also_serve_on(closed_port.listen());
+    discovery.wait_until_applied(version);
+    let plan = |txn: &str| TestRequest::new(txn).header("X-Plan", "pieni");
+    assert_eq!(node.send_request(&plan("new")).body, b"well", "the counter is reached, too");
     let mut resting = 0;
     for (i, client) in idle.iter_mut().enumerate().step_by(3) {
-        // Where it has given way, a client comes again on a new connection.
-        client.send(&Ask::new(&format!("again{i}")));
-        let answer = client.answer();
-        resting += usize::from(answer.is_some());
-        assert!(answer.is_none_or(|a| a.body == b"well" || a.status() == 429));
+        // A client whose idle connection was closed would connect again.
+        client.send(&TestRequest::new(&format!("again{i}")));
+        let response = client.read_response();
+        resting += usize::from(response.is_some());
+        assert!(response.is_none_or(|a| a.body == b"well" || a.status() == 429));
     }
     assert!(resting > 0, "some have been kept");
-    assert_eq!(node.ask(&Ask::new("last")).body, b"well");
-    counter.calls.recv_timeout(LIMIT).expect("a call");
+    assert_eq!(node.send_request(&TestRequest::new("last")).body, b"well");
+    counter.calls.recv_timeout(WAIT_LIMIT).expect("a call");
 }
 
 #[test]
 fn nine_in_ten_of_350_processes_are_ready_in_time_without_discovery_and_counter() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _unused) = Setup::new(&[&worker]);
-    let down = Down::new();
-    // They take connections and say nothing, come up never, or are not there.
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (mut builder, _unused) = NodeBuilder::new(&[&endpoint]);
+    let closed_port = ReservedPort::new();
+    // Accepted and silent, never established, or refused.
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let late = Late::start();
-    let places = [silent.local_addr().expect("bound"), late.addr, down.addr];
+    let late = SaturatedListener::start();
+    let places = [silent.local_addr().expect("bound"), late.addr, closed_port.addr];
     let fleet = 350;
     let mut nodes = Vec::new();
-    for me in 0..fleet {
-        setup.discovery = places[me % 3];
-        setup.counter = Some(places[me / 3 % 3]);
-        setup.settings["Discovery"] = json!(if me % 2 == 0 { "push" } else { "ask" });
-        (setup.settings["PeersTotal"], setup.settings["Me"]) = (json!(fleet), json!(me));
-        nodes.push((Instant::now(), setup.begin()));
+    for index in 0..fleet {
+        builder.discovery(places[index % 3]);
+        builder.counter(places[index / 3 % 3]);
+        builder.settings["Discovery"] = json!(if index % 2 == 0 { "push" } else { "ask" });
+        builder.settings["PeersTotal"] = json!(fleet);
+        builder.settings["Me"] = json!(index);
+        nodes.push((Instant::now(), builder.spawn()));
     }
     let mut slow = 0;
     for (begun, (mut child, path)) in nodes {
@@ -97,10 +101,10 @@
         }
         let addr =
             line.trim().rsplit_once("address=").and_then(|(_, a)| a.parse().ok()).expect("what it bound");
-        let mut up = Ask::new("");
+        let mut up = TestRequest::new("");
         up.line = "GET /up HTTP/1.1".into();
-        let answer = Client::connect(addr).ask(&up);
-        slow += usize::from(answer.status() != 200 || begun.elapsed() > Duration::from_secs(10));
+        let response = Client::connect(addr).send_request(&up);
+        slow += usize::from(response.status() != 200 || begun.elapsed() > Duration::from_secs(10));
         assert!(child.kill().is_ok() && child.wait().is_ok());
         let _ = std::fs::remove_file(path);
     }
@@ -111,76 +115,78 @@
 fn list_of_1024_endpoints_in_fleet_of_1024_is_applied() {
     let nobody = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = nobody.local_addr().expect("bound");
-    let worker = Worker::start(Does::Serves("ok"));
-    let (mut setup, _unused) = Setup::new(&[]);
-    setup.known = (0..1023).map(|i| entry(&format!("w{i}"), addr, "DRAINING")).collect();
-    setup.known.push(entry("w1023", worker.addr, "SERVING"));
-    (setup.settings["PeersTotal"], setup.settings["Me"]) = (json!(1024), json!(1023));
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (mut builder, _unused) = NodeBuilder::new(&[]);
+    builder.known_endpoints = (0..1023).map(|i| endpoint_entry(&format!("w{i}"), addr, "DRAINING")).collect();
+    builder.known_endpoints.push(endpoint_entry("w1023", endpoint.addr, "SERVING"));
+    builder.settings["PeersTotal"] = json!(1024);
+    builder.settings["Me"] = json!(1023);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    setup.discovery = listener.local_addr().expect("bound");
-    let mut config = setup.config();
+    builder.discovery(listener.local_addr().expect("bound"));
+    let mut config = builder.config();
     config["limits"]["memory_mb"] = json!(32);
-    let node = setup.start_on(&config.to_string(), Start::default());
-    let ask = |txn: &str| Ask::new(txn).with("X-Quota", "units=1,spread=1024,first=1023");
-    assert_eq!(node.ask(&ask("known")).status(), 200, "the list of the start");
-    // The same from discovery, indented, with another worker that may be sent to.
-    let other = Worker::start(Does::Serves("other"));
-    setup.known[1023] = entry("w1023", addr, "DRAINING");
-    setup.known[0] = entry("w0", other.addr, "SERVING");
-    let list = json!({"version": 7, "full": true, "servers": setup.known});
+    let node = builder.start_with_config(&config.to_string(), &LaunchOptions::default());
+    let request = |txn: &str| TestRequest::new(txn).header("X-Quota", "units=1,spread=1024,first=1023");
+    assert_eq!(node.send_request(&request("known")).status(), 200, "the list of the start");
+    // The same list from discovery, indented, with another running endpoint.
+    let other = FakeEndpoint::start(EndpointBehaviour::Respond("other"));
+    builder.known_endpoints[1023] = endpoint_entry("w1023", addr, "DRAINING");
+    builder.known_endpoints[0] = endpoint_entry("w0", other.addr, "SERVING");
+    let list = json!({"version": 7, "full": true, "servers": builder.known_endpoints});
     let body = serde_json::to_string_pretty(&list).expect("JSON").replace("\n", "\r\n        ");
     assert!(body.len() > 250_000, "{} bytes", body.len());
     let (mut socket, _) = listener.accept().expect("a call");
     read_message(&mut BufReader::new(&socket)).expect("a call");
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    socket.write_all(answer.as_bytes()).expect("it reads");
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    socket.write_all(response.as_bytes()).expect("it reads");
     let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
     assert!(next.line.contains("from=7"), "{}", next.line);
-    assert_eq!(node.ask(&ask("told")).body, b"other");
+    assert_eq!(node.send_request(&request("told")).body, b"other");
 }
 
-/// A list of so many workers as discovery would write it for people to read, of which only the last may be sent to.
-fn indented(workers: usize, version: u64, last: &Worker) -> String {
+/// An endpoint list of `count` endpoints, indented for people to read, of which only the last is running.
+fn indented_list(count: usize, version: u64, last: &FakeEndpoint) -> String {
     let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let id = |i: usize| format!("worker-hall-a-{i:05}");
-    let mut endpoints: Vec<_> = (0..workers - 1).map(|i| entry(&id(i), nobody, "DRAINING")).collect();
-    endpoints.push(entry(&id(workers - 1), last.addr, "SERVING"));
+    let mut endpoints: Vec<_> = (0..count - 1).map(|i| endpoint_entry(&id(i), nobody, "DRAINING")).collect();
+    endpoints.push(endpoint_entry(&id(count - 1), last.addr, "SERVING"));
     let list = json!({"version": version, "full": true, "servers": endpoints});
     serde_json::to_string_pretty(&list).expect("JSON").replace('\n', "\r\n        ")
 }
 
-/// Takes the next call to discovery and answers it.
+/// Accepts the next call to discovery and answers it.
 fn answer_with(listener: &TcpListener, body: &str) -> TcpStream {
     let (mut socket, _) = listener.accept().expect("a call");
     read_message(&mut BufReader::new(&socket)).expect("a call");
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    // The gateway may close before it has read all of what is too long.
-    let _ = socket.write_all(answer.as_bytes());
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    // The gateway may close before it has read all of a list that is too long.
+    let _ = socket.write_all(response.as_bytes());
     socket
 }
 
-/// A gateway of 680 with 32 MB, and where it asks for its list.
+/// One of 680 gateways, with 32 MB of memory, and the listener that it polls for the endpoint list.
 fn small_gateway() -> (Node, TcpListener) {
-    let (mut setup, _unused) = Setup::new(&[]);
-    (setup.settings["PeersTotal"], setup.settings["Me"]) = (json!(680), json!(679));
+    let (mut builder, _unused) = NodeBuilder::new(&[]);
+    builder.settings["PeersTotal"] = json!(680);
+    builder.settings["Me"] = json!(679);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    setup.discovery = listener.local_addr().expect("bound");
-    let mut config = setup.config();
+    builder.discovery(listener.local_addr().expect("bound"));
+    let mut config = builder.config();
     config["limits"]["memory_mb"] = json!(32);
-    (setup.start_on(&config.to_string(), Start::default()), listener)
+    (builder.start_with_config(&config.to_string(), &LaunchOptions::default()), listener)
 }
 
 #[test]
 fn indented_list_of_9200_endpoints_is_applied_within_32_mb() {
-    let worker = Worker::start(Does::Serves("ok"));
-    // Before the gateway asks, as it waits for seconds only.
-    let body = indented(9200, 7, &worker);
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    // Built before the gateway starts, which waits for a list only for seconds.
+    let body = indented_list(9200, 7, &endpoint);
     let (node, listener) = small_gateway();
     assert!(body.len() > 2 << 20, "{} bytes", body.len());
     let socket = answer_with(&listener, &body);
     let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
     assert!(next.line.contains("from=7"), "{}", next.line);
-    assert_eq!(node.ask(&Ask::new("told")).body, b"ok");
+    assert_eq!(node.send_request(&TestRequest::new("told")).body, b"ok");
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("a process");
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its most resident memory");
     let peak: usize = peak.trim().trim_end_matches(" kB").parse().expect("a size");
@@ -189,26 +195,26 @@
 
 #[test]
 fn too_long_list_is_logged_in_one_line_and_next_list_is_applied() {
-    let worker = Worker::start(Does::Serves("ok"));
-    let (long, short) = (indented(20_000, 7, &worker), indented(2, 8, &worker));
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    let (long, short) = (indented_list(20_000, 7, &endpoint), indented_list(2, 8, &endpoint));
     let (node, listener) = small_gateway();
     answer_with(&listener, &long);
     answer_with(&listener, &long);
     answer_with(&listener, &short);
     assert!(
-        node.says("discovery failed").ends_with(
+        node.wait_for_log("discovery failed").ends_with(
             "discovery failed reason=the list is longer than the 4194304 bytes that fit in memory"
         )
     );
-    assert!(node.says("discovery").ends_with("discovery answers again"));
-    assert_eq!(node.ask(&Ask::new("told")).body, b"ok");
+    assert!(node.wait_for_log("discovery").ends_with("discovery answers again"));
+    assert_eq!(node.send_request(&TestRequest::new("told")).body, b"ok");
 }
 
 #[test]
 fn long_list_in_slow_chunks_is_applied() {
-    let worker = Worker::start(Does::Serves("ok"));
-    // Before the gateway asks, as it waits for seconds only.
-    let body = indented(9200, 7, &worker);
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
+    // Built before the gateway starts, which waits for a list only for seconds.
+    let body = indented_list(9200, 7, &endpoint);
     let (node, listener) = small_gateway();
     let (mut socket, _) = listener.accept().expect("a call");
     read_message(&mut BufReader::new(&socket)).expect("a call");
@@ -222,5 +228,5 @@
     socket.write_all(b"0\r\n\r\n").expect("it reads");
     let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
     assert!(next.line.contains("from=7"), "{}", next.line);
-    assert_eq!(node.ask(&Ask::new("told")).body, b"ok");
+    assert_eq!(node.send_request(&TestRequest::new("told")).body, b"ok");
 }
