--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -98,13 +98,13 @@
     settings.has_counter = false;
     settings.hedging_enabled = false;
     let mut harness = GatewayHarness::new(settings);
-    // One slot of two over two gateways.
+    // This gateway's share of the two slots is one.
     let first = started_attempts(&harness.send_request("a"));
     assert_eq!((first.len(), started_attempts(&harness.send_request("b")).len()), (1, 0));
     let freed = started_attempts(&harness.handle(Event::ResponseStarted { request_id: "a".into() }));
     assert_eq!(freed.first().map(|(request_id, _)| &**request_id), Some("b"), "who waits goes");
     assert_eq!(started_attempts(&harness.send_request("c")).len(), 0, "it is taken again");
-    // The end of the long answer frees nothing more.
+    // The end of the streamed response frees no further slot.
     assert_eq!(started_attempts(&harness.attempt_ended("a", 0, &first[0].1, Status::Ok)).len(), 0);
     assert_eq!(started_attempts(&harness.send_request("d")).len(), 0);
     let next = started_attempts(&harness.attempt_ended("b", 0, &freed[0].1, Status::Ok));
--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -47,7 +47,7 @@
 fn endpoint_back_after_unannounced_outage_enters_slow_start() {
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     harness.update_endpoints(ListKind::Full, vec![endpoint("a", Lifecycle::Running, 0.0)]);
-    // Out of reach for a second and more: before it is put out, and after.
+    // Unreachable for more than a second, before and after its ejection.
     for request_id in ["j0", "j00", "j000"] {
         harness.send_request(request_id);
         harness.attempt_ended(request_id, 0, &"a".into(), Status::ConnectFailed);
--- a/tests/fleet_ceilings.rs
+++ b/tests/fleet_ceilings.rs
@@ -72,7 +72,7 @@
     settings.max_units = f64::from(LARGEST);
     settings.counter_timeout = 0.15;
     settings.plans = vec![plan(7.0, 40.0)];
-    // The narrowest that the operators give, 1.6 times the quota.
+    // The lowest ceiling that operators configure, 1.6 times the quota.
     settings.plans[0].ceiling_rate = 11.2;
     settings.plans[0].ceiling_burst = 64.0;
     settings
@@ -182,7 +182,8 @@
                     customer.pattern, customer.spread
                 );
                 assert!(customer.lowest >= -slack, "{what}: {:.1} below the ceiling", -customer.lowest);
-                // A share of a burst under a request is not much, so the wide customers are only held to the rule.
+                // A share of the burst below one request admits little, so customers of many gateways are only held
+                // to the ceiling.
                 if matches!(customer.pattern, Pattern::Heavy) && customer.spread < 9 {
                     let quota = plan.rate * SECONDS;
                     assert!(customer.sent >= 0.6 * quota, "{what}: {} of {quota} sent", customer.sent);
--- a/tests/fleet_discovery.rs
+++ b/tests/fleet_discovery.rs
@@ -105,7 +105,7 @@
 
 #[test]
 fn repeated_poll_failures_keep_next_poll_within_notification_limit() {
-    // Told after 6 s; a call that is refused takes none of them, a connection that comes up late 1.5 s.
+    // A change counts as notified after 6 s; a refused call takes no time, a slow connection 1.5 s.
     let most = 6.0 - 1.5;
     for n in [1, 3, 12, 30, 100, 350, 1024] {
         for seed in 0..20 {
@@ -119,7 +119,7 @@
                 let turn = |a: &Action| {
                     if let Action::SetTimer { token, at } = a { Some((*token, *at)) } else { None }
                 };
-                // Beside the one that looks for customers to forget, which is due later.
+                // The earliest, as the timer that expires customers is due later.
                 let next =
                     harness.actions.drain(..).filter_map(|a| turn(&a)).min_by(|a, b| a.1.total_cmp(&b.1));
                 let (token, at) = next.expect("a turn");
--- a/tests/fleet_load.rs
+++ b/tests/fleet_load.rs
@@ -40,9 +40,11 @@
             }
         }
     }
-    let each = sent / 7.0 / 9.0; // What an endpoint carried, a second.
-    let may =
-        settings.overload_multiple * settings.slow_start_initial_share * each * settings.overload_window;
+    let units_per_endpoint_second = sent / 7.0 / 9.0;
+    let may = settings.overload_multiple
+        * settings.slow_start_initial_share
+        * units_per_endpoint_second
+        * settings.overload_window;
     assert!(to_cold > 0.0, "a cold endpoint is not left idle");
     assert!(to_cold <= may, "{to_cold} sent in the fall span, {may} would push it over");
 }
@@ -116,7 +118,7 @@
                 let sent =
                     started_attempts(&harness.send_request(&request_id)).pop().map(|(_, endpoint)| endpoint);
                 before += u32::from(sent.is_some() && (30..60).contains(&step));
-                // Answers take 50 to 140 ms, cold or warm.
+                // Responses take 50 to 140 ms, in slow start or not.
                 let elapsed = 0.05 + 0.09 * rng.f64();
                 if let Some(endpoint) = sent.clone() {
                     harness.handle(AttemptEnd::new(&request_id, &endpoint).elapsed(elapsed).event());
@@ -137,7 +139,7 @@
 fn endpoints_in_slow_start_carry_their_share_at_every_fleet_size() {
     for (n, all, new) in [(3, 9, 5), (12, 20, 12), (100, 60, 36)] {
         let (mean, most, before) = rates_to_endpoints_in_slow_start(n, all, new);
-        // At an age of 3 to 6 s of 10 it surely has 0.44 to 0.68 of its capacity.
+        // At an age of 3 to 6 s of the window of 10 s, an endpoint has 0.44 to 0.68 of its capacity.
         assert!(mean >= 0.2 * before, "{n} gateways: {mean} to a cold endpoint, {before} to any before");
         assert!(most <= 2.0 * 0.44 * before * 2.0, "{n} gateways: {most} to one, {before} to any before");
     }
@@ -177,7 +179,7 @@
             line.pop_front();
             free = free.max(since) + 1.0 / 250.0;
             let elapsed = (now - since).max(0.002);
-            // What nobody waits for any more has been reported already, and is worked on all the same.
+            // A timed-out call was reported already, and the counter works on it all the same.
             if elapsed <= settings.counter_timeout {
                 reports.push((i, counter, Status::Ok, elapsed));
                 well += u32::from(step >= 1000);
@@ -193,7 +195,7 @@
             let event = Event::CounterReplied { counter, status, total: 1.0, elapsed };
             actions.extend(gateways[i].handle(event).into_iter().map(|a| (i, a)));
         }
-        // 800 requests a second, each of another customer.
+        // 800 requests a second, each of a new customer.
         for _ in 0..8 {
             number += 1;
             let i = number % n as usize;
@@ -238,7 +240,7 @@
         request.customer = format!("c{i}").into();
         harness.handle(Event::Request(request))
     };
-    // More at once than there are calls for: the rest goes by the even share, off the count.
+    // More requests at once than the call rate permits: the others are admitted by the even share, unreported.
     let mut off = 0.0;
     for i in 0..30 {
         for (request_id, endpoint) in started_attempts(&ask(&mut harness, i)) {
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -65,11 +65,11 @@
 
 fn customers(n: u32, rng: &mut fastrand::Rng) -> Vec<Customer> {
     let plans = plans();
-    // Each gateway sees some 14 requests of 2.5 units a second.
+    // Each gateway receives some 14 requests of 2.5 units a second.
     let (mut left, mut all) = (14.0 * f64::from(n), Vec::new());
     while left > 0.0 {
         let plan = rng.usize(0..plans.len());
-        // Most use a part of their quota, some nearly all of it, some ask for far more.
+        // Most customers use a part of their quota, some nearly all of it, some request far more.
         let usage = match rng.u32(0..100) {
             0..10 => 1.9 + 2.0 * rng.f64(),
             10..27 => 0.95,
@@ -188,7 +188,7 @@
             let (_, i, request_id, endpoint) = running.remove(position);
             gateways[i].now = now;
             let event = AttemptEnd::new(&request_id, &endpoint).elapsed(0.05).event();
-            // One that waited for a slot goes out now.
+            // A queued request is sent now.
             for (request_id, endpoint) in started_attempts(&gateways[i].handle(event)) {
                 sent += 1;
                 beyond += u32::from(running.len() >= 3);
@@ -216,7 +216,7 @@
 #[test]
 fn concurrency_limit_below_gateway_count_holds_on_average_and_admits_light_customers() {
     for n in [30, 100, 300] {
-        // Four times what would keep the cap busy.
+        // Four times the rate that would use the concurrency limit fully.
         let (beyond, sent) = over_concurrency_limit(n, 240.0);
         assert!(beyond <= 0.25, "{n} gateways: {beyond:.2} of what is sent is beyond the cap");
         assert!(sent >= 0.05, "{n} gateways: {sent:.2} is sent");
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -142,7 +142,8 @@
 fn unused_lease_expires_with_its_window() {
     let (mut harness, mut counter) = (GatewayHarness::new(settings()), FakeCounter::default());
     counter.send_requests(&mut harness, "a", 15);
-    harness.now += 30.0; // Windows are eight seconds here; what is left of the block is of an old one.
+    // Windows are eight seconds here, so the rest of the lease is of an old one.
+    harness.now += 30.0;
     let actions = harness.send_request("b");
     assert_eq!(counter_calls(&actions).len(), 1, "an old lease covers nothing: the count is asked");
 }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -41,7 +41,7 @@
         harness.now += 1.0;
     }
     assert!(harness.gateway.knows_endpoint(&"a".into()) && !harness.gateway.knows_endpoint(&"nobody".into()));
-    // For two calls out one call back.
+    // One call ends maintenance, even after two that began it.
     set_maintenance(&mut harness, "a", false);
     assert_eq!(harness.gateway.in_maintenance().count(), 0);
 }
@@ -82,7 +82,7 @@
     set_maintenance(&mut harness, "a", false);
     let cold: Vec<usize> = (0..3).map(|i| ask(&mut harness, &format!("z{i}-"))).collect();
     assert!(cold.iter().sum::<usize>() > 0, "used within 3 s: {cold:?}");
-    // Twenty units a second over three endpoints; at 0.2 of its capacity it surely bears a third of that.
+    // Twenty units a second over three endpoints; at 0.2 of its capacity an endpoint gets a fraction of a third.
     assert!(cold[0] <= 4, "spared while it is cold: {cold:?}");
 }
 
@@ -97,7 +97,7 @@
             for (request_id, endpoint) in started_attempts(&harness.send_request(&format!("{tag}{i}"))) {
                 let elapsed = if &*endpoint == "a" { slow } else { 0.02 };
                 harness.handle(AttemptEnd::new(&request_id, &endpoint).elapsed(elapsed).event());
-                // The middle answer's time, which the bound on what is out goes by.
+                // The median, from which the concurrency limit is derived.
                 most = most.max(harness.gateway.snapshot().response_times.median);
             }
         }
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -21,7 +21,7 @@
         harness.update_endpoints(ListKind::Changes, vec![endpoint(name, Lifecycle::Gone, 0.0)]);
     }
     assert!(state_size(&harness) < before + 2000, "{} after {before}", state_size(&harness));
-    // The whole list may drop one too; it is kept until its attempt has ended, and then goes.
+    // A complete list may omit an endpoint too; it is kept until its last attempt has ended.
     let (_, last) = started_attempts(&harness.send_request("j")).remove(0);
     harness.update_endpoints(ListKind::Full, vec![endpoint("d", Lifecycle::Running, 0.0)]);
     harness.attempt_ended("j", 0, &last, Status::Ok);
@@ -47,7 +47,7 @@
                 Action::StartAttempt { request_id, endpoint, .. } => {
                     drop(harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok))
                 }
-                // Early, but they find nothing left to do.
+                // Fired early, but no work is left for the timer.
                 Action::SetTimer { token, .. } => drop(harness.handle(Event::Timer { token })),
                 _ => {}
             }
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -251,7 +251,7 @@
 
     fn complete_list(&mut self) -> Vec<Endpoint> {
         let mut list: Vec<Endpoint> = (0..self.endpoints).map(|number| self.endpoint(number)).collect();
-        // In no order, some named twice, some missing.
+        // Unordered, with duplicates and omissions.
         self.random.shuffle(&mut list);
         list.truncate((list.len() * 9).div_ceil(10));
         if let Some(first) = list.first().cloned() {
@@ -261,7 +261,7 @@
     }
 
     fn any_endpoint(&mut self) -> u32 {
-        // Some that no list names.
+        // Includes endpoints that are in no list.
         self.random.u32(0..self.endpoints + 2)
     }
 
--- a/tests/replicas.rs
+++ b/tests/replicas.rs
@@ -37,7 +37,7 @@
     predecessor.now += 100.0;
     successor.now += 100.0;
     assert_eq!(both(&mut predecessor, &mut successor, "c"), whole, "and no less for long");
-    // The old one has gone: the new one has all.
+    // Once the predecessor has ended, the successor has the complete share.
     set_replica(&mut successor, 0, 1);
     successor.now += 100.0;
     assert_eq!(send_requests(&mut successor, "d", 30), whole);
@@ -52,7 +52,7 @@
         set_replica(&mut harness, place, of);
         (0..8).map(|i| started_attempts(&harness.send_request(&format!("j{i}"))).len()).sum::<usize>()
     };
-    // Eight over two gateways.
+    // Eight slots at two gateways.
     assert_eq!((open(0, 1), open(0, 2) + open(1, 2), open(0, 3) + open(1, 3) + open(2, 3)), (4, 4, 4));
 }
 
@@ -67,7 +67,7 @@
     let snapshot = predecessor.gateway.snapshot();
     let cold = snapshot.endpoints.iter().find(|endpoint| &*endpoint.id == "b").expect("it is listed");
     assert_eq!(cold.warming_up_since, predecessor.now);
-    // Also where the new process hears of the workers only later.
+    // Also if the successor receives the endpoint list only later.
     for known in [true, false] {
         let mut successor = if known {
             GatewayHarness::new(settings.clone())
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -25,7 +25,8 @@
 #[test]
 fn request_awaiting_counter_is_answered_within_hold_time() {
     let mut settings = settings();
-    settings.plans[0].burst = 1.0; // Of a burst under a request for each gateway nothing goes before the counter's answer.
+    // No even share of one unit each, so the request waits for the counter's reply.
+    settings.plans[0].burst = 1.0;
     let mut harness = GatewayHarness::new(settings);
     let actions = harness.send_request("j");
     assert!(started_attempts(&actions).is_empty() && rejected_count(&actions) == 0, "held for the counter");
@@ -105,14 +106,14 @@
         assert_eq!(until(&actions), None, "the first repeats nothing");
         let (_, first) = started_attempts(&actions).remove(0);
         harness.now += 0.4;
-        // It may have run from when it was sent on; the last one is counted from there, too.
+        // The first attempt may have run since it was sent, so the window of the last starts there, too.
         let actions = harness.attempt_ended("j", 0, &first, Status::Reset);
         assert_eq!(until(&actions), Some(101.0));
         let (_, second) = started_attempts(&actions).remove(0);
         harness.now += 0.4;
         assert_eq!(until(&harness.attempt_ended("j", 1, &second, Status::Error)), Some(101.0));
     }
-    // The one before never ran: there is nothing to be remembered yet.
+    // The previous attempt never ran, so there is nothing to deduplicate yet.
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::IdempotencyKey {
         scope: IdempotencyScope::Zone,
         window: 1.0,
@@ -124,7 +125,7 @@
     let (_, second) = started_attempts(&actions).remove(0);
     harness.now += 0.4;
     assert_eq!(until(&harness.attempt_ended("j", 1, &second, Status::Reset)), Some(101.4));
-    // A repeat of a safe one does no harm, whenever it goes out.
+    // A retry of an idempotent request does no harm at any time.
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     let (_, first) = started_attempts(&harness.send_request("j")).remove(0);
     assert_eq!(until(&harness.attempt_ended("j", 0, &first, Status::Reset)), None);
@@ -144,10 +145,11 @@
             |a: &Action| if let Action::SetTimer { token, at } = a { Some((*token, *at)) } else { None };
         actions.iter().filter_map(timer).collect()
     };
-    // The counter's answer, or the end of the wait for it, in either order.
+    // Waiting for the counter: its reply and the end of the hold, in either order.
     for late in [false, true] {
         let mut settings = settings();
-        settings.plans[0].burst = 1.0; // Of a burst under a request for each gateway nothing goes before the answer.
+        // No even share of one unit each, so the request waits for the counter's reply.
+        settings.plans[0].burst = 1.0;
         let mut harness = GatewayHarness::new(settings);
         let actions = harness.send_request("j");
         let (counter, amount) = counter_calls(&actions)[0];
@@ -159,7 +161,7 @@
         }
         assert!(started_attempts(&harness.counter_replied(counter, Status::Ok, amount)).is_empty());
     }
-    // A slot under the cap.
+    // Waiting for a concurrency slot.
     let mut settings = settings_without_quota(Effect::Idempotent);
     settings.plans = vec![plan(10.0, 20.0)];
     settings.plans[0].max_concurrent_attempts = 1;
@@ -175,7 +177,7 @@
         harness.now = at;
         assert!(started_attempts(&harness.handle(Event::Timer { token })).is_empty());
     }
-    // A second copy, and a further attempt.
+    // Waiting for a hedged request or a retry.
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     let actions = harness.send_request("j");
     let (_, endpoint) = started_attempts(&actions).remove(0);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -65,7 +65,7 @@
     assert_eq!(effect(class("zone")), keyed(IdempotencyScope::Zone));
     assert_eq!(effect(class("cell")), keyed(IdempotencyScope::Cell));
     assert_eq!(effect(class("hall")), keyed(IdempotencyScope::Cell));
-    // Without a window nothing is remembered.
+    // Without a window nothing is deduplicated.
     assert_eq!(
         effect(serde_json::json!({"Effect": "deduplicated"})),
         Effect::IdempotencyKey { scope: IdempotencyScope::Cell, window: 0.0 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -77,7 +77,7 @@
     let mut gateways: Vec<GatewayHarness> = (0..scenario.gateways)
         .map(|index| gateway(index, scenario, u64::from(index) * 7919 + seed, 100.0, &warm))
         .collect();
-    // Some see several times the mean.
+    // Some gateways receive several times the mean.
     let weights: Vec<f64> = gateways.iter().map(|_| [0.4, 0.6, 0.8, 1.0, 2.2][dice.0.usize(0..5)]).collect();
     let rate =
         scenario.load * scenario.capacity * f64::from(scenario.endpoints) / weights.iter().sum::<f64>();
@@ -98,7 +98,7 @@
             for _ in 0..dice.poisson(rate * weights[i] * STEP * if surges { scenario.surge } else { 1.0 }) {
                 number += 1;
                 let mut actions = harness.send_request(&format!("j{number}"));
-                // A further attempt follows on one that ended badly.
+                // A retry follows a failed attempt.
                 for attempt in 0.. {
                     let Some((request_id, endpoint)) = started_attempts(&actions).pop() else { break };
                     let place: u32 = endpoint[1..].parse().expect("its number");
