--- a/tests/fleet_discovery.rs
+++ b/tests/fleet_discovery.rs
@@ -5,16 +5,31 @@
 use oliverack::{Action, Event, ListKind};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Starts `n` gateways at one moment; returns after how many seconds the last has the endpoint list, and the number
-/// of calls. Discovery answers 30 calls a second in turn, works also on calls that timed out after 2 s in its queue,
-/// and rejects calls beyond a queue of 60.
-fn start_fleet(n: u32) -> (f64, usize) {
+/// Calls a second that discovery answers, in turn.
+const CALLS_PER_SECOND: f64 = 30.0;
+/// Time after which a gateway abandons a call, in seconds. Discovery works on it all the same.
+const CALL_TIMEOUT: f64 = 2.0;
+/// Length of the queue beyond which discovery rejects calls.
+const MAX_QUEUE: usize = 60;
+
+/// A simultaneous start of a fleet.
+struct FleetStart {
+    /// Seconds until the last gateway has the endpoint list.
+    seconds: f64,
+    calls: usize,
+}
+
+/// Starts `n` gateways at one moment.
+fn start_fleet(n: u32) -> FleetStart {
     let mut settings = settings();
     settings.discovery_is_polled = true;
     settings.max_poll_interval = 10.0;
     let mut gateways = fleet(n, &settings, &running_endpoints(9));
-    let (mut due, mut line) = (Vec::new(), VecDeque::new());
-    let (mut calls, mut has, mut free) = (0, BTreeSet::new(), 100.0);
+    let mut due: Vec<(f64, usize, u64)> = Vec::new();
+    let mut queue: VecDeque<(f64, usize)> = VecDeque::new();
+    let mut idle_at: f64 = 100.0;
+    let mut calls = 0;
+    let mut gateways_with_list = BTreeSet::new();
     let timers = |i: usize, actions: Vec<Action>| {
         actions.into_iter().filter_map(move |a| match a {
             Action::SetTimer { token, at } => Some((at, i, token)),
@@ -41,21 +56,21 @@
         let mut failed = Vec::new();
         for i in std::mem::take(&mut polls) {
             calls += 1;
-            if line.len() < 60 { line.push_back((now, i)) } else { failed.push(i) }
+            if queue.len() < MAX_QUEUE { queue.push_back((now, i)) } else { failed.push(i) }
         }
-        while let Some((since, i)) = line.front().copied().filter(|_| free <= now) {
-            line.pop_front();
-            free = now.max(free) + 1.0 / 30.0;
-            if now - since > 2.0 {
+        while let Some((called_at, i)) = queue.front().copied().filter(|_| idle_at <= now) {
+            queue.pop_front();
+            idle_at = now.max(idle_at) + 1.0 / CALLS_PER_SECOND;
+            if now - called_at > CALL_TIMEOUT {
                 failed.push(i);
                 continue;
             }
-            has.insert(i);
+            gateways_with_list.insert(i);
             gateways[i].now = now;
             gateways[i].update_endpoints(ListKind::Full, running_endpoints(9));
         }
-        if has.len() == n as usize {
-            return (now - 100.0, calls);
+        if gateways_with_list.len() == n as usize {
+            return FleetStart { seconds: now - 100.0, calls };
         }
         for i in failed {
             gateways[i].now = now;
@@ -65,13 +80,13 @@
             due.extend(timers(i, actions));
         }
     }
-    (f64::INFINITY, calls)
+    FleetStart { seconds: f64::INFINITY, calls }
 }
 
 #[test]
 fn simultaneous_start_does_not_overload_discovery() {
     for n in [1, 3, 12, 30, 100] {
-        let (last, calls) = start_fleet(n);
+        let FleetStart { seconds: last, calls } = start_fleet(n);
         assert!(last <= 0.1 * f64::from(n).max(3.0), "{n} gateways: the last is told after {last} s");
         assert!(calls <= 2 * n as usize, "{n} gateways: {calls} calls");
     }
--- a/tests/fleet_load.rs
+++ b/tests/fleet_load.rs
@@ -93,9 +93,16 @@
     assert!(turned_away >= 30, "{turned_away} turned away at once when eight in ten time out");
 }
 
+/// Rates of requests to one endpoint, a second.
+struct EndpointRates {
+    mean_in_slow_start: f64,
+    highest_in_slow_start: f64,
+    mean_before: f64,
+}
+
 /// Requests that `n` gateways send a second after `new` of the `all` endpoints were replaced at one moment: to an
 /// endpoint in slow start in the mean and at most, and to each endpoint before.
-fn rates_to_endpoints_in_slow_start(n: u32, all: u32, new: u32) -> (f64, f64, f64) {
+fn rates_to_endpoints_in_slow_start(n: u32, all: u32, new: u32) -> EndpointRates {
     let mut settings = settings();
     settings.plans = vec![Plan::default()];
     let mut gateways = fleet(n, &settings, &running_endpoints(all));
@@ -130,15 +137,19 @@
         }
     }
     let seconds = 3.0;
-    let mean = f64::from(cold.values().sum::<u32>()) / seconds / f64::from(new);
-    let most = f64::from(cold.values().copied().max().unwrap_or(0)) / seconds;
-    (mean, most, f64::from(before) / seconds / f64::from(all))
+    EndpointRates {
+        mean_in_slow_start: f64::from(cold.values().sum::<u32>()) / seconds / f64::from(new),
+        highest_in_slow_start: f64::from(cold.values().copied().max().unwrap_or(0)) / seconds,
+        mean_before: f64::from(before) / seconds / f64::from(all),
+    }
 }
 
 #[test]
 fn endpoints_in_slow_start_carry_their_share_at_every_fleet_size() {
     for (n, all, new) in [(3, 9, 5), (12, 20, 12), (100, 60, 36)] {
-        let (mean, most, before) = rates_to_endpoints_in_slow_start(n, all, new);
+        let rates = rates_to_endpoints_in_slow_start(n, all, new);
+        let (mean, most) = (rates.mean_in_slow_start, rates.highest_in_slow_start);
+        let before = rates.mean_before;
         // At an age of 3 to 6 s of the window of 10 s, an endpoint has 0.44 to 0.68 of its capacity.
         assert!(mean >= 0.2 * before, "{n} gateways: {mean} to a cold endpoint, {before} to any before");
         assert!(most <= 2.0 * 0.44 * before * 2.0, "{n} gateways: {most} to one, {before} to any before");
@@ -164,31 +175,40 @@
     }
 }
 
+/// A call in the queue of the counter.
+struct QueuedCall {
+    made_at: f64,
+    gateway: usize,
+    counter: u64,
+}
+
 /// Calls of `n` gateways to a counter that replies to 250 a second in turn: the share replied to in time in the last
 /// 10 s of 20, and their number.
 fn counted_in_time(n: u32) -> (f64, u32) {
     let mut settings = settings();
     settings.counter_timeout = 0.08;
     let mut gateways = fleet(n, &settings, &running_endpoints(9));
-    let (mut line, mut free): (VecDeque<(f64, usize, u64)>, f64) = (VecDeque::new(), 100.0);
-    let (mut calls, mut well, mut number) = (0, 0, 0);
+    let mut queue: VecDeque<QueuedCall> = VecDeque::new();
+    let mut counter_idle_at: f64 = 100.0;
+    let (mut calls, mut in_time, mut number) = (0, 0, 0);
     for step in 0..2000 {
         let now = 100.0 + f64::from(step) * 0.01;
         let mut reports = Vec::new();
-        while let Some((since, i, counter)) = line.front().copied().filter(|_| free <= now) {
-            line.pop_front();
-            free = free.max(since) + 1.0 / 250.0;
-            let elapsed = (now - since).max(0.002);
+        while counter_idle_at <= now {
+            let Some(call) = queue.pop_front() else { break };
+            counter_idle_at = counter_idle_at.max(call.made_at) + 1.0 / 250.0;
+            let elapsed = (now - call.made_at).max(0.002);
             // A timed-out call was reported already, and the counter works on it all the same.
             if elapsed <= settings.counter_timeout {
-                reports.push((i, counter, Status::Ok, elapsed));
-                well += u32::from(step >= 1000);
+                reports.push((call.gateway, call.counter, Status::Ok, elapsed));
+                in_time += u32::from(step >= 1000);
             }
         }
         let late =
             |at: f64| (now - at > settings.counter_timeout) && (now - at <= settings.counter_timeout + 0.01);
-        let lost = line.iter().filter(|(at, ..)| late(*at));
-        reports.extend(lost.map(|(_, i, counter)| (*i, *counter, Status::Timeout, settings.counter_timeout)));
+        let lost = queue.iter().filter(|call| late(call.made_at));
+        reports
+            .extend(lost.map(|call| (call.gateway, call.counter, Status::Timeout, settings.counter_timeout)));
         let mut actions: Vec<(usize, Action)> = Vec::new();
         for (i, counter, status, elapsed) in reports {
             gateways[i].now = now;
@@ -208,7 +228,7 @@
             match action {
                 Action::AddToCounter { counter, .. } => {
                     calls += u32::from(step >= 1000);
-                    line.push_back((now, i, counter));
+                    queue.push_back(QueuedCall { made_at: now, gateway: i, counter });
                 }
                 Action::StartAttempt { request_id, endpoint, .. } => {
                     drop(gateways[i].attempt_ended(&request_id, 0, &endpoint, Status::Ok))
@@ -217,15 +237,15 @@
             }
         }
     }
-    (f64::from(well) / f64::from(calls), well)
+    (f64::from(in_time) / f64::from(calls), in_time)
 }
 
 #[test]
 fn overloaded_counter_gets_limited_call_rate() {
     for n in [1, 3, 12, 100] {
-        let (share, well) = counted_in_time(n);
+        let (share, in_time) = counted_in_time(n);
         assert!(share >= 0.5, "{n} gateways: {share} of their calls are answered in time");
-        assert!(well >= 500, "{n} gateways: {well} answered in time where 2500 could be");
+        assert!(in_time >= 500, "{n} gateways: {in_time} answered in time where 2500 could be");
     }
 }
 
@@ -234,27 +254,27 @@
     let mut settings = settings();
     settings.gateway_count = 100;
     let mut harness = GatewayHarness::new(settings);
-    let ask = |harness: &mut GatewayHarness, i: u32| {
+    let send = |harness: &mut GatewayHarness, i: u32| {
         let mut request = request(&format!("j{i}"), harness.now);
         request.customer_gateway_count = 100;
         request.customer = format!("c{i}").into();
         harness.handle(Event::Request(request))
     };
     // More requests at once than the call rate permits: the others are admitted by the even share, unreported.
-    let mut off = 0.0;
+    let mut unreported = 0.0;
     for i in 0..30 {
-        for (request_id, endpoint) in started_attempts(&ask(&mut harness, i)) {
-            off += 1.0;
+        for (request_id, endpoint) in started_attempts(&send(&mut harness, i)) {
+            unreported += 1.0;
             harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok);
         }
     }
-    assert!(off >= 20.0, "{off} sent off the count");
-    let mut told = 0.0;
+    assert!(unreported >= 20.0, "{unreported} sent off the count");
+    let mut reported = 0.0;
     for i in 30..90 {
         harness.now += 0.5;
-        for action in ask(&mut harness, i) {
+        for action in send(&mut harness, i) {
             let Action::AddToCounter { counter, amount, .. } = action else { continue };
-            told += amount - 1.0;
+            reported += amount - 1.0;
             for (request_id, endpoint) in
                 started_attempts(&harness.counter_replied(counter, Status::Ok, amount + 0.5))
             {
@@ -262,5 +282,5 @@
             }
         }
     }
-    assert!((0.5 * off..=off + 1e-6).contains(&told), "{told} told of {off}");
+    assert!((0.5 * unreported..=unreported + 1e-6).contains(&reported), "{reported} told of {unreported}");
 }
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -22,28 +22,43 @@
 /// Highest allowed cost, as a share of the weight requested inside quotas.
 const MAX_COST_SHARE: f64 = 0.1;
 
+/// An exact token bucket.
+struct TokenBucket {
+    level: f64,
+    updated_at: Time,
+}
+
+impl TokenBucket {
+    /// A full bucket.
+    fn new(plan: &Plan) -> Self {
+        Self { level: plan.burst, updated_at: 100.0 }
+    }
+
+    /// Takes `units` if the bucket holds as many.
+    fn take(&mut self, now: Time, plan: &Plan, units: f64) -> bool {
+        self.level = (self.level + plan.rate * (now - self.updated_at)).min(plan.burst);
+        self.updated_at = now;
+        let inside = self.level >= units;
+        self.level -= if inside { units } else { 0.0 };
+        inside
+    }
+}
+
 /// A customer with two exact token buckets: one for a single gateway that sees all requests, one for what the fleet
 /// sends.
 struct Customer {
     id: CustomerId,
     plan: usize,
-    spread: u32,
-    first: u32,
+    gateway_count: u32,
+    first_gateway: u32,
     /// Requests a second.
     rate: f64,
-    /// It asks for so many times as much now and then, from this second of every fifteen on.
-    spike: (f64, f64),
-    alone: (f64, Time),
-    fleet: (f64, Time),
-}
-
-/// Takes `units` from a token bucket if it holds as many.
-fn take((level, at): &mut (f64, Time), now: Time, plan: &Plan, units: f64) -> bool {
-    *level = (*level + plan.rate * (now - *at)).min(plan.burst);
-    *at = now;
-    let inside = *level >= units;
-    *level -= if inside { units } else { 0.0 };
-    inside
+    /// Factor of the rate during a spike of two seconds.
+    spike_factor: f64,
+    /// Second of every fifteen at which the spike starts.
+    spike_start: f64,
+    single_gateway_bucket: TokenBucket,
+    fleet_bucket: TokenBucket,
 }
 
 fn plans() -> Vec<Plan> {
@@ -77,11 +92,24 @@
         };
         let rate = usage * plans[plan].rate / 2.5;
         left -= rate;
-        let (spread, first) = (1.max((f64::from(n) * (0.5 + 0.5 * rng.f64())) as u32), rng.u32(0..n));
-        let spike = (if rng.u32(0..100) < 16 { 5.0 } else { 1.0 }, 15.0 * rng.f64());
-        let (alone, fleet) = ((plans[plan].burst, 100.0), (plans[plan].burst, 100.0));
+        let (gateway_count, first_gateway) =
+            (1.max((f64::from(n) * (0.5 + 0.5 * rng.f64())) as u32), rng.u32(0..n));
+        let spike_factor = if rng.u32(0..100) < 16 { 5.0 } else { 1.0 };
+        let spike_start = 15.0 * rng.f64();
         let id = format!("c{}", all.len()).into();
-        all.push(Customer { id, plan, spread, first, rate, spike, alone, fleet });
+        let single_gateway_bucket = TokenBucket::new(&plans[plan]);
+        let fleet_bucket = TokenBucket::new(&plans[plan]);
+        all.push(Customer {
+            id,
+            plan,
+            gateway_count,
+            first_gateway,
+            rate,
+            spike_factor,
+            spike_start,
+            single_gateway_bucket,
+            fleet_bucket,
+        });
     }
     all
 }
@@ -97,7 +125,7 @@
     settings.max_units = 4.0;
     settings.counter_timeout = 0.08;
     let gateways = fleet(settings.gateway_count, &settings, &running_endpoints(9.max(n * 2 / 3)));
-    let mut asked: BTreeMap<RequestId, (usize, f64)> = BTreeMap::new();
+    let mut requested: BTreeMap<RequestId, (usize, f64)> = BTreeMap::new();
     let counter = CounterModel::new(
         COUNTER_CALLS_PER_SECOND,
         COUNTER_ROUND_TRIP,
@@ -110,32 +138,35 @@
     while now < 100.0 + SECONDS {
         let mut sent = simulation.advance(now);
         for (c, customer) in customers.iter_mut().enumerate() {
-            let (times, from) = customer.spike;
-            let spikes = (from..from + 2.0).contains(&((now - 100.0) % 15.0));
-            if rng.f64() >= customer.rate * STEP * if spikes { times } else { 1.0 } {
+            let spike = customer.spike_start..customer.spike_start + 2.0;
+            let spikes = spike.contains(&((now - 100.0) % 15.0));
+            if rng.f64() >= customer.rate * STEP * if spikes { customer.spike_factor } else { 1.0 } {
                 continue;
             }
             number += 1;
             let (plan, units) = (&settings.plans[customer.plan], f64::from(rng.u32(1..=4)));
-            offered +=
-                if take(&mut customer.alone, now, plan, units) { units * plan.priority_weight } else { 0.0 };
+            offered += if customer.single_gateway_bucket.take(now, plan, units) {
+                units * plan.priority_weight
+            } else {
+                0.0
+            };
             // Uneven: a third of a customer's requests arrive at the first of its gateways.
-            let position = if rng.u32(0..3) == 0 { 0 } else { rng.u32(0..customer.spread) };
-            let gateway = ((customer.first + position) % n) as usize;
+            let position = if rng.u32(0..3) == 0 { 0 } else { rng.u32(0..customer.gateway_count) };
+            let gateway = ((customer.first_gateway + position) % n) as usize;
             let mut request = request(&format!("j{number}"), now);
             request.units = units;
             request.plan = customer.plan;
-            request.customer_gateway_count = customer.spread;
-            request.first_gateway = customer.first;
+            request.customer_gateway_count = customer.gateway_count;
+            request.first_gateway = customer.first_gateway;
             request.customer = customer.id.clone();
-            asked.insert(request.id.clone(), (c, units));
+            requested.insert(request.id.clone(), (c, units));
             sent.extend(simulation.handle(gateway, now, Event::Request(request)));
         }
         for request_id in sent {
-            let (c, units) = asked.remove(&request_id).expect("sent as it was asked");
+            let (c, units) = requested.remove(&request_id).expect("sent as it was asked");
             let customer = &mut customers[c];
             let plan = &settings.plans[customer.plan];
-            if take(&mut customer.fleet, now, plan, units) {
+            if customer.fleet_bucket.take(now, plan, units) {
                 served += units * plan.priority_weight;
             } else {
                 paid += plan.over_quota_cost_share * units * plan.priority_weight;
@@ -176,11 +207,11 @@
     let mut rng = fastrand::Rng::with_seed(7);
     let mut gateways = fleet(settings.gateway_count, &settings, &running_endpoints(9));
     let mut running: Vec<(Time, usize, RequestId, EndpointId)> = Vec::new();
-    let (mut asked, mut sent, mut beyond) = (0, 0, 0);
+    let (mut requested, mut sent, mut beyond) = (0, 0, 0);
     for step in 0..60_000 {
         let now = 100.0 + f64::from(step) * 0.001;
         if step == 30_000 {
-            asked = 0;
+            requested = 0;
             sent = 0;
             beyond = 0;
         }
@@ -198,7 +229,7 @@
         if rng.f64() >= rate * 0.001 {
             continue;
         }
-        asked += 1;
+        requested += 1;
         let i = rng.usize(0..n as usize);
         gateways[i].now = now;
         let mut request = request(&format!("j{step}"), now);
@@ -210,7 +241,7 @@
         }
         gateways[i].actions.clear();
     }
-    (f64::from(beyond) / f64::from(sent), f64::from(sent) / f64::from(asked))
+    (f64::from(beyond) / f64::from(sent), f64::from(sent) / f64::from(requested))
 }
 
 #[test]
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -63,7 +63,7 @@
 #[test]
 fn endpoint_out_of_maintenance_starts_slowly_and_is_used_within_seconds() {
     let mut harness = gateway_without_quota();
-    let ask = |harness: &mut GatewayHarness, tag: &str| {
+    let send_twenty = |harness: &mut GatewayHarness, tag: &str| {
         // Twenty requests a second, each answered at once.
         let mut to_a = 0;
         for i in 0..20 {
@@ -75,12 +75,12 @@
         }
         to_a
     };
-    let before: usize = (0..10).map(|i| ask(&mut harness, &format!("x{i}-"))).sum();
+    let before: usize = (0..10).map(|i| send_twenty(&mut harness, &format!("x{i}-"))).sum();
     assert!(before > 0, "it was used");
     set_maintenance(&mut harness, "a", true);
-    assert_eq!((0..3).map(|i| ask(&mut harness, &format!("y{i}-"))).sum::<usize>(), 0);
+    assert_eq!((0..3).map(|i| send_twenty(&mut harness, &format!("y{i}-"))).sum::<usize>(), 0);
     set_maintenance(&mut harness, "a", false);
-    let cold: Vec<usize> = (0..3).map(|i| ask(&mut harness, &format!("z{i}-"))).collect();
+    let cold: Vec<usize> = (0..3).map(|i| send_twenty(&mut harness, &format!("z{i}-"))).collect();
     assert!(cold.iter().sum::<usize>() > 0, "used within 3 s: {cold:?}");
     // Twenty units a second over three endpoints; at 0.2 of its capacity an endpoint gets a fraction of a third.
     assert!(cold[0] <= 4, "spared while it is cold: {cold:?}");
@@ -90,7 +90,7 @@
 fn slow_responses_of_endpoint_in_slow_start_do_not_raise_median_latency() {
     let mut harness = gateway_without_quota();
     // A hundred requests a second, answered quickly by all but "a".
-    let answer = |harness: &mut GatewayHarness, tag: &str, slow: f64| {
+    let median_after = |harness: &mut GatewayHarness, tag: &str, slow: f64| {
         let mut most: f64 = 0.0;
         for i in 0..200 {
             harness.now += 0.01;
@@ -103,9 +103,9 @@
         }
         most
     };
-    let quick = answer(&mut harness, "p", 0.02);
+    let quick = median_after(&mut harness, "p", 0.02);
     set_maintenance(&mut harness, "a", true);
     set_maintenance(&mut harness, "a", false);
-    let cold = answer(&mut harness, "q", 0.5);
+    let cold = median_after(&mut harness, "q", 0.5);
     assert!((cold - quick).abs() < 1e-9, "{cold} s after {quick} s, with one cold worker");
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -15,12 +15,22 @@
     }
 }
 
+/// An attempt that has not ended.
+struct RunningAttempt {
+    request_id: RequestId,
+    index: u32,
+    endpoint: EndpointId,
+    times_out_at: Time,
+}
+
+/// What surrounds the gateway, and what has happened so far.
 #[derive(Default)]
 struct World {
     deadline: BTreeMap<RequestId, Time>,
     ended: BTreeSet<RequestId>,
+    /// For each attempt of a request, whether it certainly never ran.
     attempts: BTreeMap<RequestId, Vec<bool>>,
-    running: Vec<(RequestId, u32, EndpointId, Time)>,
+    running: Vec<RunningAttempt>,
     calls: Vec<u64>,
     timers: Vec<(Time, u64)>,
     stopped: BTreeSet<EndpointId>,
@@ -36,12 +46,12 @@
                     assert!(!self.stopped.contains(endpoint), "sent to an endpoint that drains or is gone");
                     let attempts = self.attempts.entry(request_id.clone()).or_default();
                     assert!(!unsafe_class || attempts.iter().all(|never| *never), "may run twice");
-                    self.running.push((
-                        request_id.clone(),
-                        attempts.len() as u32,
-                        endpoint.clone(),
-                        now + timeout,
-                    ));
+                    self.running.push(RunningAttempt {
+                        request_id: request_id.clone(),
+                        index: attempts.len() as u32,
+                        endpoint: endpoint.clone(),
+                        times_out_at: now + timeout,
+                    });
                     attempts.push(false);
                 }
                 Action::Reject { request_id, .. } | Action::Fail { request_id } => {
@@ -81,9 +91,9 @@
             let actions = harness.handle(Event::Timer { token });
             world.check(harness.now, unsafe_class, &actions);
         }
-        while let Some(i) = world.running.iter().position(|o| o.3 <= harness.now) {
-            let (request_id, attempt, endpoint, _) = world.running.remove(i);
-            let actions = harness.attempt_ended(&request_id, attempt, &endpoint, Status::Timeout);
+        while let Some(i) = world.running.iter().position(|attempt| attempt.times_out_at <= harness.now) {
+            let RunningAttempt { request_id, index, endpoint, .. } = world.running.remove(i);
+            let actions = harness.attempt_ended(&request_id, index, &endpoint, Status::Timeout);
             world.check(harness.now, unsafe_class, &actions);
         }
         let actions = match dice.roll(10) {
@@ -98,16 +108,16 @@
             }
             4..7 if !world.running.is_empty() => {
                 let i = dice.roll(world.running.len() as u64) as usize;
-                let (request_id, attempt, endpoint, _) = world.running.remove(i);
+                let RunningAttempt { request_id, index, endpoint, .. } = world.running.remove(i);
                 let ends =
                     [Status::Ok, Status::Error, Status::Rejected, Status::ConnectFailed, Status::Reset];
                 let status = ends[dice.roll(5) as usize];
                 let never = matches!(status, Status::Rejected | Status::ConnectFailed);
-                world.attempts.get_mut(&request_id).expect("sent")[attempt as usize] = never;
+                world.attempts.get_mut(&request_id).expect("sent")[index as usize] = never;
                 if status == Status::Ok {
                     world.ended.insert(request_id.clone());
                 }
-                harness.attempt_ended(&request_id, attempt, &endpoint, status)
+                harness.attempt_ended(&request_id, index, &endpoint, status)
             }
             7 | 8 if !world.calls.is_empty() => {
                 let name = world.calls.remove(0);
@@ -134,7 +144,7 @@
         world.check(harness.now, unsafe_class, &actions);
     }
     for (request_id, deadline) in &world.deadline {
-        let is_running = world.running.iter().any(|o| o.0 == *request_id);
+        let is_running = world.running.iter().any(|attempt| attempt.request_id == *request_id);
         assert!(
             world.ended.contains(request_id) || is_running || *deadline > harness.now,
             "{request_id} was never answered"
