--- a/tests/ceiling_share.rs
+++ b/tests/ceiling_share.rs
@@ -20,7 +20,7 @@
         assert_eq!(
             counter.send_requests(&mut harness, "a", 30),
             0,
-            "its process before may have spent all of its share"
+            "the previous process may have spent its complete share"
         );
         harness.now += 100.0;
         let later = counter.send_requests(&mut harness, "b", 60);
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -37,8 +37,8 @@
         (forwarded.line.as_str(), forwarded.body.as_slice()),
         ("POST /submit HTTP/1.1", b"answer".as_slice())
     );
-    assert_eq!(first, second, "on the connection that was kept");
-    assert!(!forwarded.headers.contains_key("idempotency-key"), "none is made up");
+    assert_eq!(first, second, "on the pooled connection");
+    assert!(!forwarded.headers.contains_key("idempotency-key"), "none is added");
 }
 
 #[test]
@@ -69,7 +69,7 @@
         }
     };
     client.reader.get_ref().shutdown(Shutdown::Write).expect("a socket");
-    assert!(client.read_response().is_none(), "it closes too, without an answer");
+    assert!(client.read_response().is_none(), "the gateway closes without a response");
     // An idempotent request whose attempt fails would be retried if the client were still connected.
     gate.open();
     tried.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
@@ -131,15 +131,15 @@
     client.reader.get_mut().write_all(b"\x16\x03 nonsense\r\n\r\n").expect("a socket");
     assert_eq!(client.read_response().map(|response| response.status()), Some(400));
     let mut long = TestRequest::submit("long").header("Content-Length", "41943041");
-    assert_eq!(node.send_request(&long).status(), 413, "told beforehand");
+    assert_eq!(node.send_request(&long).status(), 413, "announced by its length");
     long = TestRequest::submit("long").header("Transfer-Encoding", "chunked");
     long.body = b"2800001\r\n".to_vec();
-    assert_eq!(node.send_request(&long).status(), 413, "found out");
+    assert_eq!(node.send_request(&long).status(), 413, "detected while reading");
     assert_eq!(node.send_request(&good().header("X-Lane", &"x".repeat(40_000))).status(), 431);
     assert!(endpoint.drain_requests().is_empty());
     let mut most = TestRequest::submit("most");
     most.body = vec![b'x'; 65537];
-    assert_eq!(node.send_request(&most).status(), 200, "more than is gathered whole is allowed");
+    assert_eq!(node.send_request(&most).status(), 200, "larger than the buffer is allowed");
 }
 
 #[test]
@@ -195,7 +195,7 @@
         client.send(&request);
         let received = client.read_until_closed();
         assert!(received.starts_with("HTTP/1.1 400 "), "{received}");
-        assert_eq!(received.matches("HTTP/1.1").count(), 1, "one answer, then the close: {received}");
+        assert_eq!(received.matches("HTTP/1.1").count(), 1, "one response, then the close: {received}");
     }
     assert!(endpoint.drain_requests().is_empty());
 }
@@ -213,7 +213,7 @@
     gate.open();
     assert_eq!(first.read_response().map(|response| response.status()), Some(200));
     assert_eq!(endpoint.drain_requests().len(), 0, "one attempt");
-    assert_eq!(node.send_request(&TestRequest::new("mine")).status(), 200, "it is free again");
+    assert_eq!(node.send_request(&TestRequest::new("mine")).status(), 200, "the id is free again");
 }
 
 #[test]
@@ -242,7 +242,7 @@
     assert_eq!(
         usual.send_request(&TestRequest::new("second")).status(),
         200,
-        "and the old one kept its connection"
+        "the earlier client keeps its connection"
     );
 }
 
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -25,16 +25,20 @@
     assert_eq!(
         (started_attempts(&actions).len(), rejected_count(&actions)),
         (2, 0),
-        "two of four at one of two gateways"
+        "two of four slots at one of two gateways"
     );
     let mut actions = started_attempts(&actions);
     for left in (0..6).rev() {
         harness.now += 0.05;
         let (request_id, endpoint) = actions.remove(0);
         actions.extend(started_attempts(&harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok)));
-        assert_eq!(actions.len(), left.min(2), "each that ends makes room for one");
+        assert_eq!(actions.len(), left.min(2), "each ended attempt frees a slot for one");
     }
-    assert_eq!(started_attempts(&counter.send_request(&mut harness, "k")).len(), 1, "all have ended");
+    assert_eq!(
+        started_attempts(&counter.send_request(&mut harness, "k")).len(),
+        1,
+        "all attempts have ended"
+    );
 }
 
 #[test]
@@ -65,11 +69,11 @@
     let (mut harness, mut counter, actions) = six_for_two_slots();
     let running = started_attempts(&actions);
     fire_timers(&mut harness, &mut counter, 100.5);
-    assert_eq!(rejected_count(&harness.actions), 4, "well before the aim of a second is over");
+    assert_eq!(rejected_count(&harness.actions), 4, "well within the latency objective of a second");
     for (request_id, endpoint) in running {
         assert!(
             started_attempts(&harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok)).is_empty(),
-            "none of them is sent any more"
+            "no queued request is sent any more"
         );
     }
     assert!(
@@ -84,7 +88,11 @@
     let (request_id, endpoint) = started_attempts(&actions).remove(0);
     harness.handle(AttemptEnd::new(&request_id, &endpoint).elapsed(0.7).event());
     let actions = counter.send_request(&mut harness, "late");
-    assert_eq!(rejected_count(&actions), 1, "two slots, three before it, and answers take most of a second");
+    assert_eq!(
+        rejected_count(&actions),
+        1,
+        "two slots, three queued before it, and responses take most of a second"
+    );
 }
 
 #[test]
--- a/tests/counter_connection.rs
+++ b/tests/counter_connection.rs
@@ -29,7 +29,7 @@
     // A burst of eight, and at most a share of four that is reported to the counter late. With counts kept
     // apart, as by different clocks or names, the gateways would serve sixteen.
     assert!((6..=12).contains(&served), "{served} served of a burst of 8");
-    assert!(counter.total() >= 5.0, "the count knows: {}", counter.total());
+    assert!(counter.total() >= 5.0, "reported to the counter: {}", counter.total());
 }
 
 #[test]
@@ -64,7 +64,7 @@
     assert_eq!(
         node.send_request(&request(1, "a")).status(),
         200,
-        "unseen: the share serves while the count is asked"
+        "new customer: admitted by the even share while the counter is called"
     );
     counter.next_call();
     // Six of the second customer's eight units exceed the even share, so its count must have been read. A request
@@ -72,11 +72,15 @@
     for i in 0..6 {
         let start = std::time::Instant::now();
         while node.send_request(&request(2, &format!("b{i}"))).status() != 200 {
-            assert!(start.elapsed() < WAIT_LIMIT, "refused by another's count");
+            assert!(start.elapsed() < WAIT_LIMIT, "rejected by the count of another customer");
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     }
-    assert_eq!(node.send_request(&request(1, "c")).status(), 429, "the first has had its own late answer");
+    assert_eq!(
+        node.send_request(&request(1, "c")).status(),
+        429,
+        "the late reply was applied to the first customer"
+    );
 }
 
 #[test]
--- a/tests/discovery_connection.rs
+++ b/tests/discovery_connection.rs
@@ -49,7 +49,7 @@
     discovery.set_silent(true);
     let node = builder.start();
     discovery.next_call();
-    assert_eq!(node.send_request(&TestRequest::new("a")).body, b"old", "what was known at the start serves");
+    assert_eq!(node.send_request(&TestRequest::new("a")).body, b"old", "the configured list serves");
     node.wait_for_log("no answer");
     discovery.set_silent(false);
     discovery.set_invalid(true);
@@ -70,11 +70,11 @@
     config["known"]["version"] = 1.into();
     let node = builder.start_with_config(&config.to_string(), &LaunchOptions::default());
     for _ in 0..3 {
-        assert_eq!(discovery.next_call(), 1, "never the whole list");
+        assert_eq!(discovery.next_call(), 1, "never the complete list");
     }
     assert_eq!(node.send_request(&TestRequest::new("a")).status(), 200);
     discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", endpoint.addr, "DRAINING")));
-    assert_eq!(node.send_request(&TestRequest::new("b")).status(), 429, "and the watch tells what changes");
+    assert_eq!(node.send_request(&TestRequest::new("b")).status(), 429, "the watch delivers changes");
 }
 
 #[test]
@@ -130,7 +130,7 @@
         let node = builder.start();
         let (mut socket, _) = old.accept().expect("a call");
         let mut calls = BufReader::new(socket.try_clone().expect("a socket"));
-        read_message(&mut calls).expect("a call for the whole list");
+        read_message(&mut calls).expect("a call for the complete list");
         let entries =
             [endpoint_entry("w0", draining.addr, "DRAINING"), endpoint_entry("w1", serving.addr, "SERVING")];
         let body = json!({"version": 7, "full": true, "servers": entries}).to_string();
@@ -144,7 +144,10 @@
         socket.write_all(second.as_bytes()).expect("it reads on");
         let (moved, _) = new.accept().expect("the move's call");
         let call = read_message(&mut BufReader::new(moved)).expect("a call");
-        assert_eq!(call.line, "GET /discovery/hosts HTTP/1.1", "the whole list, as its versions are its own");
+        assert_eq!(
+            call.line, "GET /discovery/hosts HTTP/1.1",
+            "the complete list, as versions of another service are not comparable"
+        );
         for i in 0..20 {
             assert_eq!(node.send_request(&TestRequest::new(&format!("m{i}"))).body, b"well", "half: {half}");
         }
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -109,7 +109,7 @@
             let after = thread.join().expect("no panic inside");
             assert!(
                 after + CONNECT_DELAY_ALLOWANCE < NOTIFICATION_LIMIT,
-                "{mode}, {gateways} gateways, {stage:?}: asked again after {after:?}"
+                "{mode}, {gateways} gateways, {stage:?}: next call after {after:?}"
             );
         }
     });
--- a/tests/endpoint_attempts.rs
+++ b/tests/endpoint_attempts.rs
@@ -56,7 +56,7 @@
         builder.known_endpoints[1]["state"] = json!("SERVING");
         discovery.wait_until_applied(discovery.update_entry(builder.known_endpoints[1].clone()));
         gate.open();
-        assert_eq!(client.read_response().expect("a whole answer").status(), status, "{other}");
+        assert_eq!(client.read_response().expect("a complete response").status(), status, "{other}");
         assert_eq!(second.drain_requests().len(), sent, "{other}");
     }
 }
--- a/tests/endpoint_pool.rs
+++ b/tests/endpoint_pool.rs
@@ -33,7 +33,7 @@
     idle();
     assert_eq!(send("b"), 502, "it may have run");
     for txn in ["c", "d", "e"] {
-        assert_eq!(send(txn), 200, "a new connection, as the last one idled");
+        assert_eq!(send(txn), 200, "a new connection, as the pooled one was idle for too long");
         idle();
     }
 }
@@ -47,7 +47,11 @@
     let mut client = node.connect();
     assert_eq!(client.send_request(&TestRequest::submit("i")).status(), 200);
     endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(0)));
-    assert_eq!(client.send_request(&TestRequest::submit("j")).status(), 200, "the next has a new one");
+    assert_eq!(
+        client.send_request(&TestRequest::submit("j")).status(),
+        200,
+        "the next request has a new connection"
+    );
 }
 
 #[test]
--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -24,7 +24,7 @@
     assert_eq!(
         rejected_count(&harness.send_request("last")),
         1,
-        "with all endpoints gone it is refused, not held"
+        "without endpoints it is rejected, not queued"
     );
 }
 
@@ -40,7 +40,7 @@
             harness.attempt_ended(&request_id, 0, &to, Status::Ok);
         }
     }
-    assert!(cold <= 12, "{cold} of 90 went to the cold one of three endpoints");
+    assert!(cold <= 12, "{cold} of 90 went to the one of three endpoints in slow start");
 }
 
 #[test]
@@ -58,7 +58,7 @@
     harness.attempt_ended("j1", 0, &"a".into(), Status::Ok);
     let sent =
         (2..20).map(|i| started_attempts(&harness.send_request(&format!("j{i}"))).len()).sum::<usize>();
-    assert!(sent <= 1, "{sent} sent at once to an endpoint that may be cold");
+    assert!(sent <= 1, "{sent} sent at once to an endpoint in slow start");
 }
 
 #[test]
@@ -78,7 +78,7 @@
     }
     let sent =
         (2..20).map(|i| started_attempts(&harness.send_request(&format!("j{i}"))).len()).sum::<usize>();
-    assert!(sent >= 4, "{sent} sent at once to an endpoint that answered after each pair of failures");
+    assert!(sent >= 4, "{sent} sent at once to an endpoint that responded after each pair of failures");
 }
 
 #[test]
@@ -104,7 +104,7 @@
     };
     harness.attempt_ended("j0", 0, &first, Status::ConnectFailed);
     harness.attempt_ended("j0", 1, &other, Status::Ok);
-    assert!(tried(&mut harness, 1) > 0, "it is still sent to");
+    assert!(tried(&mut harness, 1) > 0, "not ejected");
     for i in 100.. {
         let request_id = format!("j{i}");
         if started_attempts(&harness.send_request(&request_id)).first().is_some_and(|(_, to)| *to == first) {
@@ -123,7 +123,7 @@
         }
         harness.attempt_ended(&request_id, 0, &other, Status::Ok);
     }
-    assert_eq!(tried(&mut harness, 300), 0, "it is out");
+    assert_eq!(tried(&mut harness, 300), 0, "ejected");
 }
 
 #[test]
@@ -157,7 +157,7 @@
             harness.attempt_ended(&request_id, 0, &to, if errs { Status::Error } else { Status::Ok });
         }
     }
-    assert!(erred <= 20, "{erred} of 200 went to the one of three endpoints that errs on them");
+    assert!(erred <= 20, "{erred} of 200 went to the one of three endpoints that fails them");
     assert!(good >= 40, "{good} of 200 of the other class went to it");
     harness.now += 20.0;
     let back = (0..60).filter(|i| {
@@ -170,7 +170,7 @@
         }
         sent.iter().any(|(_, to)| &**to == "a")
     });
-    assert!(back.count() >= 10, "what is mended is used again");
+    assert!(back.count() >= 10, "used again after recovery");
 }
 
 /// How many of `n` simultaneous requests are sent, at endpoints whose response time was `idle` seconds and then
@@ -194,7 +194,7 @@
     let pressed = sent_at_once(0.15, 0.9, 40);
     assert!(
         slow >= 6,
-        "{slow} sent at once to three idle endpoints with an answer's time of 0.15 of the aim"
+        "{slow} sent at once to three idle endpoints with a response time of 0.15 of the latency objective"
     );
-    assert!(pressed * 3 <= slow * 2, "{pressed} sent where answers take six times as long, {slow} before");
+    assert!(pressed * 3 <= slow * 2, "{pressed} sent where responses take six times as long, {slow} before");
 }
--- a/tests/fleet_discovery.rs
+++ b/tests/fleet_discovery.rs
@@ -87,7 +87,7 @@
 fn simultaneous_start_does_not_overload_discovery() {
     for n in [1, 3, 12, 30, 100] {
         let FleetStart { seconds: last, calls } = start_fleet(n);
-        assert!(last <= 0.1 * f64::from(n).max(3.0), "{n} gateways: the last is told after {last} s");
+        assert!(last <= 0.1 * f64::from(n).max(3.0), "{n} gateways: the last has the list after {last} s");
         assert!(calls <= 2 * n as usize, "{n} gateways: {calls} calls");
     }
 }
--- a/tests/fleet_load.rs
+++ b/tests/fleet_load.rs
@@ -45,8 +45,8 @@
         * settings.slow_start_initial_share
         * units_per_endpoint_second
         * settings.overload_window;
-    assert!(to_cold > 0.0, "a cold endpoint is not left idle");
-    assert!(to_cold <= may, "{to_cold} sent in the fall span, {may} would push it over");
+    assert!(to_cold > 0.0, "an endpoint in slow start is used");
+    assert!(to_cold <= may, "{to_cold} sent in the overload window, {may} would overload it");
 }
 
 #[test]
@@ -59,7 +59,7 @@
     assert!((2..=12).contains(&all.len()), "{} endpoints used", all.len());
     let firsts: BTreeSet<EndpointId> =
         gateways.iter_mut().filter_map(|harness| send_one(harness, "first", 1)).collect();
-    assert!(firsts.len() >= 30, "together they use the fleet: {}", firsts.len());
+    assert!(firsts.len() >= 30, "together the gateways use most endpoints: {}", firsts.len());
 }
 
 /// How many of 300 requests one gateway rejects at once when `lost` in ten attempts get no response.
@@ -86,11 +86,11 @@
 fn lost_responses_do_not_shed_load_but_timeouts_of_most_endpoints_do() {
     assert!(
         rejected_when_lost(4) <= 3,
-        "four lost in ten turn nearly nobody away: {}",
+        "four lost in ten cause nearly no rejection: {}",
         rejected_when_lost(4)
     );
-    let turned_away = rejected_when_lost(8);
-    assert!(turned_away >= 30, "{turned_away} turned away at once when eight in ten time out");
+    let rejected = rejected_when_lost(8);
+    assert!(rejected >= 30, "{rejected} rejected at once when eight in ten time out");
 }
 
 /// Rates of requests to one endpoint, a second.
@@ -151,7 +151,10 @@
         let (mean, most) = (rates.mean_in_slow_start, rates.highest_in_slow_start);
         let before = rates.mean_before;
         // At an age of 3 to 6 s of the window of 10 s, an endpoint has 0.44 to 0.68 of its capacity.
-        assert!(mean >= 0.2 * before, "{n} gateways: {mean} to a cold endpoint, {before} to any before");
+        assert!(
+            mean >= 0.2 * before,
+            "{n} gateways: {mean} to an endpoint in slow start, {before} to any before"
+        );
         assert!(most <= 2.0 * 0.44 * before * 2.0, "{n} gateways: {most} to one, {before} to any before");
     }
 }
@@ -244,8 +247,8 @@
 fn overloaded_counter_gets_limited_call_rate() {
     for n in [1, 3, 12, 100] {
         let (share, in_time) = counted_in_time(n);
-        assert!(share >= 0.5, "{n} gateways: {share} of their calls are answered in time");
-        assert!(in_time >= 500, "{n} gateways: {in_time} answered in time where 2500 could be");
+        assert!(share >= 0.5, "{n} gateways: {share} of their calls get a reply in time");
+        assert!(in_time >= 500, "{n} gateways: {in_time} replies in time of 2500 possible");
     }
 }
 
@@ -268,7 +271,7 @@
             harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok);
         }
     }
-    assert!(unreported >= 20.0, "{unreported} sent off the count");
+    assert!(unreported >= 20.0, "{unreported} sent unreported");
     let mut reported = 0.0;
     for i in 30..90 {
         harness.now += 0.5;
@@ -282,5 +285,8 @@
             }
         }
     }
-    assert!((0.5 * unreported..=unreported + 1e-6).contains(&reported), "{reported} told of {unreported}");
+    assert!(
+        (0.5 * unreported..=unreported + 1e-6).contains(&reported),
+        "{reported} reported of {unreported}"
+    );
 }
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -163,7 +163,7 @@
             sent.extend(simulation.handle(gateway, now, Event::Request(request)));
         }
         for request_id in sent {
-            let (c, units) = requested.remove(&request_id).expect("sent as it was asked");
+            let (c, units) = requested.remove(&request_id).expect("a request that was made");
             let customer = &mut customers[c];
             let plan = &settings.plans[customer.plan];
             if customer.fleet_bucket.take(now, plan, units) {
@@ -180,8 +180,11 @@
 fn assert_over_quota_cost(fleets: &[u32]) {
     for n in fleets {
         let (cost, share) = over_quota(*n);
-        eprintln!("{n} gateways: {cost:.3} of the worth, {share:.3} sent");
-        assert!(cost <= MAX_COST_SHARE, "{n} gateways pay {cost:.3} of the worth asked for inside quotas");
+        eprintln!("{n} gateways: {cost:.3} of the weight, {share:.3} sent");
+        assert!(
+            cost <= MAX_COST_SHARE,
+            "{n} gateways: cost of {cost:.3} of the weight requested inside quotas"
+        );
         assert!(share >= 0.5, "{n} gateways send {share:.3} of it");
     }
 }
@@ -249,10 +252,10 @@
     for n in [30, 100, 300] {
         // Four times the rate that would use the concurrency limit fully.
         let (beyond, sent) = over_concurrency_limit(n, 240.0);
-        assert!(beyond <= 0.25, "{n} gateways: {beyond:.2} of what is sent is beyond the cap");
+        assert!(beyond <= 0.25, "{n} gateways: {beyond:.2} of the attempts exceed the concurrency limit");
         assert!(sent >= 0.05, "{n} gateways: {sent:.2} is sent");
         let (beyond, sent) = over_concurrency_limit(n, 8.0);
         assert!(sent >= 0.9, "{n} gateways: {sent:.2} of a light customer's is sent");
-        assert!(beyond <= 0.02, "{n} gateways: {beyond:.2} of it beyond the cap");
+        assert!(beyond <= 0.02, "{n} gateways: {beyond:.2} of its attempts exceed the concurrency limit");
     }
 }
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -74,13 +74,13 @@
     }
     drop(node);
     let file = temp_dir.path.join("oliverack-n0.out.json");
-    let whole = std::fs::read_to_string(&file).expect("it was kept");
+    let whole = std::fs::read_to_string(&file).expect("the stored file");
     for text in [&whole[..whole.len() / 2], "", "[]", &whole.replace("n0", "n1"), &whole.replace(":1", ":2")]
     {
         std::fs::write(&file, text).expect("a writable folder");
         let node = start();
         assert_eq!(node.send_request(&TestRequest::submit("b")).status(), 200);
-        assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200, "and is replaced");
+        assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200, "the corrupt file is replaced");
     }
 }
 
@@ -98,7 +98,7 @@
     // The file names of the earlier program.
     let predecessor = start();
     assert_eq!(predecessor.operator_call("PUT /workers/w0/maint").status(), 200);
-    rename("oliverack-n0.out.json", "earlier-n0.out.json").expect("it was kept");
+    rename("oliverack-n0.out.json", "earlier-n0.out.json").expect("the stored file");
     let name = format!("n0.{}.sock", predecessor.child.id());
     rename(&format!("oliverack-{name}"), &format!("earlier-{name}")).expect("its socket");
     // The file of another node whose name has the same end.
@@ -178,7 +178,7 @@
             .map(|i| predecessor.send_request(&TestRequest::submit(&format!("{tag}{i}"))).body)
             .collect::<Vec<_>>()
     };
-    assert!(response_bodies("a").iter().all(|b| b == b"two"), "whichever takes it");
+    assert!(response_bodies("a").iter().all(|b| b == b"two"), "whichever process accepts the client");
     assert_eq!(successor.operator_call("PUT /workers/w0/ready").status(), 200);
     predecessor.wait_for_log("taken out of maintenance endpoint=w0");
     assert_eq!(successor.operator_call("PUT /workers/w1/maint").status(), 200);
@@ -190,7 +190,10 @@
     third.wait_for_log("processes=1");
     for i in 0..20 {
         let response = third.send_request(&TestRequest::submit(&format!("c{i}")));
-        assert!(response.status() == 429 || response.body == b"one", "w1 is out, w0 may be cold");
+        assert!(
+            response.status() == 429 || response.body == b"one",
+            "w1 is in maintenance, w0 may be in slow start"
+        );
     }
 }
 
@@ -215,7 +218,7 @@
         let response = client.send_request(&TestRequest::new(&format!("c{i}")));
         assert_eq!((response.status(), response.header("connection")), (200, "close"));
     }
-    assert!(predecessor.wait_for_exit().success(), "after its last answer");
+    assert!(predecessor.wait_for_exit().success(), "after its last response");
     successor.wait_for_log("processes=1");
 }
 
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -13,7 +13,7 @@
     assert_eq!(
         (started_attempts(&actions).len(), counter_calls(&actions).len()),
         (1, 1),
-        "sent at once, while the count is asked"
+        "sent at once, while the counter is called"
     );
 }
 
@@ -25,7 +25,7 @@
     assert_eq!(
         (rejected_count(&actions), counter_calls(&actions).len()),
         (1, 0),
-        "a level known to be nothing needs no call"
+        "an empty quota needs no call"
     );
     assert!(matches!(actions[0], Action::Reject { retry_after, .. } if retry_after > 0.0));
 }
@@ -39,7 +39,7 @@
         sent += counter.send_requests(&mut one, &format!("a{i}-"), 1);
         sent += counter.send_requests(&mut two, &format!("b{i}-"), 1);
     }
-    assert!((18..=21).contains(&sent), "{sent} sent of a burst of 20 (one unit may be off the count)");
+    assert!((18..=21).contains(&sent), "{sent} sent of a burst of 20 (one unit may be unreported)");
 }
 
 #[test]
@@ -62,7 +62,7 @@
     harness.now += 0.3;
     let sent = counter.send_requests(&mut harness, "b", 60);
     assert!(sent <= 4, "{sent} sent after 0.3 s at 10 a second");
-    assert!(counter.total() > 15.0, "what had been used is put back on the count");
+    assert!(counter.total() > 15.0, "the used units are reported again");
 }
 
 #[test]
@@ -80,19 +80,19 @@
 fn units_of_rejected_counter_call_are_reported_by_next_call() {
     for status in [Status::Rejected, Status::ConnectFailed] {
         let mut harness = GatewayHarness::new(settings());
-        let (mut sent, mut told) = (0, 0.0);
+        let (mut sent, mut reported) = (0, 0.0);
         for i in 0..6 {
             harness.now += 0.375;
             let before = sent;
             let mut actions = harness.send_request(&format!("s{i}"));
             for (name, step) in counter_calls(&actions) {
-                assert!(step >= before as f64, "{status:?}: {step} told, {before} sent off the count");
-                told = step;
+                assert!(step >= before as f64, "{status:?}: {step} reported, {before} sent unreported");
+                reported = step;
                 actions.extend(harness.counter_replied(name, status, 0.0));
             }
             sent += started_attempts(&actions).len();
         }
-        assert!(sent >= 4 && told >= 4.0, "{sent} sent, {told} told at last");
+        assert!(sent >= 4 && reported >= 4.0, "{sent} sent, {reported} reported by the last call");
     }
 }
 
@@ -145,5 +145,5 @@
     // Windows are eight seconds here, so the rest of the lease is of an old one.
     harness.now += 30.0;
     let actions = harness.send_request("b");
-    assert_eq!(counter_calls(&actions).len(), 1, "an old lease covers nothing: the count is asked");
+    assert_eq!(counter_calls(&actions).len(), 1, "an expired lease covers nothing: the counter is called");
 }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -83,7 +83,7 @@
     let cold: Vec<usize> = (0..3).map(|i| send_twenty(&mut harness, &format!("z{i}-"))).collect();
     assert!(cold.iter().sum::<usize>() > 0, "used within 3 s: {cold:?}");
     // Twenty units a second over three endpoints; at 0.2 of its capacity an endpoint gets a fraction of a third.
-    assert!(cold[0] <= 4, "spared while it is cold: {cold:?}");
+    assert!(cold[0] <= 4, "reduced share in slow start: {cold:?}");
 }
 
 #[test]
@@ -107,5 +107,5 @@
     set_maintenance(&mut harness, "a", true);
     set_maintenance(&mut harness, "a", false);
     let cold = median_after(&mut harness, "q", 0.5);
-    assert!((cold - quick).abs() < 1e-9, "{cold} s after {quick} s, with one cold worker");
+    assert!((cold - quick).abs() < 1e-9, "{cold} s after {quick} s, with one endpoint in slow start");
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -66,7 +66,7 @@
     let (builder, discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
     let node = builder.start();
     assert_eq!(node.operator_call("PUT /workers/w0/maint").status(), 200);
-    assert_eq!(node.operator_call("PUT /workers/w%30/maint").status(), 200, "the same, twice");
+    assert_eq!(node.operator_call("PUT /workers/w%30/maint").status(), 200, "idempotent");
     // The endpoint list says that it is running.
     discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", one.addr, "SERVING")));
     for i in 0..20 {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -43,7 +43,7 @@
             match action {
                 Action::StartAttempt { request_id, endpoint, timeout, .. } => {
                     assert!(!self.ended.contains(request_id), "sent after its end");
-                    assert!(!self.stopped.contains(endpoint), "sent to an endpoint that drains or is gone");
+                    assert!(!self.stopped.contains(endpoint), "sent to a draining or deleted endpoint");
                     let attempts = self.attempts.entry(request_id.clone()).or_default();
                     assert!(!unsafe_class || attempts.iter().all(|never| *never), "may run twice");
                     self.running.push(RunningAttempt {
@@ -57,7 +57,7 @@
                 Action::Reject { request_id, .. } | Action::Fail { request_id } => {
                     let clean = self.attempts.get(request_id).is_none_or(|a| a.iter().all(|never| *never));
                     let refuses = matches!(action, Action::Reject { .. });
-                    assert!(!(unsafe_class && refuses) || clean, "refused though it may have run");
+                    assert!(!(unsafe_class && refuses) || clean, "rejected though it may have run");
                     assert!(self.ended.insert(request_id.clone()), "ended twice");
                     assert!(now <= self.deadline[request_id] + 0.008, "answered too late");
                 }
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -102,7 +102,7 @@
     }
     let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
     for i in 0..41 {
-        assert_eq!(client.read_response().expect("a whole answer").status(), 200, "{i}");
+        assert_eq!(client.read_response().expect("a complete response").status(), 200, "{i}");
     }
     assert_eq!(endpoint.drain_requests().len(), 41);
 }
@@ -143,7 +143,7 @@
     client.send(&upload);
     saturated.wait_for_pending_connections(1);
     let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
-    assert_eq!(client.read_response().expect("a whole answer").status(), 200);
+    assert_eq!(client.read_response().expect("a complete response").status(), 200);
     assert!(endpoint.next_request().1.body == upload.body, "unchanged");
 }
 
@@ -164,7 +164,7 @@
     }
     saturated.wait_for_pending_connections(1);
     let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
-    assert_eq!(held.read_response().expect("a whole answer").status(), 200);
+    assert_eq!(held.read_response().expect("a complete response").status(), 200);
     assert_eq!(endpoint.drain_requests().len(), 1);
 }
 
@@ -187,7 +187,7 @@
     saturated.wait_for_pending_connections(1);
     healthy.next_request();
     gate.open();
-    assert_eq!(client.read_response().expect("a whole answer").status(), 200);
+    assert_eq!(client.read_response().expect("a complete response").status(), 200);
     saturated.wait_until_abandoned();
 }
 
@@ -239,7 +239,7 @@
     // The process has found both the connection and the end of the window at once.
     node.wait_for_log("configuration reloaded");
     gate.open();
-    assert_eq!(client.read_response().expect("a whole answer").body, b"waited");
+    assert_eq!(client.read_response().expect("a complete response").body, b"waited");
     assert_eq!(opened.expect("set above").drain_requests().len(), 0);
 }
 
@@ -265,7 +265,7 @@
         }
         discovery.wait_until_applied(discovery.update_entry(changed_entry));
         let saturated = saturated.open(EndpointBehaviour::Respond("late"));
-        let response = client.read_response().expect("a whole answer");
+        let response = client.read_response().expect("a complete response");
         assert_eq!((response.status(), response.body.as_slice()), (200, b"elsewhere".as_slice()), "{news}");
         assert_eq!(saturated.drain_requests().len(), 0, "{news}");
     }
@@ -299,7 +299,7 @@
     let all: Vec<u8> = (0..20).flat_map(|i| TestRequest::new(&format!("r{i}")).to_bytes()).collect();
     client.reader.get_mut().write_all(&all).expect("it reads");
     for i in 0..20 {
-        assert_eq!(client.read_response().expect("a whole answer").status(), 200, "{i}");
+        assert_eq!(client.read_response().expect("a complete response").status(), 200, "{i}");
     }
     for gap in gaps.try_iter().flatten() {
         assert!(gap >= Duration::from_millis(10), "again after {gap:?}");
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -40,7 +40,7 @@
     assert_eq!(
         held.read_response().map(|response| response.status()),
         Some(200),
-        "what was in hand is answered"
+        "the request in flight is answered"
     );
 }
 
--- a/tests/replicas.rs
+++ b/tests/replicas.rs
@@ -82,8 +82,8 @@
                 (0..9).flat_map(|i| started_attempts(&harness.send_request(&format!("{tag}{i}")))).collect();
             went.iter().filter(|(_, endpoint)| &**endpoint == id).count()
         };
-        assert_eq!(to("a", &mut successor, "x"), 0, "left out");
-        assert!(to("b", &mut successor, "y") <= 1, "cold");
+        assert_eq!(to("a", &mut successor, "x"), 0, "in maintenance");
+        assert!(to("b", &mut successor, "y") <= 1, "in slow start");
         assert_eq!(successor.gateway.snapshot().in_maintenance, snapshot.in_maintenance);
     }
 }
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -13,11 +13,11 @@
 fn finished_request_ignores_later_events() {
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     let (_, endpoint) = started_attempts(&harness.send_request("j")).remove(0);
-    assert!(harness.send_request("j").is_empty(), "an id is taken once");
+    assert!(harness.send_request("j").is_empty(), "an id is accepted once");
     harness.attempt_ended("j", 0, &endpoint, Status::Ok);
     assert!(
         harness.attempt_ended("j", 0, &endpoint, Status::Error).is_empty(),
-        "a late outcome leads to nothing"
+        "a late outcome causes no action"
     );
     assert!(harness.handle(Event::ClientDisconnected { request_id: "j".into() }).is_empty());
 }
@@ -29,7 +29,10 @@
     settings.plans[0].burst = 1.0;
     let mut harness = GatewayHarness::new(settings);
     let actions = harness.send_request("j");
-    assert!(started_attempts(&actions).is_empty() && rejected_count(&actions) == 0, "held for the counter");
+    assert!(
+        started_attempts(&actions).is_empty() && rejected_count(&actions) == 0,
+        "waiting for the counter"
+    );
     let timer = actions.iter().find_map(|a| match a {
         Action::SetTimer { token, at } => Some((*token, *at)),
         _ => None,
@@ -64,7 +67,7 @@
     );
     let (_, endpoint) = started_attempts(&harness.send_request("k")).remove(0);
     let actions = harness.attempt_ended("k", 0, &endpoint, Status::Rejected);
-    assert_eq!(started_attempts(&actions).len(), 1, "one that surely never ran goes out again");
+    assert_eq!(started_attempts(&actions).len(), 1, "an attempt that certainly never ran is retried");
 }
 
 #[test]
@@ -81,13 +84,13 @@
     let zone = |id: &EndpointId| usize::from(id.as_ref() >= "c");
     let (_, first) = started_attempts(&harness.send_request("j")).remove(0);
     let (_, second) = started_attempts(&harness.attempt_ended("j", 0, &first, Status::Error)).remove(0);
-    assert_eq!(zone(&first), zone(&second), "only the group discards the repeat");
+    assert_eq!(zone(&first), zone(&second), "only this scope deduplicates the retry");
     harness.now += 2.0;
     let actions = harness.attempt_ended("j", 1, &second, Status::Error);
     assert_eq!(
         (started_attempts(&actions).len(), rejected_count(&actions), failed_count(&actions)),
         (0, 0, 1),
-        "the group has forgotten it"
+        "the window of its scope has passed"
     );
 }
 
@@ -103,7 +106,7 @@
         let mut harness =
             GatewayHarness::new(settings_without_quota(Effect::IdempotencyKey { scope: group, window: 1.0 }));
         let actions = harness.send_request("j");
-        assert_eq!(until(&actions), None, "the first repeats nothing");
+        assert_eq!(until(&actions), None, "the first attempt is no retry");
         let (_, first) = started_attempts(&actions).remove(0);
         harness.now += 0.4;
         // The first attempt may have run since it was sent, so the window of the last starts there, too.
@@ -137,7 +140,7 @@
         let actions = harness.handle(Event::ClientDisconnected { request_id: request_id.into() });
         assert!(
             started_attempts(&actions).is_empty() && rejected_count(&actions) + failed_count(&actions) == 0,
-            "nothing is owed"
+            "no response is due"
         );
     };
     let timers = |actions: &[Action]| -> Vec<(u64, Time)> {
@@ -170,7 +173,7 @@
     let mut harness = GatewayHarness::new(settings);
     let (_, endpoint) = started_attempts(&harness.send_request("first")).remove(0);
     let actions = harness.send_request("waits");
-    assert!(started_attempts(&actions).is_empty() && rejected_count(&actions) == 0, "it waits for the slot");
+    assert!(started_attempts(&actions).is_empty() && rejected_count(&actions) == 0, "queued for the slot");
     left(&mut harness, "waits");
     assert!(started_attempts(&harness.attempt_ended("first", 0, &endpoint, Status::Ok)).is_empty());
     for (token, at) in timers(&actions) {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -45,8 +45,8 @@
     }
     // Every complete request is answered, on old and new connections.
     for client in idle.iter_mut().step_by(3) {
-        let status = client.read_response().expect("a whole answer").status();
-        assert!(matches!(status, 200 | 429), "{status}, though so many at once may be refused");
+        let status = client.read_response().expect("a complete response").status();
+        assert!(matches!(status, 200 | 429), "{status}, though excess requests may be rejected");
     }
     let before = processor_time(&node);
     std::thread::sleep(Duration::from_secs(1));
@@ -67,7 +67,7 @@
         resting += usize::from(response.is_some());
         assert!(response.is_none_or(|a| a.body == b"well" || a.status() == 429));
     }
-    assert!(resting > 0, "some have been kept");
+    assert!(resting > 0, "some idle connections stay open");
     assert_eq!(node.send_request(&TestRequest::new("last")).body, b"well");
     counter.calls.recv_timeout(WAIT_LIMIT).expect("a call");
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -35,7 +35,7 @@
     assert_eq!(
         client.read_response().map(|response| response.status()),
         Some(502),
-        "though its client would wait for 25 s"
+        "within the client's deadline of 25 s"
     );
     assert!(node.wait_for_exit().success());
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -152,8 +152,11 @@
         for capacity in [2.0, 20.0] {
             let scenario = Scenario { gateways, endpoints, capacity, load, every, surge };
             let (worst, share) = worst(scenario);
-            assert!(worst <= 0.0, "{scenario:?}: {worst} more than its budget and chance");
-            assert!(share >= 0.05, "{scenario:?}: a cold endpoint is sent {share} of what is asked of one");
+            assert!(worst <= 0.0, "{scenario:?}: {worst} more than its allowance and chance");
+            assert!(
+                share >= 0.05,
+                "{scenario:?}: an endpoint in slow start gets {share} of the load of an endpoint"
+            );
         }
     }
 }
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -137,8 +137,8 @@
             "{}",
             received.len()
         );
-        assert!(!received.ends_with(b"0\r\n\r\n"), "not told as whole");
-        assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "begun once");
+        assert!(!received.ends_with(b"0\r\n\r\n"), "not marked as complete");
+        assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "one attempt");
         one.set_behaviour(EndpointBehaviour::Respond("ok"));
         two.set_behaviour(EndpointBehaviour::Respond("ok"));
         assert_eq!(node.send_request(&TestRequest::new("b")).status(), 200);
@@ -158,7 +158,7 @@
     // Long enough for the response to be streamed; the assertion holds also if it is not yet.
     std::thread::sleep(std::time::Duration::from_millis(300));
     gate.open();
-    let response = client.read_response().expect("a client that has got nothing is told");
+    let response = client.read_response().expect("a response, as nothing was delivered yet");
     assert!(response.status() >= 500, "{}", response.line);
 }
 
@@ -197,9 +197,9 @@
     client.reader.get_ref().shutdown(Shutdown::Write).expect("a socket");
     let mut received = Vec::new();
     let _ = client.reader.read_to_end(&mut received);
-    assert!(received.is_empty(), "it has gone");
+    assert!(received.is_empty(), "no response to a disconnected client");
     endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
-    assert!(endpoint.drain_requests().is_empty(), "no request came whole");
+    assert!(endpoint.drain_requests().is_empty(), "no complete request arrived");
     assert_eq!(node.send_request(&TestRequest::submit("next")).status(), 200);
 }
 
@@ -228,7 +228,7 @@
         assert!(matches!(status, 100 | 429));
         status == 429
     });
-    assert!(refused, "at once, without its body");
+    assert!(refused, "rejected at once, without its body");
 }
 
 #[test]
@@ -255,5 +255,5 @@
     request.body = text(4 << 20).into_bytes();
     let mut client = node.connect();
     client.reader.get_mut().write_all(&request.to_bytes()).expect("all of it is read");
-    assert_eq!(client.read_response().map(|response| response.status()), Some(429), "it never ran");
+    assert_eq!(client.read_response().map(|response| response.status()), Some(429), "the request never ran");
 }
