--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -3,8 +3,8 @@
 use crate::process::{
     Error,
     stand_in_counter::StandInCounter,
-    stand_in_discovery::{Entry, List, StandInDiscovery, State},
-    stand_in_workers::StandInWorkers,
+    stand_in_discovery::{EntryState, ListEntry, ListResponse, StandInDiscovery},
+    stand_in_endpoints::StandInEndpoints,
 };
 use serde_json::{Value, json};
 use std::{
@@ -17,14 +17,14 @@
 };
 use tempfile::NamedTempFile;
 
-/// Workers behind the gateway.
-const WORKERS: usize = 4;
+/// Endpoints behind the gateway.
+const ENDPOINTS: usize = 4;
 /// The one class of requests.
 const CLASS: &str = "lookup";
 /// The plan with a quota of a few requests.
 const PLAN: &str = "small";
 /// Between looks whether the program has ended.
-const LOOK: Duration = Duration::from_millis(50);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Arguments of the `demo` command.
 #[derive(Debug, clap::Args)]
@@ -57,7 +57,7 @@
 }
 
 /// The program's configuration: one plan of three requests at once and one every two seconds.
-pub fn configuration(addresses: Addresses, workers: &[Entry]) -> Value {
+pub fn configuration(addresses: Addresses, endpoints: &[ListEntry]) -> Value {
     json!({
         "name": "demo",
         "listen": addresses.listen,
@@ -66,7 +66,7 @@
         "counter": addresses.counter,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-        "known": List { version: 0, full: true, endpoints: workers },
+        "known": ListResponse { version: 0, full: true, endpoints },
         "settings": {
             "Classes": [{"Name": CLASS, "Effect": "idempotent", "Slo": 2.0, "Deadline": 5.0}],
             "Plans": [{"Name": PLAN, "QuotaRate": 0.5, "Depth": 3.0, "OverrunCost": 1.0}],
@@ -95,11 +95,11 @@
 /// One of them does not start.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     if !arguments.program.is_file() {
-        return Err(Error::NoProgram(arguments.program.clone()));
+        return Err(Error::ProgramMissing(arguments.program.clone()));
     }
-    let workers = StandInWorkers::start()?;
-    let entry = |number| Entry::new(number, workers.address(number), State::Serving);
-    let entries: Vec<Entry> = (0..WORKERS).map(entry).collect();
+    let endpoints = StandInEndpoints::start()?;
+    let entry = |number| ListEntry::new(number, endpoints.address(number), EntryState::Serving);
+    let entries: Vec<ListEntry> = (0..ENDPOINTS).map(entry).collect();
     let (discovery, counter) = (StandInDiscovery::start(entries.clone())?, StandInCounter::start()?);
     let addresses = Addresses {
         listen: arguments.listen,
@@ -124,9 +124,9 @@
 }
 
 fn wait(mut program: KilledOnDrop, limit: Option<Duration>) -> std::io::Result<()> {
-    let begun = Instant::now();
-    while program.0.try_wait()?.is_none() && limit.is_none_or(|limit| begun.elapsed() < limit) {
-        thread::sleep(LOOK);
+    let started = Instant::now();
+    while program.0.try_wait()?.is_none() && limit.is_none_or(|limit| started.elapsed() < limit) {
+        thread::sleep(EXIT_POLL_INTERVAL);
     }
     Ok(())
 }
--- a/lab/src/process/bounds.rs
+++ b/lab/src/process/bounds.rs
@@ -3,7 +3,7 @@
 use super::report::{Axis, Metric, Report, RowFailure, Subject, Summary};
 use std::fmt;
 
-/// The count of workers at which the bounds hold.
+/// The count of endpoints at which the bounds hold.
 pub const BOUND_SIZE: usize = 9200;
 /// The limit on the program's memory under which it has to take in the indented list, in MB.
 pub const BOUND_MEMORY_MB: usize = 32;
@@ -24,11 +24,11 @@
         limit: Limit::AtMost((BOUND_MEMORY_MB * 1024) as f64),
     },
 ];
-/// State of a worker outside the subset of the gateway.
+/// State of an endpoint outside the subset of the gateway.
 pub const OUTSIDE_STATE: Bound =
-    Bound { metric: Metric::WorkerOutsideBytes, statistic: Statistic::Median, limit: Limit::Below(150.0) };
+    Bound { metric: Metric::EndpointOutsideBytes, statistic: Statistic::Median, limit: Limit::Below(150.0) };
 
-/// Which value of a summary is held against the limit.
+/// Which value of a summary is history against the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Statistic {
     /// The median of the rounds.
@@ -93,7 +93,7 @@
     pub metric: Metric,
     /// Which of its values.
     pub statistic: Statistic,
-    /// What the value is held against.
+    /// What the value is history against.
     pub limit: Limit,
 }
 
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CheckFailure {
     /// The row's value is not within the bound; `None`: it was not measured.
-    Crossed {
+    Violated {
         /// The row.
         subject: Subject,
         /// The bound.
@@ -116,7 +116,7 @@
 impl fmt::Display for CheckFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Crossed { subject, bound, value } => {
+            Self::Violated { subject, bound, value } => {
                 let Bound { metric, statistic, limit } = bound;
                 write!(f, "{subject}: {}, {statistic}: ", metric.title())?;
                 match value {
@@ -131,17 +131,17 @@
 
 /// The row that bounds hold for, of a run with this count of gateways.
 pub fn bounded_subject(gateways: u32) -> Subject {
-    Subject { axis: Axis::Workers, gateways, size: BOUND_SIZE }
+    Subject { axis: Axis::Endpoints, gateways, size: BOUND_SIZE }
 }
 
 /// Holds the bounds against the values of their rows; also each failed row of the report fails the check.
 pub fn check(report: &Report, bounds: impl IntoIterator<Item = (Subject, Bound)>) -> Vec<CheckFailure> {
-    let crossed = bounds.into_iter().filter_map(|(subject, bound)| crossing(report, subject, bound));
-    crossed.chain(report.failures().map(CheckFailure::Row)).collect()
+    let violated = bounds.into_iter().filter_map(|(subject, bound)| violation(report, subject, bound));
+    violated.chain(report.failures().map(CheckFailure::Row)).collect()
 }
 
-fn crossing(report: &Report, subject: Subject, bound: Bound) -> Option<CheckFailure> {
+fn violation(report: &Report, subject: Subject, bound: Bound) -> Option<CheckFailure> {
     let value = report.summary(subject, bound.metric).and_then(|summary| bound.statistic.of(summary));
     let holds = value.is_some_and(|value| bound.limit.holds(value));
-    (!holds).then_some(CheckFailure::Crossed { subject, bound, value })
+    (!holds).then_some(CheckFailure::Violated { subject, bound, value })
 }
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -1,6 +1,6 @@
 //! The built program as a child process that ends with its handle.
 
-use super::{Error, proc_reading};
+use super::{Error, proc_fs};
 use serde_json::{Value, json};
 use std::{
     collections::VecDeque,
@@ -18,13 +18,13 @@
 use tempfile::NamedTempFile;
 
 /// How long the program may take to listen.
-const START_LIMIT: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long the program gets to finish its turn before its processor time is read.
-const REST: Duration = Duration::from_millis(5);
+const SCHEDULER_UPDATE_DELAY: Duration = Duration::from_millis(5);
 /// What the program's log says before the address that it has bound.
-const LISTEN: &str = "listen";
+const LISTEN_MARKER: &str = "listen";
 /// Lines of the log that are kept.
-const KEPT_LINES: usize = 20;
+const MAX_LOG_LINES: usize = 20;
 
 /// What the program's configuration says, beside the fixed settings.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     pub discovery: SocketAddr,
     /// Where the counter listens.
     pub counter: Option<SocketAddr>,
-    /// The list of workers known at the start.
+    /// The list of endpoints known at the start.
     pub known: Value,
     /// How many gateways there are.
     pub gateways: u32,
@@ -129,14 +129,14 @@
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let child = command.spawn().map_err(|error| Error::System("starting the program", error))?;
         let mut child = KilledOnDrop(child);
-        let stderr = child.0.stderr.take().ok_or(Error::Reading("log of the program"))?;
+        let stderr = child.0.stderr.take().ok_or(Error::ProcField("log of the program"))?;
         let log = Log::default();
         let (bound, address) = channel();
         let kept = log.clone();
         thread::spawn(move || follow_log(stderr, &kept, &bound));
-        let address = address.recv_timeout(START_LIMIT).map_err(|error| match error {
-            RecvTimeoutError::Timeout => Error::Late("the program's listening socket", START_LIMIT),
-            RecvTimeoutError::Disconnected => Error::Ended(last_line(&log)),
+        let address = address.recv_timeout(START_TIMEOUT).map_err(|error| match error {
+            RecvTimeoutError::Timeout => Error::TimedOut("the program's listening socket", START_TIMEOUT),
+            RecvTimeoutError::Disconnected => Error::ProgramEnded(last_line(&log)),
         })?;
         Ok(Self { address, child, log, _configuration: file })
     }
@@ -146,16 +146,16 @@
     /// # Errors
     /// It has ended.
     pub fn processor_time(&self) -> Result<Duration, Error> {
-        thread::sleep(REST);
-        proc_reading::processor_time(self.child.0.id())
+        thread::sleep(SCHEDULER_UPDATE_DELAY);
+        proc_fs::processor_time(self.child.0.id())
     }
 
     /// Its memory.
     ///
     /// # Errors
     /// It has ended.
-    pub fn memory(&self) -> Result<proc_reading::Memory, Error> {
-        proc_reading::memory(self.child.0.id())
+    pub fn memory(&self) -> Result<proc_fs::Memory, Error> {
+        proc_fs::memory(self.child.0.id())
     }
 
     /// The last line of its log; empty where it said nothing.
@@ -178,7 +178,7 @@
 /// The address that a line of the log says the program listens on: its last word, or its last field's value. So
 /// programs of earlier forms of the log can be compared.
 fn bound_address(line: &str) -> Option<SocketAddr> {
-    let (_, rest) = line.split_once(LISTEN)?;
+    let (_, rest) = line.split_once(LISTEN_MARKER)?;
     rest.rsplit([' ', '=']).next()?.trim().parse().ok()
 }
 
@@ -189,7 +189,7 @@
             let _ = bound.send(address);
         }
         let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-        if log.len() == KEPT_LINES {
+        if log.len() == MAX_LOG_LINES {
             log.pop_front();
         }
         log.push_back(line);
--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -4,9 +4,9 @@
 use super::{
     Error,
     bounds::BOUND_MEMORY_MB,
-    program_row::{Row, Surroundings},
+    program_row::{Row, TestBed},
     report::{Axis, BASE_SIZE, Subject},
-    stand_in_discovery::Form,
+    stand_in_discovery::ListFormat,
 };
 use std::path::{Path, PathBuf};
 
@@ -32,8 +32,8 @@
     #[arg(long, default_value_t = 4)]
     connections: u64,
     /// Counts of listed workers.
-    #[arg(long, default_value_t = BASE_SIZE)]
-    workers: usize,
+    #[arg(long = "workers", value_name = "WORKERS", default_value_t = BASE_SIZE)]
+    endpoints: usize,
     /// Gateways in the programs' settings: few, as each then keeps to many workers, and seldom waits for a connection
     /// to rest.
     #[arg(long, default_value_t = 4)]
@@ -46,16 +46,17 @@
 /// One of the two programs, running.
 struct Side<'a> {
     row: Row<'a>,
-    around: Surroundings,
+    test_bed: TestBed,
     sent: u64,
 }
 
 impl<'a> Side<'a> {
     fn start(program: &'a Path, arguments: &Arguments) -> Result<Self, Error> {
         if !program.is_file() {
-            return Err(Error::NoProgram(program.to_owned()));
+            return Err(Error::ProgramMissing(program.to_owned()));
         }
-        let subject = Subject { axis: Axis::Workers, gateways: arguments.gateways, size: arguments.workers };
+        let subject =
+            Subject { axis: Axis::Endpoints, gateways: arguments.gateways, size: arguments.endpoints };
         let row = Row {
             program,
             subject,
@@ -64,21 +65,21 @@
             changes: 0,
             memory_mb: BOUND_MEMORY_MB,
         };
-        let around = Surroundings::start(&row)?;
-        around.take_list(Form::Compact)?;
-        let mut side = Self { row, around, sent: 0 };
+        let test_bed = TestBed::start(&row)?;
+        test_bed.take_list(ListFormat::Compact)?;
+        let mut side = Self { row, test_bed, sent: 0 };
         side.batch(WARM_UP_REQUESTS)?;
         Ok(side)
     }
 
     /// Sends so many requests; the processor time of one, in microseconds.
     fn batch(&mut self, requests: u64) -> Result<f64, Error> {
-        let before = self.around.child.processor_time()?;
-        let outcome = self.row.load(requests, self.sent).run(self.around.child.address)?;
-        let elapsed = self.around.child.processor_time()? - before;
+        let before = self.test_bed.child.processor_time()?;
+        let outcome = self.row.load(requests, self.sent).run(self.test_bed.child.address)?;
+        let elapsed = self.test_bed.child.processor_time()? - before;
         self.sent += outcome.sent;
         if outcome.served < outcome.sent {
-            return Err(Error::FewServed { served: outcome.served, sent: outcome.sent });
+            return Err(Error::TooFewServed { served: outcome.served, sent: outcome.sent });
         }
         Ok(elapsed.as_secs_f64() * 1e6 / outcome.sent as f64)
     }
@@ -127,7 +128,7 @@
     println!("  baseline {:.2}", compared.at(0.5));
     println!("ratio of a pair: {:.4} ({:.4} to {:.4})", ratios.at(0.5), ratios.at(0.25), ratios.at(0.75));
     match arguments.bound {
-        Some(bound) if ratios.at(0.5) > bound => Err(Error::OverBound { ratio: ratios.at(0.5), bound }),
+        Some(bound) if ratios.at(0.5) > bound => Err(Error::RatioExceeded { ratio: ratios.at(0.5), bound }),
         _ => Ok(()),
     }
 }
--- a/lab/src/process/http.rs
+++ b/lab/src/process/http.rs
@@ -3,7 +3,7 @@
 use std::io::{self, BufRead};
 
 /// Longest body that is read.
-const MOST_BODY: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// One request or response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -64,7 +64,7 @@
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(malformed("a transfer encoding"));
         }
-        if length > MOST_BODY {
+        if length > MAX_BODY_BYTES {
             return Err(malformed("a body that is too long"));
         }
     }
--- a/lab/src/process/load.rs
+++ b/lab/src/process/load.rs
@@ -16,9 +16,9 @@
 };
 
 /// An answer that takes longer is given up.
-const ANSWER_LIMIT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Gateways that carry a tenant's requests, where there are so many.
-const SPREAD: u32 = 3;
+const GATEWAYS_PER_TENANT: u32 = 3;
 
 /// Numbers of the requests, unique in this process.
 static REQUESTS: AtomicU64 = AtomicU64::new(1);
@@ -40,7 +40,7 @@
 
 /// How the requests ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Outcome {
+pub struct LoadResult {
     /// Requests sent.
     pub sent: u64,
     /// Requests answered 200.
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// A connection fails.
-    pub fn run(&self, address: SocketAddr) -> Result<Outcome, Error> {
+    pub fn run(&self, address: SocketAddr) -> Result<LoadResult, Error> {
         let share = self.requests.div_ceil(self.connections);
         let clients: Vec<_> = (0..self.connections)
             .map(|client| {
@@ -62,7 +62,7 @@
                 thread::spawn(move || load.run_client(address, first..last))
             })
             .collect();
-        let mut total = Outcome::default();
+        let mut total = LoadResult::default();
         for client in clients {
             let outcome = client.join().unwrap_or_else(|panic| resume_unwind(panic));
             let outcome = outcome.map_err(|error| Error::System("sending requests", error))?;
@@ -72,12 +72,12 @@
         Ok(total)
     }
 
-    fn run_client(&self, address: SocketAddr, requests: Range<u64>) -> io::Result<Outcome> {
+    fn run_client(&self, address: SocketAddr, requests: Range<u64>) -> io::Result<LoadResult> {
         let mut socket = TcpStream::connect(address)?;
         socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(ANSWER_LIMIT))?;
+        socket.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         let mut reader = BufReader::new(socket.try_clone()?);
-        let mut outcome = Outcome::default();
+        let mut outcome = LoadResult::default();
         for number in requests {
             socket.write_all(self.request(number).as_bytes())?;
             let answer = http::read_message(&mut reader)?.ok_or(io::ErrorKind::UnexpectedEof)?;
@@ -91,11 +91,11 @@
         let transaction = REQUESTS.fetch_add(1, Ordering::Relaxed);
         let plan = if self.metered_tenants.is_some() { PLAN_METERED } else { PLAN_FREE };
         let tenant = (self.before + number) % self.metered_tenants.unwrap_or(1).max(1);
-        let spread = SPREAD.min(self.gateways);
+        let customer_gateway_count = GATEWAYS_PER_TENANT.min(self.gateways);
         format!(
             "GET /{CLASS} HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {transaction:016x}\r\nX-Lane: {CLASS}\r\n\
              X-Plan: {plan}\r\nX-Customer: {tenant:016x}\r\nX-Remaining: 4.0\r\n\
-             X-Quota: units=1,spread={spread},first=0\r\n\r\n"
+             X-Quota: units=1,spread={customer_gateway_count},first=0\r\n\r\n"
         )
     }
 }
--- a/lab/src/process/mod.rs
+++ b/lab/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The `process` command: benchmarks of the policy alone and of the built program, at growing counts of workers and
+//! The `process` command: benchmarks of the policy alone and of the built program, at growing counts of endpoints and
 //! tenants.
 
 pub mod bounds;
@@ -10,14 +10,14 @@
 pub mod policy;
 pub mod policy_driver;
 pub mod policy_memory;
-pub mod proc_reading;
+pub mod proc_fs;
 pub mod program;
 pub mod program_row;
 pub mod report;
-pub mod settling;
 pub mod stand_in_counter;
 pub mod stand_in_discovery;
-pub mod stand_in_workers;
+pub mod stand_in_endpoints;
+pub mod steady_state;
 
 pub use error::Error;
 
@@ -42,7 +42,7 @@
 /// Runs the command: measures, prints the table, and writes the JSON lines where a file is named.
 ///
 /// # Errors
-/// Arguments that cannot be used, a report that cannot be written, and bounds that a checked run has crossed. Rows
+/// Arguments that cannot be used, a report that cannot be written, and bounds that a checked run has violated. Rows
 /// that could not be measured are part of the report, and no errors.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     match &arguments.part {
--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -1,4 +1,4 @@
-//! Drives one gateway's policy without any I/O: workers and counter answer at once.
+//! Drives one gateway's policy without any I/O: endpoints and counter answer at once.
 
 use super::Error;
 use oliverack::{
@@ -12,14 +12,14 @@
 /// Seconds of virtual time between two requests. With the two below: a policy forgets a tenant that has been idle for
 /// 26 s, and has to know 32,000 of them at a time.
 const REQUEST_SPACING: f64 = 0.0001;
-/// Seconds of virtual time that a worker's answer takes.
-const ANSWER_TIME: f64 = 0.0003;
+/// Seconds of virtual time that an endpoint's answer takes.
+const RESPONSE_TIME: f64 = 0.0003;
 /// Seconds of virtual time that a counter call takes.
 const COUNTER_TIME: f64 = 0.0001;
 /// Seconds of virtual time that a client waits.
-const CLIENT_PATIENCE: f64 = 5.0;
+const CLIENT_DEADLINE: f64 = 5.0;
 /// Gateways that carry a tenant's requests, where there are so many.
-const SPREAD: u32 = 3;
+const GATEWAYS_PER_TENANT: u32 = 3;
 /// Index of the plan without a quota.
 const PLAN_FREE: usize = 0;
 /// Index of the plan with one.
@@ -31,19 +31,19 @@
     gateway: Gateway,
     now: f64,
     metered: bool,
-    spread: u32,
+    customer_gateway_count: u32,
     requests: u64,
     tenants: Vec<CustomerId>,
     counts: HashMap<u64, f64>,
     /// Timers that were asked for and are not yet delivered.
     timers: VecDeque<u64>,
     /// Attempts that are out.
-    open: Vec<Attempt>,
+    open: Vec<AttemptInFlight>,
     actions: Vec<Action>,
 }
 
 #[derive(Debug)]
-struct Attempt {
+struct AttemptInFlight {
     request_id: RequestId,
     endpoint: EndpointId,
 }
@@ -79,18 +79,18 @@
     }
 }
 
-/// The name of a worker, as the real lists have them.
+/// The name of an endpoint, as the real lists have them.
 fn name(number: usize) -> EndpointId {
     format!("s-{number:08x}").into()
 }
 
-/// The entry of a worker by its number.
+/// The entry of an endpoint by its number.
 fn endpoint(number: usize, lifecycle: Lifecycle) -> Endpoint {
     Endpoint { id: name(number), zone: 0, cell: 0, started: 0.0, lifecycle }
 }
 
 impl Driver {
-    /// A gateway without workers.
+    /// A gateway without endpoints.
     ///
     /// # Errors
     /// The policy rejects the settings.
@@ -101,7 +101,7 @@
             gateway,
             now: 1.0,
             metered: scenario.metered,
-            spread: SPREAD.min(scenario.gateways),
+            customer_gateway_count: GATEWAYS_PER_TENANT.min(scenario.gateways),
             requests: 0,
             tenants,
             counts: HashMap::new(),
@@ -113,12 +113,12 @@
 
     /// Gives the gateway a whole list, as known at its start, which also starts its sweeps. The timer that it asks
     /// for is the oldest of [`Driver::deliver_timer`].
-    pub fn list(&mut self, workers: usize) {
-        let endpoints = (0..workers).map(|number| endpoint(number, Lifecycle::Running)).collect();
+    pub fn list(&mut self, endpoints: usize) {
+        let endpoints = (0..endpoints).map(|number| endpoint(number, Lifecycle::Running)).collect();
         self.handle(Event::EndpointsUpdated { kind: ListKind::Stale, endpoints });
     }
 
-    /// Changes one worker's entry.
+    /// Changes one endpoint's entry.
     pub fn change(&mut self, number: usize, lifecycle: Lifecycle) {
         self.now += REQUEST_SPACING;
         let endpoints = vec![endpoint(number, lifecycle)];
@@ -128,14 +128,14 @@
     /// One request, from its arrival to its answer; whether it was served.
     pub fn request(&mut self) -> bool {
         self.open_request();
-        self.now += ANSWER_TIME;
+        self.now += RESPONSE_TIME;
         self.answer_all(None)
     }
 
-    /// The same; adds the workers that it was sent to.
+    /// The same; adds the endpoints that it was sent to.
     pub fn request_noting(&mut self, reached: &mut BTreeSet<EndpointId>) -> bool {
         self.open_request();
-        self.now += ANSWER_TIME;
+        self.now += RESPONSE_TIME;
         self.answer_all(Some(reached))
     }
 
@@ -147,9 +147,9 @@
         let request = Request {
             id: format!("{:016x}", self.requests).into(),
             units: 1.0,
-            deadline: self.now + CLIENT_PATIENCE,
+            deadline: self.now + CLIENT_DEADLINE,
             plan: if self.metered { PLAN_METERED } else { PLAN_FREE },
-            customer_gateway_count: self.spread,
+            customer_gateway_count: self.customer_gateway_count,
             first_gateway: 0,
             class: 0,
             customer: self.tenants[tenant].clone(),
@@ -162,7 +162,7 @@
     /// Every attempt that is out is answered 200; whether there was any.
     fn answer_all(&mut self, mut reached: Option<&mut BTreeSet<EndpointId>>) -> bool {
         let served = !self.open.is_empty();
-        for Attempt { request_id, endpoint } in std::mem::take(&mut self.open) {
+        for AttemptInFlight { request_id, endpoint } in std::mem::take(&mut self.open) {
             if let Some(reached) = &mut reached {
                 reached.insert(endpoint.clone());
             }
@@ -171,7 +171,7 @@
                 attempt: 0,
                 endpoint,
                 status: Status::Ok,
-                elapsed: ANSWER_TIME,
+                elapsed: RESPONSE_TIME,
                 is_finished: true,
                 actual_units: None,
                 load: LoadReport::default(),
@@ -214,7 +214,7 @@
             for action in self.actions.drain(..) {
                 match action {
                     Action::StartAttempt { request_id, endpoint, .. } => {
-                        self.open.push(Attempt { request_id, endpoint })
+                        self.open.push(AttemptInFlight { request_id, endpoint })
                     }
                     Action::SetTimer { token, .. } => self.timers.push_back(token),
                     Action::AddToCounter { counter, amount, .. } => calls.push_back((counter, amount)),
--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -11,12 +11,12 @@
 use stats_alloc::INSTRUMENTED_SYSTEM;
 use std::collections::BTreeSet;
 
-/// Requests that show which workers a gateway sends to, for each worker it may reach at most.
-const REQUESTS_A_WORKER: usize = 12;
+/// Requests that show which endpoints a gateway sends to, for each endpoint it may reach at most.
+const REQUESTS_PER_ENDPOINT: usize = 12;
 /// Requests at least.
-const LEAST_REQUESTS: usize = 500;
+const MIN_REQUESTS: usize = 500;
 /// Requests at most.
-const MOST_REQUESTS: usize = 6000;
+const MAX_REQUESTS: usize = 6000;
 /// Open requests that the state is taken over.
 const OPEN_REQUESTS: usize = 200;
 
@@ -38,31 +38,31 @@
     allocated().is_some()
 }
 
-/// Records the bytes a worker inside and outside the gateway's subset.
+/// Records the bytes an endpoint inside and outside the gateway's subset.
 ///
 /// # Errors
 /// The policy rejects the settings.
-pub fn measure_workers(subject: Subject, report: &mut Report) -> Result<(), Error> {
+pub fn measure_endpoints(subject: Subject, report: &mut Report) -> Result<(), Error> {
     let scenario = Scenario { gateways: subject.gateways, tenants: 1, metered: false };
-    // A gateway that is alone keeps to all workers.
+    // A gateway that is alone keeps to all endpoints.
     let mut alone = Driver::new(Scenario { gateways: 1, ..scenario })?;
     let Some(all_inside) = growth(|| alone.list(subject.size)) else { return Ok(()) };
     let inside = all_inside / subject.size as f64;
     let mut driver = Driver::new(scenario)?;
     let Some(idle) = growth(|| driver.list(subject.size)) else { return Ok(()) };
     let (reached, answered) = reach_subset(subject, driver);
-    report.record(subject, Metric::WorkerInsideBytes, inside);
-    report.record(subject, Metric::WorkerAnsweredBytes, inside + answered / reached.max(1) as f64);
+    report.record(subject, Metric::EndpointInsideBytes, inside);
+    report.record(subject, Metric::EndpointAnsweredBytes, inside + answered / reached.max(1) as f64);
     if reached < subject.size && subject.gateways > 1 {
         let outside = (idle - reached as f64 * inside) / (subject.size - reached) as f64;
-        report.record(subject, Metric::WorkerOutsideBytes, outside);
+        report.record(subject, Metric::EndpointOutsideBytes, outside);
     }
     Ok(())
 }
 
 /// Sends requests until the whole subset has been reached, by all odds; its size, and the bytes that it grew by.
 fn reach_subset(subject: Subject, mut driver: Driver) -> (usize, f64) {
-    let requests = (REQUESTS_A_WORKER * subject.size).clamp(LEAST_REQUESTS, MOST_REQUESTS);
+    let requests = (REQUESTS_PER_ENDPOINT * subject.size).clamp(MIN_REQUESTS, MAX_REQUESTS);
     let mut reached = BTreeSet::new();
     // One tenant and its plan are known before the measurement begins.
     driver.request();
@@ -82,10 +82,10 @@
 ///
 /// # Errors
 /// The policy rejects the settings.
-pub fn measure_tenants(subject: Subject, workers: usize, report: &mut Report) -> Result<(), Error> {
+pub fn measure_tenants(subject: Subject, endpoints: usize, report: &mut Report) -> Result<(), Error> {
     let mut driver =
         Driver::new(Scenario { gateways: subject.gateways, tenants: subject.size, metered: true })?;
-    driver.list(workers);
+    driver.list(endpoints);
     let grown = growth(|| {
         for _ in 0..subject.size {
             driver.request();
@@ -102,10 +102,10 @@
 ///
 /// # Errors
 /// The policy rejects the settings.
-pub fn measure_open_requests(workers: usize, report: &mut Report) -> Result<(), Error> {
-    let subject = Subject { axis: Axis::Workers, gateways: 1, size: workers };
+pub fn measure_open_requests(endpoints: usize, report: &mut Report) -> Result<(), Error> {
+    let subject = Subject { axis: Axis::Endpoints, gateways: 1, size: endpoints };
     let mut driver = Driver::new(Scenario { gateways: 1, tenants: 1, metered: false })?;
-    driver.list(workers);
+    driver.list(endpoints);
     for _ in 0..OPEN_REQUESTS {
         driver.request();
     }
--- a/lab/src/process/proc_reading.rs
+++ b/lab/src/process/proc_fs.rs
@@ -45,7 +45,7 @@
 /// It does not begin with a number.
 pub fn parse_schedstat(text: &str) -> Result<Duration, Error> {
     let first = text.split_whitespace().next().and_then(|field| field.parse().ok());
-    first.map(Duration::from_nanos).ok_or(Error::Reading("schedstat"))
+    first.map(Duration::from_nanos).ok_or(Error::ProcField("schedstat"))
 }
 
 /// Memory in the text of `/proc/PID/status`.
@@ -56,7 +56,7 @@
     let field = |name: &'static str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
         let kibibytes = line.and_then(|line| line.trim().strip_suffix(" kB")?.trim().parse::<u64>().ok());
-        kibibytes.map(|value| value * 1024).ok_or(Error::Reading(name))
+        kibibytes.map(|value| value * 1024).ok_or(Error::ProcField(name))
     };
     Ok(Memory { resident: field("VmRSS")?, peak: field("VmHWM")? })
 }
--- a/lab/src/process/program.rs
+++ b/lab/src/process/program.rs
@@ -18,8 +18,13 @@
     #[arg(long)]
     program: Option<PathBuf>,
     /// Counts of listed workers.
-    #[arg(long, value_delimiter = ',', default_value = "10,100,1000,3000,9200")]
-    workers: Vec<usize>,
+    #[arg(
+        long = "workers",
+        value_name = "WORKERS",
+        value_delimiter = ',',
+        default_value = "10,100,1000,3000,9200"
+    )]
+    endpoints: Vec<usize>,
     /// Counts of tenants with a quota, served by 100 workers and a counter.
     #[arg(long, value_delimiter = ',', default_value = "100,1000,10000,32000")]
     tenants: Vec<usize>,
@@ -73,13 +78,13 @@
                 "both counts of gateways, rounds, requests, connections and changes must be above 0",
             ));
         }
-        check_sizes(self.workers.iter().chain(&self.tenants))?;
+        check_sizes(self.endpoints.iter().chain(&self.tenants))?;
         if self.check { self.check_bounded() } else { Ok(()) }
     }
 
     /// Whether the run measures what a check asks for.
     fn check_bounded(&self) -> Result<(), Error> {
-        if ![BASE_SIZE, BOUND_SIZE].iter().all(|size| self.workers.contains(size)) {
+        if ![BASE_SIZE, BOUND_SIZE].iter().all(|size| self.endpoints.contains(size)) {
             return Err(Error::Argument("a checked run needs 100 and 9200 among the workers"));
         }
         if self.memory_mb > BOUND_MEMORY_MB {
@@ -90,14 +95,14 @@
 
     fn program(&self) -> Result<PathBuf, Error> {
         let path = self.program.clone().unwrap_or_else(default_program);
-        if path.is_file() { Ok(path) } else { Err(Error::NoProgram(path)) }
+        if path.is_file() { Ok(path) } else { Err(Error::ProgramMissing(path)) }
     }
 
     fn subjects(&self) -> Vec<Subject> {
         let subject = |axis, gateways, size: &usize| Subject { axis, gateways, size: *size };
-        let workers = self.workers.iter().map(|size| subject(Axis::Workers, self.gateways, size));
+        let endpoints = self.endpoints.iter().map(|size| subject(Axis::Endpoints, self.gateways, size));
         let tenants = self.tenants.iter().map(|size| subject(Axis::Tenants, self.tenant_gateways, size));
-        workers.chain(tenants).collect()
+        endpoints.chain(tenants).collect()
     }
 }
 
@@ -109,7 +114,7 @@
 /// Measures the program and publishes the report.
 ///
 /// # Errors
-/// Arguments that cannot be used, a report that cannot be written, and, in a checked run, bounds that were crossed and
+/// Arguments that cannot be used, a report that cannot be written, and, in a checked run, bounds that were violated and
 /// rows that failed.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     arguments.check_values()?;
@@ -121,17 +126,17 @@
     }
     let subject = bounds::bounded_subject(arguments.gateways);
     let failures = bounds::check(&report, bounds::PROGRAM.map(|bound| (subject, bound)));
-    if failures.is_empty() { Ok(()) } else { Err(Error::Check(failures)) }
+    if failures.is_empty() { Ok(()) } else { Err(Error::CheckFailed(failures)) }
 }
 
 fn measure(arguments: &Arguments, program: &Path) -> Report {
     let limit = Duration::from_secs(arguments.time_limit);
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut report = Report::default();
     for _ in 0..arguments.rounds {
         for subject in arguments.subjects() {
-            if begun.elapsed() >= limit {
-                report.fail(subject, &Error::Late("the row's turn", limit));
+            if started.elapsed() >= limit {
+                report.fail(subject, &Error::TimedOut("the row's turn", limit));
             } else if let Err(error) = program_row::measure(&row(arguments, program, subject), &mut report) {
                 report.fail(subject, &error);
             }
@@ -142,7 +147,7 @@
 
 fn row<'a>(arguments: &Arguments, program: &'a Path, subject: Subject) -> Row<'a> {
     let memory_mb = match subject.axis {
-        Axis::Workers => arguments.memory_mb,
+        Axis::Endpoints => arguments.memory_mb,
         Axis::Tenants => arguments.tenant_memory_mb,
     };
     Row {
--- a/lab/src/process/report.rs
+++ b/lab/src/process/report.rs
@@ -13,14 +13,14 @@
 pub const BASE_SIZE: usize = 100;
 
 /// The largest size of a row.
-const MOST_SIZE: usize = 1_000_000;
+const MAX_SIZE: usize = 1_000_000;
 
-/// Whether the counts of workers and tenants can be measured.
+/// Whether the counts of endpoints and tenants can be measured.
 ///
 /// # Errors
 /// One is 0 or too large.
 pub fn check_sizes<'a>(mut sizes: impl Iterator<Item = &'a usize>) -> Result<(), Error> {
-    if sizes.all(|size| (1..=MOST_SIZE).contains(size)) {
+    if sizes.all(|size| (1..=MAX_SIZE).contains(size)) {
         Ok(())
     } else {
         Err(Error::Argument("counts of workers and tenants must be from 1 to 1000000"))
@@ -31,8 +31,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Axis {
-    /// Listed workers.
-    Workers,
+    /// Listed endpoints.
+    #[serde(rename = "workers")]
+    Endpoints,
     /// Tenants with a quota.
     Tenants,
 }
@@ -40,7 +41,7 @@
 impl Axis {
     fn title(self) -> &'static str {
         match self {
-            Self::Workers => "workers",
+            Self::Endpoints => "workers",
             Self::Tenants => "tenants",
         }
     }
@@ -53,7 +54,7 @@
     pub axis: Axis,
     /// Gateways in the settings.
     pub gateways: u32,
-    /// How many workers or tenants there are.
+    /// How many endpoints or tenants there are.
     pub size: usize,
 }
 
@@ -95,12 +96,15 @@
     PeakResidentKibibytes,
     /// Peak of the resident memory after the indented list, in KiB.
     PeakIndentedKibibytes,
-    /// Bytes of state for a listed worker that the gateway sends nothing.
-    WorkerOutsideBytes,
-    /// Bytes of state for a worker that the gateway sends requests, before it has.
-    WorkerInsideBytes,
-    /// Bytes of state for such a worker once it has answered.
-    WorkerAnsweredBytes,
+    /// Bytes of state for a listed endpoint that the gateway sends nothing.
+    #[serde(rename = "worker_outside_bytes")]
+    EndpointOutsideBytes,
+    /// Bytes of state for an endpoint that the gateway sends requests, before it has.
+    #[serde(rename = "worker_inside_bytes")]
+    EndpointInsideBytes,
+    /// Bytes of state for such an endpoint once it has answered.
+    #[serde(rename = "worker_answered_bytes")]
+    EndpointAnsweredBytes,
     /// Bytes of state for a tenant.
     TenantBytes,
     /// Bytes of state for an open request, its timer included.
@@ -125,9 +129,9 @@
             Self::ResidentKibibytes => "resident memory after the requests [KiB]",
             Self::PeakResidentKibibytes => "peak resident memory after requests and changes [KiB]",
             Self::PeakIndentedKibibytes => "peak resident memory after the indented list [KiB]",
-            Self::WorkerOutsideBytes => "state a worker outside the subset [bytes]",
-            Self::WorkerInsideBytes => "state a worker inside the subset [bytes]",
-            Self::WorkerAnsweredBytes => "state a worker inside the subset that has answered [bytes]",
+            Self::EndpointOutsideBytes => "state a worker outside the subset [bytes]",
+            Self::EndpointInsideBytes => "state a worker inside the subset [bytes]",
+            Self::EndpointAnsweredBytes => "state a worker inside the subset that has answered [bytes]",
             Self::TenantBytes => "state a tenant [bytes]",
             Self::OpenRequestBytes => "state an open request [bytes]",
         }
--- a/lab/src/process/stand_in_workers.rs
+++ b/lab/src/process/stand_in_endpoints.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for workers: they answer 200 at once on kept connections.
+//! Stand-ins for endpoints: they answer 200 at once on kept connections.
 
 use super::{Error, http};
 use std::{
@@ -7,19 +7,19 @@
     thread,
 };
 
-/// Workers on one octet of the loopback network.
-const WORKERS_AN_OCTET: usize = 250;
+/// Endpoints on one octet of the loopback network.
+const ENDPOINTS_PER_OCTET: usize = 250;
 /// The body of each answer.
 const BODY: &str = "ok";
 
-/// Any number of workers that share one listener: each has a loopback address of its own, and the listener takes
+/// Any number of endpoints that share one listener: each has a loopback address of its own, and the listener takes
 /// the connections to all of them. Connections from elsewhere are closed unread.
 #[derive(Debug)]
-pub struct StandInWorkers {
+pub struct StandInEndpoints {
     port: u16,
 }
 
-impl StandInWorkers {
+impl StandInEndpoints {
     /// Starts to listen on a free port. The threads end with the process.
     ///
     /// # Errors
@@ -33,11 +33,11 @@
         Ok(Self { port })
     }
 
-    /// The address of a worker by its number.
+    /// The address of an endpoint by its number.
     pub fn address(&self, number: usize) -> SocketAddr {
-        let second = 1 + number / (WORKERS_AN_OCTET * WORKERS_AN_OCTET);
-        let third = number / WORKERS_AN_OCTET % WORKERS_AN_OCTET;
-        let fourth = 1 + number % WORKERS_AN_OCTET;
+        let second = 1 + number / (ENDPOINTS_PER_OCTET * ENDPOINTS_PER_OCTET);
+        let third = number / ENDPOINTS_PER_OCTET % ENDPOINTS_PER_OCTET;
+        let fourth = 1 + number % ENDPOINTS_PER_OCTET;
         SocketAddrV4::new(Ipv4Addr::new(127, second as u8, third as u8, fourth as u8), self.port).into()
     }
 }
--- a/lab/src/process/settling.rs
+++ b/lab/src/process/steady_state.rs
@@ -9,11 +9,11 @@
 
 /// The latest values of a rate.
 #[derive(Debug, Default)]
-pub struct Settling {
+pub struct SteadyState {
     latest: VecDeque<f64>,
 }
 
-impl Settling {
+impl SteadyState {
     /// Adds the value of a batch; whether the rate has settled on values of at least `least`.
     pub fn note(&mut self, value: f64, least: f64) -> bool {
         if self.latest.len() == BATCHES {
--- a/lab/tests/demo.rs
+++ b/lab/tests/demo.rs
@@ -3,7 +3,7 @@
 use oliverack::{Action, Endpoint, Event, Gateway, Lifecycle, ListKind, Options, Request, Status};
 use oliverack_lab::{
     demo::{Addresses, configuration},
-    process::stand_in_discovery::{Entry, State},
+    process::stand_in_discovery::{EntryState, ListEntry},
 };
 
 fn addresses() -> Addresses {
@@ -13,7 +13,7 @@
 
 #[test]
 fn three_requests_at_once_are_sent_and_the_fourth_is_told_when_to_come_back() {
-    let entry = Entry::new(0, "127.0.0.1:9".parse().expect("an address"), State::Serving);
+    let entry = ListEntry::new(0, "127.0.0.1:9".parse().expect("an address"), EntryState::Serving);
     let configuration = configuration(addresses(), &[entry]);
     let options = Options::read(&configuration["settings"]).expect("readable");
     let mut gateway = Gateway::new(options.settings, 7).expect("usable");
--- a/lab/tests/process_bounds.rs
+++ b/lab/tests/process_bounds.rs
@@ -4,7 +4,7 @@
     Error,
     bounds::{self, Bound, CheckFailure},
     report::{Metric, Report, Subject},
-    settling::Settling,
+    steady_state::SteadyState,
 };
 
 const GATEWAYS: u32 = 680;
@@ -17,7 +17,7 @@
     report.record(subject, Metric::RequestProcessorMicros, 125.0);
     report.record(subject, Metric::ChangeProcessorMicros, 200.0);
     report.record(subject, Metric::PeakIndentedKibibytes, 32.0 * 1024.0);
-    report.record(subject, Metric::WorkerOutsideBytes, 149.9);
+    report.record(subject, Metric::EndpointOutsideBytes, 149.9);
     report
 }
 
@@ -31,9 +31,9 @@
     bounds::check(report, [bounds::CHANGE, bounds::OUTSIDE_STATE].map(|bound| (subject, bound)))
 }
 
-fn crossed(failures: &[CheckFailure]) -> Vec<Metric> {
+fn violated(failures: &[CheckFailure]) -> Vec<Metric> {
     let metric = |failure: &CheckFailure| match failure {
-        CheckFailure::Crossed { bound: Bound { metric, .. }, .. } => Some(*metric),
+        CheckFailure::Violated { bound: Bound { metric, .. }, .. } => Some(*metric),
         CheckFailure::Row(_) => None,
     };
     failures.iter().filter_map(metric).collect()
@@ -55,12 +55,12 @@
         report
     };
     let metric = Metric::RequestProcessorMicros;
-    assert_eq!(crossed(&program(&over(metric, 125.1))), [metric]);
+    assert_eq!(violated(&program(&over(metric, 125.1))), [metric]);
     let metric = Metric::ChangeProcessorMicros;
-    assert_eq!(crossed(&program(&over(metric, 200.1))), [metric]);
-    assert_eq!(crossed(&policy(&over(metric, 200.1))), [metric]);
-    let metric = Metric::WorkerOutsideBytes;
-    assert_eq!(crossed(&policy(&over(metric, 150.0))), [metric]);
+    assert_eq!(violated(&program(&over(metric, 200.1))), [metric]);
+    assert_eq!(violated(&policy(&over(metric, 200.1))), [metric]);
+    let metric = Metric::EndpointOutsideBytes;
+    assert_eq!(violated(&policy(&over(metric, 150.0))), [metric]);
 }
 
 #[test]
@@ -69,13 +69,13 @@
     let mut report = report_at_the_bounds();
     (0..4).for_each(|_| report.record(bounds::bounded_subject(GATEWAYS), metric, 1024.0));
     report.record(bounds::bounded_subject(GATEWAYS), metric, 32.0 * 1024.0 + 1.0);
-    assert_eq!(crossed(&program(&report)), [metric]);
+    assert_eq!(violated(&program(&report)), [metric]);
 }
 
 #[test]
 fn missing_values_fail_the_check() {
     let failures = program(&Report::default());
-    assert_eq!(crossed(&failures), bounds::PROGRAM.map(|bound| bound.metric));
+    assert_eq!(violated(&failures), bounds::PROGRAM.map(|bound| bound.metric));
     assert_eq!(
         failures[0].to_string(),
         "9200 workers, 680 gateways: processor time a request [us], ratio: not measured, bound at most 1.25"
@@ -87,14 +87,14 @@
 fn a_ratio_without_its_base_row_fails_the_check() {
     let mut report = Report::default();
     report.record(bounds::bounded_subject(GATEWAYS), Metric::RequestProcessorMicros, 100.0);
-    assert!(crossed(&program(&report)).contains(&Metric::RequestProcessorMicros));
+    assert!(violated(&program(&report)).contains(&Metric::RequestProcessorMicros));
 }
 
 #[test]
 fn a_failed_row_fails_the_check_with_its_reason() {
     let mut report = report_at_the_bounds();
     let row = Subject { size: 10, ..bounds::bounded_subject(GATEWAYS) };
-    report.fail(row, &Error::FewCounterCalls { calls: 3, sent: 6000, least: 0.01 });
+    report.fail(row, &Error::TooFewCounterCalls { calls: 3, sent: 6000, least: 0.01 });
     let failures = program(&report);
     assert_eq!(failures.len(), 1);
     assert_eq!(
@@ -106,14 +106,14 @@
 
 #[test]
 fn a_rate_settles_once_three_batches_agree() {
-    let mut settling = Settling::default();
-    let actual_units = [0.1, 0.2, 0.4, 0.42, 0.43, 0.42].map(|value| settling.note(value, 0.01));
+    let mut steady_state = SteadyState::default();
+    let actual_units = [0.1, 0.2, 0.4, 0.42, 0.43, 0.42].map(|value| steady_state.note(value, 0.01));
     assert_eq!(actual_units, [false, false, false, false, true, true]);
 }
 
 #[test]
 fn a_rate_under_the_least_does_not_settle() {
-    let mut settling = Settling::default();
-    assert!([0.0; 6].into_iter().all(|value| !settling.note(value, 0.01)));
-    assert!([0.009; 6].into_iter().all(|value| !settling.note(value, 0.01)));
+    let mut steady_state = SteadyState::default();
+    assert!([0.0; 6].into_iter().all(|value| !steady_state.note(value, 0.01)));
+    assert!([0.009; 6].into_iter().all(|value| !steady_state.note(value, 0.01)));
 }
--- a/lab/tests/process_report.rs
+++ b/lab/tests/process_report.rs
@@ -1,7 +1,7 @@
 //! Readings of `/proc`, medians, ratios, and the two forms of the report.
 
 use oliverack_lab::process::{
-    Error, proc_reading,
+    Error, proc_fs,
     report::{Axis, Metric, Report, Subject},
 };
 use serde_json::Value;
@@ -10,29 +10,29 @@
 const METRIC: Metric = Metric::RequestProcessorMicros;
 
 fn subject(size: usize) -> Subject {
-    Subject { axis: Axis::Workers, gateways: 1, size }
+    Subject { axis: Axis::Endpoints, gateways: 1, size }
 }
 
 fn report() -> Report {
     let mut report = Report::default();
     [30.0, 10.0, 20.0].into_iter().for_each(|value| report.record(subject(100), METRIC, value));
     [50.0, 30.0].into_iter().for_each(|value| report.record(subject(9200), METRIC, value));
-    (0..2).for_each(|_| report.fail(subject(9200), &Error::Ended("out of luck".to_owned())));
+    (0..2).for_each(|_| report.fail(subject(9200), &Error::ProgramEnded("out of luck".to_owned())));
     report
 }
 
 #[test]
 fn readings_of_proc_are_understood() {
-    let elapsed = proc_reading::parse_schedstat("364058052 17 15\n").expect("a reading");
+    let elapsed = proc_fs::parse_schedstat("364058052 17 15\n").expect("a reading");
     assert_eq!(elapsed, Duration::from_nanos(364_058_052));
     let status = "Name:\toliverack\nVmPeak:\t   90 kB\nVmHWM:\t    21568 kB\nVmRSS:\t    16052 kB\n";
-    let memory = proc_reading::parse_status(status).expect("a reading");
+    let memory = proc_fs::parse_status(status).expect("a reading");
     assert_eq!((memory.resident, memory.peak), (16_052 * 1024, 21_568 * 1024));
-    assert!(proc_reading::parse_schedstat("").is_err());
-    assert!(proc_reading::parse_status("VmRSS:\t 1 kB\n").is_err());
-    let own = proc_reading::memory(std::process::id()).expect("this process");
+    assert!(proc_fs::parse_schedstat("").is_err());
+    assert!(proc_fs::parse_status("VmRSS:\t 1 kB\n").is_err());
+    let own = proc_fs::memory(std::process::id()).expect("this process");
     assert!(own.resident > 0 && own.peak >= own.resident);
-    proc_reading::processor_time(std::process::id()).expect("this process");
+    proc_fs::processor_time(std::process::id()).expect("this process");
 }
 
 #[test]
--- a/lab/tests/process_stand_ins.rs
+++ b/lab/tests/process_stand_ins.rs
@@ -3,8 +3,8 @@
 use oliverack_lab::process::{
     http::{Message, read_message},
     stand_in_counter::StandInCounter,
-    stand_in_discovery::{Entry, Form, Seen, StandInDiscovery, State},
-    stand_in_workers::StandInWorkers,
+    stand_in_discovery::{DiscoveryEvent, EntryState, ListEntry, ListFormat, StandInDiscovery},
+    stand_in_endpoints::StandInEndpoints,
 };
 use serde_json::Value;
 use std::{
@@ -47,15 +47,15 @@
     }
 }
 
-fn entries(count: usize) -> Vec<Entry> {
+fn entries(count: usize) -> Vec<ListEntry> {
     let address = "127.1.0.1:9000".parse().expect("an address");
-    (0..count).map(|number| Entry::new(number, address, State::Serving)).collect()
+    (0..count).map(|number| ListEntry::new(number, address, EntryState::Serving)).collect()
 }
 
 #[test]
 fn workers_answer_on_kept_connections_to_addresses_of_their_own() {
-    let workers = StandInWorkers::start().expect("a free port");
-    let addresses = [0, 1, 249, 250, 9199, 62_500].map(|number| workers.address(number));
+    let endpoints = StandInEndpoints::start().expect("a free port");
+    let addresses = [0, 1, 249, 250, 9199, 62_500].map(|number| endpoints.address(number));
     for (place, address) in addresses.into_iter().enumerate() {
         assert!(address.ip().is_loopback());
         assert!(!addresses[..place].contains(&address), "{address} twice");
@@ -88,7 +88,7 @@
     assert_eq!((&list["version"], &list["full"]), (&1.into(), &true.into()));
     let ids: Vec<&Value> = list["servers"].as_array().expect("entries").iter().map(|e| &e["id"]).collect();
     assert_eq!(ids, ["s-00000000", "s-00000001", "s-00000002"]);
-    assert_eq!(discovery.change(1, State::Draining), 2);
+    assert_eq!(discovery.change(1, EntryState::Draining), 2);
     let changes = client.list("/discovery/hosts?from=1&hold_ms=20000");
     assert_eq!((&changes["version"], &changes["full"]), (&2.into(), &false.into()));
     let changed = changes["servers"].as_array().expect("entries");
@@ -106,14 +106,14 @@
     let mut client = Client::connect(discovery.address);
     client.list("/discovery/hosts");
     client.send("GET /discovery/hosts?from=1&hold_ms=60000 HTTP/1.1\r\n\r\n");
-    let watches = |seen| matches!(seen, Seen::Call { from: Some(1), .. });
-    while !watches(discovery.seen.recv_timeout(LIMIT).expect("the watch")) {}
-    assert_eq!(discovery.replace(entries(2), Form::Indented), 2);
+    let watches = |seen| matches!(seen, DiscoveryEvent::Call { from: Some(1), .. });
+    while !watches(discovery.events.recv_timeout(LIMIT).expect("the watch")) {}
+    assert_eq!(discovery.replace(entries(2), ListFormat::Indented), 2);
     let answer = read_message(&mut client.0).expect("an answer").expect("a whole answer");
     let text = String::from_utf8(answer.body).expect("UTF-8");
     assert!(text.starts_with("{\r\n          \"version\": 2,\r\n"), "{text}");
     let list: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!((&list["full"], list["servers"].as_array().map(Vec::len)), (&true.into(), Some(2)));
-    let told = |seen| matches!(seen, Seen::Answer { version: 2, .. });
-    while !told(discovery.seen.recv_timeout(LIMIT).expect("the answer")) {}
+    let told = |seen| matches!(seen, DiscoveryEvent::Answer { version: 2, .. });
+    while !told(discovery.events.recv_timeout(LIMIT).expect("the answer")) {}
 }
