--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators read at `/stats`: each figure is counted at one place, here, or read from live state.
+//! The metrics that operators read at `/stats`. Each figure is counted at one place or read from live state.
 
 use oliverack::EndpointCounts;
 use std::{cell::Cell, fmt::Write, rc::Rc};
@@ -6,75 +6,123 @@
 /// How a request ended, as its client saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
+    /// The client has a successful response.
     Served,
+    /// The request was rejected without running.
     Refused,
+    /// The client has an error.
     Failed,
 }
 
-/// The counts, from 0 at the start of the process.
+/// A count that only grows.
+#[derive(Default)]
+struct Counter(Cell<u64>);
+
+impl Counter {
+    fn increment(&self) {
+        self.0.set(self.0.get() + 1);
+    }
+
+    fn get(&self) -> u64 {
+        self.0.get()
+    }
+}
+
+/// The ended requests of one class, by outcome.
+#[derive(Default)]
+struct OutcomeCounters {
+    served: Counter,
+    refused: Counter,
+    failed: Counter,
+}
+
+impl OutcomeCounters {
+    fn counter(&self, outcome: Outcome) -> &Counter {
+        match outcome {
+            Outcome::Served => &self.served,
+            Outcome::Refused => &self.refused,
+            Outcome::Failed => &self.failed,
+        }
+    }
+}
+
+/// The outcomes by the names of their metrics, in the order in which operators see them.
+const OUTCOME_METRICS: [(&str, Outcome); 3] =
+    [("success", Outcome::Served), ("overload", Outcome::Refused), ("error", Outcome::Failed)];
+
+/// The counters and gauges, from 0 at the start of the process.
 pub struct Metrics {
-    /// By class, the requests served, refused and failed.
-    ends: Vec<[Cell<u64>; 3]>,
-    concurrent: Cell<u64>,
-    /// Attempts written whole to endpoints.
+    /// By class.
+    outcomes: Vec<OutcomeCounters>,
+    in_flight: Cell<u64>,
+    /// Attempts whose requests were written completely to endpoints.
     pub dispatches: Rc<Cell<u64>>,
 }
 
 impl Metrics {
-    pub fn new(classes: usize) -> Rc<Self> {
-        let ends = (0..classes).map(|_| Default::default()).collect();
-        Rc::new(Self { ends, concurrent: Cell::new(0), dispatches: Rc::default() })
+    /// Metrics for so many classes.
+    pub fn new(class_count: usize) -> Rc<Self> {
+        let outcomes = (0..class_count).map(|_| OutcomeCounters::default()).collect();
+        Rc::new(Self { outcomes, in_flight: Cell::new(0), dispatches: Rc::default() })
     }
 
-    /// A request of this class has been taken.
-    pub fn take(self: &Rc<Self>, class: usize) -> Taken {
-        self.concurrent.set(self.concurrent.get() + 1);
-        Taken { metrics: self.clone(), class }
+    /// Counts a request of this class as in flight until the guard is dropped.
+    pub fn take(self: &Rc<Self>, class: usize) -> InFlightGuard {
+        self.in_flight.set(self.in_flight.get() + 1);
+        InFlightGuard { metrics: self.clone(), class }
     }
 
     /// The metrics in Prometheus' text format.
-    pub fn render(&self, classes: &[String], targets: EndpointCounts) -> String {
+    pub fn render(&self, class_names: &[String], endpoints: EndpointCounts) -> String {
         let mut text = String::with_capacity(1024);
-        let names = ["success", "overload", "error"];
-        // Writing to memory does not fail.
-        for (index, name) in names.into_iter().enumerate() {
-            let _ = writeln!(text, "# TYPE svc_{name} counter");
-            for (class, ends) in classes.iter().zip(&self.ends) {
-                let _ = writeln!(text, "svc_{name}{{type=\"{}\"}} {}", escape(class), ends[index].get());
-            }
-        }
-        for (name, kind, value) in [
-            ("dispatches", "counter", self.dispatches.get()),
-            ("concurrent", "gauge", self.concurrent.get()),
-            ("targets", "gauge", targets.listed as u64),
-            ("targets_disabled", "gauge", targets.avoided as u64),
-        ] {
-            let _ = writeln!(text, "# TYPE svc_{name} {kind}\nsvc_{name} {value}");
+        for (name, outcome) in OUTCOME_METRICS {
+            self.render_outcome(&mut text, name, outcome, class_names);
         }
+        render_value(&mut text, "dispatches", "counter", self.dispatches.get());
+        render_value(&mut text, "concurrent", "gauge", self.in_flight.get());
+        render_value(&mut text, "targets", "gauge", endpoints.listed as u64);
+        render_value(&mut text, "targets_disabled", "gauge", endpoints.avoided as u64);
         text
     }
+
+    fn render_outcome(&self, text: &mut String, name: &str, outcome: Outcome, class_names: &[String]) {
+        // Writing to a string can't fail.
+        let _ = writeln!(text, "# TYPE svc_{name} counter");
+        for (class, counters) in class_names.iter().zip(&self.outcomes) {
+            let class = escape_label(class);
+            let value = counters.counter(outcome).get();
+            let _ = writeln!(text, "svc_{name}{{type=\"{class}\"}} {value}");
+        }
+    }
 }
 
-fn escape(label: &str) -> String {
+fn render_value(text: &mut String, name: &str, kind: &str, value: u64) {
+    // Writing to a string can't fail.
+    let _ = writeln!(text, "# TYPE svc_{name} {kind}\nsvc_{name} {value}");
+}
+
+fn escape_label(label: &str) -> String {
     label.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-/// A request that has been taken and has not ended. Dropped without an end, its client has gone.
-pub struct Taken {
+/// A request in flight. Dropped without an outcome if its client has disconnected.
+pub struct InFlightGuard {
     metrics: Rc<Metrics>,
     class: usize,
 }
 
-impl Taken {
+impl InFlightGuard {
+    /// Counts the request's outcome, and the request as no longer in flight.
     pub fn end(self, outcome: Outcome) {
-        let count = self.metrics.ends.get(self.class).map(|ends| &ends[outcome as usize]);
-        count.into_iter().for_each(|count| count.set(count.get() + 1));
+        if let Some(counters) = self.metrics.outcomes.get(self.class) {
+            counters.counter(outcome).increment();
+        }
     }
 }
 
-impl Drop for Taken {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.metrics.concurrent.set(self.metrics.concurrent.get() - 1);
+        self.metrics.in_flight.set(self.metrics.in_flight.get() - 1);
     }
 }
 
