--- /dev/null
+++ b/src/node/assembly.rs
@@ -0,0 +1,76 @@
+//! Builds the parts of the process, none of which runs yet.
+
+use crate::node::{
+    config::Config,
+    connection::clients::{Clients, Context},
+    descriptors::DescriptorBudget,
+    error::NodeError,
+    listener::inherit_listener,
+    metrics::Metrics,
+    runtime::driver::Driver,
+};
+use std::{net::SocketAddr, rc::Rc};
+use tokio::net::TcpListener;
+
+/// Request and response bodies in transit may take this fraction of the memory: one part in so many.
+const BODY_MEMORY_DIVISOR: usize = 4;
+
+/// The process as it is built from its configuration.
+pub struct Node {
+    /// The configuration, without the endpoint list.
+    pub config: Config,
+    /// The driver of the policy.
+    pub driver: Rc<Driver>,
+    /// The connections of clients.
+    pub clients: Rc<Clients>,
+    /// What operators read.
+    pub metrics: Rc<Metrics>,
+    /// Where clients connect.
+    pub listener: TcpListener,
+    /// The address of that listener.
+    pub address: SocketAddr,
+    /// Where operators call, if they may.
+    pub operator_listener: Option<TcpListener>,
+}
+
+impl Node {
+    /// Opens the listeners, divides the descriptors, and builds the driver.
+    ///
+    /// # Errors
+    /// A listener can't be opened, or the settings are not usable.
+    pub async fn build(mut config: Config) -> Result<Self, NodeError> {
+        let listener = open_listener(&config).await?;
+        let address = listener.local_addr().map_err(NodeError::Listen)?;
+        let operator_listener = open_operator_listener(&config).await?;
+        let budget = DescriptorBudget::new(&config);
+        let metrics = Metrics::new(config.options.classes.len());
+        // Later lists replace it, so it is not kept.
+        let known = std::mem::take(&mut config.known);
+        let driver = Driver::new(&config, known, budget.endpoints, &metrics).map_err(NodeError::Settings)?;
+        let clients = Clients::new(clients_context(&config, &driver, &metrics), budget.clients);
+        Ok(Self { config, driver, clients, metrics, listener, address, operator_listener })
+    }
+}
+
+async fn open_listener(config: &Config) -> Result<TcpListener, NodeError> {
+    let listener = match config.accept_fd {
+        Some(fd) => inherit_listener(fd),
+        None => TcpListener::bind(config.listen).await,
+    };
+    listener.map_err(NodeError::Listen)
+}
+
+async fn open_operator_listener(config: &Config) -> Result<Option<TcpListener>, NodeError> {
+    let Some(address) = config.operator else { return Ok(None) };
+    TcpListener::bind(address).await.map(Some).map_err(NodeError::OperatorListen)
+}
+
+fn clients_context(config: &Config, driver: &Rc<Driver>, metrics: &Rc<Metrics>) -> Context {
+    Context::new(
+        Box::new(driver.requests().clone()),
+        config.options.clone(),
+        metrics.clone(),
+        driver.processes().clone(),
+        config.memory / BODY_MEMORY_DIVISOR,
+    )
+}
--- a/src/node/descriptors.rs
+++ b/src/node/descriptors.rs
@@ -1,4 +1,4 @@
-//! How the file descriptors that the process may hold are dealt out.
+//! Divides the file descriptors that the process may hold.
 
 use crate::node::{
     config::Config,
@@ -6,15 +6,17 @@
     runtime::counters,
 };
 
-/// Descriptors beside clients and endpoints: the standard three, runtime, signals, listener, a client just accepted,
-/// discovery, a configuration being read, and the counter's lines, also those at old addresses.
-const OTHERS: usize = 21 + counter_client::LINES * (1 + counters::RETIRED);
-/// The endpoints' part of what is left, in twentieths. Usual clients hold a third of the descriptors at most for
-/// requests. So the larger part may go to clients, to those that bring none, and endpoints get enough for an attempt a
-/// request and some kept ones.
-const ENDPOINTS_TWENTIETHS: usize = 7;
+/// Descriptors beside those of the counter, of clients and of endpoints: the standard three, the runtime,
+/// signals, the listener, a client just accepted, discovery, and a configuration being read.
+const PROCESS_DESCRIPTORS: usize = 21;
+/// Descriptors of the connections to the counter, including those at earlier addresses.
+const COUNTER_DESCRIPTORS: usize = counter_client::LINES * (1 + counters::RETIRED);
+/// The endpoints' part of the remaining descriptors, in twentieths. Clients with a request in flight hold a
+/// third of the descriptors at most, so the larger part may go to clients, including those that bring none,
+/// and endpoints get enough for an attempt for each request and some idle connections.
+const ENDPOINT_TWENTIETHS: usize = 7;
 
-/// Connections that may be held.
+/// How many connections may be open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DescriptorBudget {
     /// From clients.
@@ -24,11 +26,11 @@
 }
 
 impl DescriptorBudget {
-    /// Deals out what the configuration allows, which has been seen to be enough.
+    /// Divides the descriptors of a configuration, which has been checked to allow enough.
     pub fn new(config: &Config) -> Self {
         let operators = config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + siblings::SOCKETS);
-        let shared = config.sockets - OTHERS - operators;
-        let endpoints = shared * ENDPOINTS_TWENTIETHS / 20;
+        let shared = config.sockets - PROCESS_DESCRIPTORS - COUNTER_DESCRIPTORS - operators;
+        let endpoints = shared * ENDPOINT_TWENTIETHS / 20;
         Self { clients: shared - endpoints, endpoints }
     }
 }
--- a/src/node/listener.rs
+++ b/src/node/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket, where the platform holds it.
+//! The clients' listening socket, where the platform holds it and hands it down.
 
 use socket2::SockRef;
 use std::{
@@ -7,14 +7,17 @@
 };
 use tokio::net::TcpListener;
 
+/// The first descriptor beside standard input, output and error.
+const FIRST_FREE_DESCRIPTOR: RawFd = 3;
+
 /// Takes over the listening socket that the platform holds. Closing it closes this process's copy only.
 ///
 /// # Errors
-/// The descriptor is none of a listening socket.
-pub fn inherited(fd: RawFd) -> io::Result<TcpListener> {
-    // An error, not a closed descriptor of somebody else's, where the variable names no socket.
+/// The descriptor is not that of a listening socket.
+pub fn inherit_listener(fd: RawFd) -> io::Result<TcpListener> {
+    // Checked first: to take over a descriptor that another part of the process owns would close it.
     let link = fs::read_link(format!("/proc/self/fd/{fd}"))?;
-    if fd < 3 || !link.to_string_lossy().starts_with("socket:") {
+    if fd < FIRST_FREE_DESCRIPTOR || !link.to_string_lossy().starts_with("socket:") {
         return Err(io::Error::new(io::ErrorKind::InvalidInput, "NODE_ACCEPT_FD names no socket"));
     }
     // SAFETY: it is open (seen above), was inherited for this use alone, and nothing else here owns it.
--- /dev/null
+++ b/src/node/operator_calls.rs
@@ -0,0 +1,37 @@
+//! Carries out the calls of operators.
+
+use crate::node::{
+    connection::{
+        clients::Clients,
+        operators::{MaintenanceError, Operations},
+    },
+    metrics::Metrics,
+    runtime::driver::Driver,
+};
+use std::rc::Rc;
+
+/// The state that operators read and change.
+pub struct OperatorCalls {
+    /// Holds the state of the endpoints.
+    pub driver: Rc<Driver>,
+    /// Tells whether clients are accepted.
+    pub clients: Rc<Clients>,
+    /// What operators read.
+    pub metrics: Rc<Metrics>,
+    /// Names of the request classes, by index.
+    pub class_names: Vec<String>,
+}
+
+impl Operations for OperatorCalls {
+    fn is_accepting(&self) -> bool {
+        self.clients.is_accepting()
+    }
+
+    fn render_metrics(&self) -> String {
+        self.metrics.render(&self.class_names, self.driver.endpoint_counts())
+    }
+
+    fn set_maintenance(&self, id: &str, in_maintenance: bool) -> Result<(), MaintenanceError> {
+        self.driver.maintenance().set_and_store(id, in_maintenance)
+    }
+}
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -1,164 +1,234 @@
-//! Carries out attempts, and tells the policy how they ended.
+//! Carries out attempts, and reports to the policy how they ended.
 
 use crate::node::{
     connection::{
         clients::FinalAnswer,
         endpoint_attempt::AttemptEnd,
-        endpoint_pool::Target,
+        endpoint_pool::{EndpointPool, Target},
         write_progress::{Trace, may_have_run},
     },
     runtime::{
-        driver::Driver,
-        open_requests::{Attempt, Given},
-        timers::TimerPurpose,
+        clock::Clock,
+        open_request::{DeliveryOutcome, InFlightAttempt, OpenRequest},
+        policy_loop::PolicyLoop,
+        request_table::RequestTable,
+        timers::{TimerPurpose, Timers},
     },
     wire::{
         client_request::UpstreamRequest,
         stream::{self, Content, Piece},
     },
 };
-use oliverack::{EndpointId, Event, LoadReport, RequestId, Status, Time};
+use oliverack::{EndpointId, Event, LoadReport, RequestId, Seconds, Status, Time};
 use std::rc::Rc;
 use tokio::{sync::mpsc, task::AbortHandle};
 use tracing::debug;
 
-impl Driver {
-    /// Begins an attempt, if its request still waits for it and the endpoint is known.
-    pub(super) fn send(
+/// An attempt that the policy wants started.
+pub struct AttemptOrder {
+    /// The request that it is for.
+    pub request_id: RequestId,
+    /// Where to send it.
+    pub endpoint: EndpointId,
+    /// How long its response may take; 0 means for as long as the client waits.
+    pub timeout: Seconds,
+    /// Endpoints may forget the request's idempotency key from then on.
+    pub dedup_until: Option<Time>,
+}
+
+/// The attempts of all open requests.
+pub struct Attempts {
+    policy: Rc<PolicyLoop>,
+    clock: Rc<Clock>,
+    timers: Rc<Timers>,
+    table: Rc<RequestTable>,
+    endpoints: Rc<EndpointPool>,
+}
+
+impl Attempts {
+    /// Attempts for the requests of `table` that go to `endpoints`.
+    pub fn new(
+        policy: Rc<PolicyLoop>,
+        clock: Rc<Clock>,
+        timers: Rc<Timers>,
+        table: Rc<RequestTable>,
+        endpoints: Rc<EndpointPool>,
+    ) -> Rc<Self> {
+        Rc::new(Self { policy, clock, timers, table, endpoints })
+    }
+
+    /// Starts an attempt, or reports it as not sent if its request no longer waits or the endpoint is unknown.
+    pub fn start(self: &Rc<Self>, now: Time, order: AttemptOrder) {
+        let target = self.endpoints.target(&order.endpoint);
+        let Some(mut request) = self.table.get_mut(&order.request_id) else { return };
+        let timeout = request.attempt_timeout(now, order.timeout);
+        let is_finished = !request.is_waiting();
+        if let Some(target) = target.filter(|_| !is_finished && timeout > 0.0) {
+            self.launch(now, order, target, timeout, &mut request);
+            return;
+        }
+        let number = request.add_unsent_attempt();
+        drop(request);
+        self.release(&order.request_id);
+        self.policy.post(not_sent(order.request_id, number, order.endpoint, is_finished));
+    }
+
+    fn launch(
         self: &Rc<Self>,
         now: Time,
-        request_id: RequestId,
-        endpoint: EndpointId,
-        timeout: f64,
-        dedup_until: Option<Time>,
+        order: AttemptOrder,
+        target: Target,
+        timeout: Seconds,
+        request: &mut OpenRequest,
     ) {
-        let mut table = self.open.borrow_mut();
-        let target = self.endpoints.target(&endpoint);
-        let Some(open) = table.get_mut(&request_id) else { return };
-        let number = open.attempts.len() as u32;
-        // No time-out of its own means the client's; none is longer.
-        let left = open.expires.map_or(open.remaining, |expires| expires - now);
-        let wait = if timeout == 0.0 { left } else { timeout.min(left) };
-        let is_finished = !open.is_waiting();
-        let (Some(target), false, true) = (target, is_finished, wait > 0.0) else {
-            open.attempts.push(None);
-            drop(table);
-            self.wind_up(&request_id);
-            return self.events.borrow_mut().push_back(not_sent(request_id, number, endpoint, is_finished));
-        };
-        // A body that comes in pieces goes out once at most, and may take its time.
-        if let (Some(until), Content::Whole(_)) = (dedup_until, &open.upstream.body) {
-            open.dedup_until = until;
+        let AttemptOrder { request_id, endpoint, dedup_until, .. } = order;
+        // A streamed body is sent once at most, however long it takes.
+        if let (Some(until), Content::Whole(_)) = (dedup_until, &request.upstream().body) {
+            request.set_dedup_deadline(until);
             self.timers.set(until, TimerPurpose::DedupEnd(request_id.clone()));
         }
-        debug!(request = ?open.upstream.txn, attempt = number, endpoint = %endpoint, wait, "attempt begun");
-        let trace = Trace::default();
-        let upstream = open.upstream.clone();
-        let task = self.spawn_attempt(request_id.clone(), number, target, upstream, wait, trace.clone());
-        let timer =
-            open.expires.map(|_| self.timers.set(now + wait, TimerPurpose::Attempt(request_id, number)));
-        open.attempts.push(Some(Attempt { endpoint, sent: now, wait, begun: None, trace, task, timer }));
+        let number = request.next_attempt_number();
+        let upstream = request.upstream().clone();
+        debug!(request = ?upstream.txn, attempt = number, endpoint = %endpoint, wait = timeout, "attempt begun");
+        let write_progress = Trace::default();
+        let task = self.spawn(request_id.clone(), number, target, upstream, timeout, write_progress.clone());
+        let timeout_timer = request
+            .is_complete()
+            .then(|| self.timers.set(now + timeout, TimerPurpose::Attempt(request_id, number)));
+        request.add_attempt(InFlightAttempt {
+            endpoint,
+            sent_at: now,
+            timeout,
+            response_started_at: None,
+            write_progress,
+            task,
+            timeout_timer,
+        });
     }
 
-    fn spawn_attempt(
+    fn spawn(
         self: &Rc<Self>,
         request_id: RequestId,
         number: u32,
         target: Target,
         upstream: Rc<UpstreamRequest>,
-        wait: f64,
-        trace: Trace,
+        timeout: Seconds,
+        write_progress: Trace,
     ) -> AbortHandle {
-        let driver = self.clone();
+        let attempts = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let begin = |length| driver.begun(&request_id, number, length);
-            let may_begin = || driver.may_begin(&request_id);
-            let end = driver.endpoints.attempt(&target, &upstream, wait, &trace, may_begin, begin).await;
-            driver.ended(&request_id, number, end);
+            let may_send = || attempts.may_send(&request_id);
+            let start_response = |length| attempts.response_started(&request_id, number, length);
+            let end = attempts
+                .endpoints
+                .attempt(&target, &upstream, timeout, &write_progress, may_send, start_response)
+                .await;
+            attempts.end(&request_id, number, end);
         });
         task.abort_handle()
     }
 
-    /// A large answer has begun: from here on it is the request's, however it ends. `None`: it has another one.
-    fn begun(
-        self: &Rc<Self>,
+    fn may_send(&self, request_id: &RequestId) -> bool {
+        self.table.is_some_and(request_id, |request| request.may_send(self.clock.now()))
+    }
+
+    /// Makes a streamed response the final one, and returns where its pieces go; `None` if the client has
+    /// another response, or has disconnected.
+    fn response_started(
+        &self,
         request_id: &RequestId,
         number: u32,
         length: Option<u64>,
     ) -> Option<mpsc::Sender<Piece>> {
-        let mut table = self.open.borrow_mut();
-        let open = table.get_mut(request_id)?;
-        open.attempt_mut(number)?;
+        let mut request = self.table.get_mut(request_id)?;
+        request.attempt_mut(number)?;
         let (sender, pieces) = stream::pipe();
-        let given = open.give(FinalAnswer::Streamed { length, pieces });
-        if given == Given::Before {
+        let outcome = request.deliver(FinalAnswer::Streamed { length, pieces });
+        if outcome == DeliveryOutcome::NotOwed {
             return None;
         }
-        let attempt = open.attempt_mut(number)?;
-        attempt.begun = Some(self.clock.now());
-        let timer = attempt.timer.take();
-        drop(table);
-        timer.into_iter().for_each(|timer| self.timers.cancel(timer));
-        self.wind_up(request_id);
-        self.post(Event::ResponseStarted { request_id: request_id.clone() });
-        (given == Given::ToClient).then_some(sender)
+        let attempt = request.attempt_mut(number)?;
+        attempt.response_started_at = Some(self.clock.now());
+        let timeout_timer = attempt.timeout_timer.take();
+        drop(request);
+        if let Some(timer) = timeout_timer {
+            self.timers.cancel(timer);
+        }
+        self.release(request_id);
+        self.policy.post(Event::ResponseStarted { request_id: request_id.clone() });
+        (outcome == DeliveryOutcome::Delivered).then_some(sender)
     }
 
-    fn ended(self: &Rc<Self>, request_id: &RequestId, number: u32, end: AttemptEnd) {
-        let mut table = self.open.borrow_mut();
-        let Some(open) = table.get_mut(request_id) else { return };
-        let Some(attempt) = open.attempts.get_mut(number as usize).and_then(Option::take) else { return };
-        let (request, endpoint) = (&open.upstream.txn, &attempt.endpoint);
-        debug!(?request, attempt = number, %endpoint, reason = ?end.status, "attempt ended");
-        attempt.timer.into_iter().for_each(|timer| self.timers.cancel(timer));
+    fn end(&self, request_id: &RequestId, number: u32, end: AttemptEnd) {
+        let Some(mut request) = self.table.get_mut(request_id) else { return };
+        let Some(attempt) = request.take_attempt(number) else { return };
+        let endpoint = attempt.endpoint;
+        debug!(request = ?request.upstream().txn, attempt = number, %endpoint, reason = ?end.status, "attempt ended");
+        if let Some(timer) = attempt.timeout_timer {
+            self.timers.cancel(timer);
+        }
         if end.status == Status::Ok {
-            open.give(FinalAnswer::Served(end.body));
+            request.deliver(FinalAnswer::Served(end.body));
         }
-        let is_finished = !open.is_waiting();
-        drop(table);
-        self.wind_up(request_id);
-        self.post(Event::AttemptEnded {
+        let is_finished = !request.is_waiting();
+        drop(request);
+        self.release(request_id);
+        // How long a streamed response takes depends on its client, so only the time to its start counts.
+        let ended_at = attempt.response_started_at.unwrap_or_else(|| self.clock.now());
+        self.policy.post(Event::AttemptEnded {
             request_id: request_id.clone(),
             attempt: number,
-            endpoint: attempt.endpoint,
+            endpoint,
             status: end.status,
-            // A long answer's time is its client's affair.
-            elapsed: (attempt.begun.unwrap_or_else(|| self.clock.now()) - attempt.sent).max(0.0),
+            elapsed: (ended_at - attempt.sent_at).max(0.0),
             is_finished,
             actual_units: None,
             load: end.load,
         });
     }
 
-    /// Ends an attempt from this side: dropping its task closes the connection.
-    pub(super) fn stop(self: &Rc<Self>, request_id: &RequestId, number: u32, status: Status) {
-        let stopped = {
-            let mut table = self.open.borrow_mut();
-            let attempt = table.get_mut(request_id).and_then(|open| open.attempt_mut(number));
-            attempt.map(|attempt| {
-                attempt.task.abort();
-                may_have_run(&attempt.trace)
-            })
-        };
-        if let Some(may_have_run) = stopped {
-            // Not written whole: it was never sent, whatever ended it.
-            let status = if may_have_run { status } else { Status::NotSent };
-            self.ended(request_id, number, AttemptEnd::without_answer(status));
+    /// Ends an attempt from this side with `status`, or with [`Status::NotSent`] if it was not written
+    /// completely: then it has not run, whatever ended it.
+    pub fn cancel(&self, request_id: &RequestId, number: u32, status: Status) {
+        let Some(mut request) = self.table.get_mut(request_id) else { return };
+        let Some(attempt) = request.attempt_mut(number) else { return };
+        attempt.task.abort();
+        let status = if may_have_run(&attempt.write_progress) { status } else { Status::NotSent };
+        drop(request);
+        self.end(request_id, number, AttemptEnd::without_answer(status));
+    }
+
+    /// Releases what a request no longer needs. Once nothing may be sent for it, its unsent attempts are
+    /// cancelled, as they wait for a connection or are half written and must not run now. Once it is
+    /// finished, it is removed.
+    pub fn release(&self, request_id: &RequestId) {
+        for number in self.attempts_to_cancel(request_id) {
+            self.cancel(request_id, number, Status::Cancelled);
+        }
+        let Some(request) = self.table.remove_finished(request_id) else { return };
+        if let Some(timer) = request.deadline_timer() {
+            self.timers.cancel(timer);
+        }
+    }
+
+    fn attempts_to_cancel(&self, request_id: &RequestId) -> Vec<u32> {
+        match self.table.get_mut(request_id) {
+            Some(request) if !request.may_send(self.clock.now()) => request.unsent_attempts(),
+            _ => Vec::new(),
         }
     }
 }
 
-/// The outcome of an attempt that was not begun.
+/// The end of an attempt that was never started.
 fn not_sent(request_id: RequestId, attempt: u32, endpoint: EndpointId, is_finished: bool) -> Event {
-    let (status, load) = (Status::NotSent, LoadReport::default());
     Event::AttemptEnded {
         request_id,
         attempt,
         endpoint,
-        status,
+        status: Status::NotSent,
         elapsed: 0.0,
         is_finished,
         actual_units: None,
-        load,
+        load: LoadReport::default(),
     }
 }
--- a/src/node/runtime/clock.rs
+++ b/src/node/runtime/clock.rs
@@ -1,31 +1,34 @@
-//! The clock that events are told by.
+//! The clock of all events.
 
 use oliverack::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix seconds that never go back: the system's clock read once, then a monotonic one. All gateways agree
-/// on it, as they must on the windows of the quotas.
+/// Farthest moment that can be converted, from the start of the clock on.
+const MAX_SECONDS_AHEAD: f64 = 1e9;
+
+/// Unix time that never goes back: the system's clock is read once and continued by the monotonic clock. Unix
+/// time, as all gateways must agree on the windows of the quotas.
 #[derive(Debug)]
 pub struct Clock {
     start: Instant,
-    unix: Time,
+    start_unix: Time,
 }
 
 impl Clock {
-    /// The system's clock as it stands.
+    /// A clock that starts from the system's.
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
-        Self { start: Instant::now(), unix }
+        let start_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+        Self { start: Instant::now(), start_unix }
     }
 
-    /// Unix seconds.
+    /// The current Unix time.
     pub fn now(&self) -> Time {
-        self.unix + self.start.elapsed().as_secs_f64()
+        self.start_unix + self.start.elapsed().as_secs_f64()
     }
 
-    /// The same moment on the monotonic clock.
+    /// Converts a Unix time to the monotonic clock.
     pub fn instant(&self, at: Time) -> Instant {
-        let ahead = (at - self.unix).clamp(0.0, 1e9);
-        self.start + Duration::from_secs_f64(ahead)
+        let seconds_ahead = (at - self.start_unix).clamp(0.0, MAX_SECONDS_AHEAD);
+        self.start + Duration::from_secs_f64(seconds_ahead)
     }
 }
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -1,226 +1,238 @@
-//! Drives the one `Gateway`: turns what happens into events and carries out the actions. It decides nothing.
+//! Composes the parts of the runtime and passes on between them: actions, due timers, endpoint lists, and what
+//! sibling processes say. It decides nothing.
 
 use crate::node::{
     config::Config,
     connection::{
         discovery::ListSink,
         endpoint_pool::EndpointPool,
-        events::{EventSender, EventSink},
-        siblings::Siblings,
+        siblings::{SiblingHandler, Siblings},
     },
     maintenance_file::MaintenanceFile,
     metrics::Metrics,
     processes::Processes,
     runtime::{
+        attempts::{AttemptOrder, Attempts},
         clock::Clock,
-        counters::CounterClients,
-        open_requests::OpenRequest,
+        counter_calls::CounterCalls,
+        maintenance::Maintenance,
+        policy_loop::{ActionExecutor, PolicyLoop},
+        request_table::RequestTable,
+        requests::Requests,
         timers::{TimerPurpose, Timers},
     },
     wire::endpoint_list::Listed,
 };
-use fnv::{FnvHashMap, FnvHashSet};
-use hyper::header::HeaderValue;
-use oliverack::{Action, Event, Gateway, ListKind, RequestId, SettingsError, Status, Time};
+use oliverack::{
+    Action, EndpointCounts, EndpointId, Event, Gateway, HandoverSnapshot, ListKind, SettingsError, Status,
+    Time,
+};
 use std::{
-    cell::{Cell, RefCell},
-    collections::VecDeque,
-    net::SocketAddr,
-    rc::Rc,
+    rc::{Rc, Weak},
     time::Duration,
 };
 use tokio::sync::Notify;
-use tracing::error;
-
-/// Events are being handed to the policy.
-struct Working<'a>(&'a Cell<bool>);
-
-impl Drop for Working<'_> {
-    fn drop(&mut self) {
-        self.0.set(false);
-    }
-}
+use tracing::{error, info};
 
-/// See the [module](self).
+/// The runtime of one gateway.
 pub struct Driver {
-    pub config: Config,
-    pub(super) clock: Clock,
-    pub(super) gateway: RefCell<Gateway>,
-    /// Those that the policy has still to hear of, in order.
-    pub(super) events: RefCell<VecDeque<Event>>,
-    is_working: Cell<bool>,
-    pub(super) open: RefCell<FnvHashMap<RequestId, OpenRequest>>,
-    /// The clients' names of the open requests.
-    pub(super) transactions: RefCell<FnvHashSet<HeaderValue>>,
-    pub(super) last_job: Cell<u64>,
-    pub(super) timers: Timers,
-    /// The policy wants the list followed, where that has its price.
-    pub asked: Rc<Notify>,
-    pub(super) endpoints: EndpointPool,
-    pub metrics: Rc<Metrics>,
-    counters: CounterClients,
-    /// Other processes of this gateway.
-    pub siblings: Rc<Siblings>,
-    pub processes: Rc<Processes>,
-    /// `None`: there are no operators' calls, or no folder.
-    pub(super) maintenance_file: Option<MaintenanceFile>,
+    clock: Rc<Clock>,
+    timers: Rc<Timers>,
+    policy: Rc<PolicyLoop>,
+    requests: Rc<Requests>,
+    attempts: Rc<Attempts>,
+    counter_calls: CounterCalls,
+    maintenance: Maintenance,
+    endpoints: Rc<EndpointPool>,
+    poll_requested: Rc<Notify>,
+    siblings: Rc<Siblings>,
+    processes: Rc<Processes>,
 }
 
 impl Driver {
-    /// The driver of a gateway that knows the list of its configuration.
+    /// The runtime of a gateway that starts with the endpoint list `known`, which may be out of date.
     ///
     /// # Errors
-    /// Settings that no gateway can work with.
-    pub fn new(mut config: Config, endpoint_budget: usize) -> Result<Rc<Self>, SettingsError> {
+    /// The settings are not usable.
+    pub fn new(
+        config: &Config,
+        known: Vec<Listed>,
+        endpoint_budget: usize,
+        metrics: &Metrics,
+    ) -> Result<Rc<Self>, SettingsError> {
         let settings = &config.options.settings;
         let gateway = Gateway::new(settings.clone(), config.seed)?;
-        let counter = config.counter.filter(|_| settings.has_counter);
-        let counters = CounterClients::new(counter, Duration::from_secs_f64(settings.counter_timeout));
-        let metrics = Metrics::new(config.options.classes.len());
-        let endpoints = EndpointPool::new(
+        let endpoints = Rc::new(EndpointPool::new(
             endpoint_budget,
             Duration::from_secs_f64(config.options.conn_idle),
             Duration::from_secs_f64(config.options.connect_timeout),
             metrics.dispatches.clone(),
-        );
+        ));
         let processes = Rc::new(Processes::default());
-        // Needed once; later lists make it void.
-        let known = std::mem::take(&mut config.known);
-        let driver = Rc::new(Self {
-            clock: Clock::new(),
-            gateway: RefCell::new(gateway),
-            events: RefCell::default(),
-            is_working: Cell::new(false),
-            open: RefCell::default(),
-            transactions: RefCell::default(),
-            last_job: Cell::new(0),
-            timers: Timers::default(),
-            asked: Rc::default(),
-            endpoints,
-            metrics,
-            counters,
-            siblings: Siblings::new(&config.name, config.list_bound(), processes.clone()),
-            processes,
-            maintenance_file: config.operator.and_then(|_| MaintenanceFile::new(&config.name)),
-            config,
+        let siblings = Siblings::new(&config.name, config.list_bound(), processes.clone());
+        let file = config.operator.and_then(|_| MaintenanceFile::new(&config.name));
+        let driver = Rc::new_cyclic(|driver: &Weak<Self>| {
+            let clock = Rc::new(Clock::new());
+            let timers = Rc::new(Timers::default());
+            let table = Rc::new(RequestTable::default());
+            let policy = PolicyLoop::new(gateway, clock.clone(), driver.clone());
+            let attempts = Attempts::new(
+                policy.clone(),
+                clock.clone(),
+                timers.clone(),
+                table.clone(),
+                endpoints.clone(),
+            );
+            Self {
+                requests: Requests::new(
+                    policy.clone(),
+                    clock.clone(),
+                    timers.clone(),
+                    table,
+                    attempts.clone(),
+                ),
+                counter_calls: CounterCalls::new(config.counter, settings, policy.clone(), timers.clone()),
+                maintenance: Maintenance::new(policy.clone(), endpoints.clone(), siblings.clone(), file),
+                clock,
+                timers,
+                policy,
+                attempts,
+                endpoints,
+                poll_requested: Rc::default(),
+                siblings,
+                processes,
+            }
         });
-        driver.list(ListKind::Stale, known);
+        driver.update_endpoints(ListKind::Stale, known);
         Ok(driver)
     }
 
-    /// Tells the policy of what connections tell.
-    pub(super) fn sender(self: &Rc<Self>) -> EventSender {
-        self.clone()
+    /// The open requests.
+    pub fn requests(&self) -> &Rc<Requests> {
+        &self.requests
+    }
+
+    /// The endpoints in maintenance.
+    pub fn maintenance(&self) -> &Maintenance {
+        &self.maintenance
+    }
+
+    /// The calls to the counter.
+    pub fn counter_calls(&self) -> &CounterCalls {
+        &self.counter_calls
+    }
+
+    /// The other processes of this gateway.
+    pub fn siblings(&self) -> &Rc<Siblings> {
+        &self.siblings
     }
 
-    /// Connects to the counter before the first call needs it.
-    pub fn start_counter(self: &Rc<Self>) {
-        self.counters.start(&self.sender());
+    /// How many processes serve this gateway.
+    pub fn processes(&self) -> &Rc<Processes> {
+        &self.processes
     }
 
-    /// Takes another address of the counter, where the settings have one.
-    pub fn move_counter(self: &Rc<Self>, addr: Option<SocketAddr>) {
-        let addr = addr.filter(|_| self.config.options.settings.has_counter);
-        self.counters.move_to(addr, &self.sender());
+    /// Notified when the policy wants discovery to be polled.
+    pub fn poll_requested(&self) -> &Rc<Notify> {
+        &self.poll_requested
     }
 
-    /// Closes idle connections that are due.
-    pub fn sweep(&self) {
+    /// How many endpoints there are, and how many of them receive nothing at present.
+    pub fn endpoint_counts(&self) -> EndpointCounts {
+        self.policy.endpoint_counts()
+    }
+
+    /// Closes connections to endpoints that have been idle for too long.
+    pub fn close_idle_connections(&self) {
         self.endpoints.sweep();
     }
 
-    /// Hands the policy one event and carries out what it wants; events that this leads to come after it.
-    pub fn post(self: &Rc<Self>, event: Event) {
-        self.events.borrow_mut().push_back(event);
-        if self.is_working.replace(true) {
-            return;
-        }
-        // Given back also if the policy panics: the requests of others go on.
-        let _working = Working(&self.is_working);
-        let mut actions = Vec::new();
+    /// Fires timers as they are due. Never returns.
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let Some(event) = self.events.borrow_mut().pop_front() else { break };
-            let now = self.clock.now();
-            self.gateway.borrow_mut().handle(now, event, &mut actions);
-            actions.drain(..).for_each(|action| self.carry_out(now, action));
+            match self.timers.next_due() {
+                Some(due) if due <= self.clock.now() => {
+                    if let Some(purpose) = self.timers.pop_next() {
+                        self.fire(purpose);
+                    }
+                }
+                Some(due) => {
+                    let until_due = tokio::time::sleep_until(self.clock.instant(due).into());
+                    tokio::select! { () = until_due => {}, () = self.timers.wait_for_earlier() => {} }
+                }
+                None => self.timers.wait_for_earlier().await,
+            }
         }
     }
 
-    /// News of the endpoints. Names are mapped to addresses here, which are each gateway's own.
-    fn list(self: &Rc<Self>, kind: ListKind, endpoints: Vec<Listed>) {
+    fn fire(&self, purpose: TimerPurpose) {
+        match purpose {
+            TimerPurpose::Policy(token) => self.policy.post(Event::Timer { token }),
+            TimerPurpose::Attempt(request_id, number) => {
+                self.attempts.cancel(&request_id, number, Status::Timeout);
+            }
+            TimerPurpose::CounterCall(client, number) => client.expire(&self.policy.sender(), number),
+            TimerPurpose::DedupEnd(request_id) => self.attempts.release(&request_id),
+            TimerPurpose::Deadline(request_id) => self.requests.fail_at_deadline(request_id),
+        }
+    }
+
+    /// The pool learns the endpoints' addresses, which are this gateway's own; the policy learns the rest.
+    fn update_endpoints(&self, kind: ListKind, endpoints: Vec<Listed>) {
         self.endpoints.listed(kind != ListKind::Changes, &endpoints);
         let endpoints = endpoints.into_iter().map(|listed| listed.endpoint).collect();
-        self.post(Event::EndpointsUpdated { kind, endpoints });
+        self.policy.post(Event::EndpointsUpdated { kind, endpoints });
     }
+}
 
-    fn carry_out(self: &Rc<Self>, now: Time, action: Action) {
+impl ActionExecutor for Driver {
+    fn execute(&self, now: Time, action: Action) {
         match action {
             Action::StartAttempt { request_id, endpoint, timeout, dedup_until } => {
-                self.send(now, request_id, endpoint, timeout, dedup_until);
+                self.attempts.start(now, AttemptOrder { request_id, endpoint, timeout, dedup_until });
             }
-            Action::Reject { request_id, retry_after } => self.refuse(&request_id, retry_after),
-            Action::Fail { request_id } => self.fail(&request_id),
+            Action::Reject { request_id, retry_after } => self.requests.reject(&request_id, retry_after),
+            Action::Fail { request_id } => self.requests.fail(&request_id),
             Action::SetTimer { token, at } => {
                 self.timers.set(at, TimerPurpose::Policy(token));
             }
-            Action::AddToCounter { counter, amount, ttl } => self.count(now, counter, amount, ttl),
-            Action::PollEndpoints => self.asked.notify_one(),
+            Action::AddToCounter { counter, amount, ttl } => {
+                self.counter_calls.add(now, counter, amount, ttl);
+            }
+            Action::PollEndpoints => self.poll_requested.notify_one(),
             other => error!(action = ?other, "unknown action of the policy"),
         }
     }
+}
 
-    fn count(self: &Rc<Self>, now: Time, counter: u64, amount: f64, ttl: f64) {
-        if let Some(client) = self.counters.client_for(counter) {
-            let number = client.call(&self.sender(), counter, amount, ttl);
-            let limit = self.config.options.settings.counter_timeout;
-            self.timers.set(now + limit, TimerPurpose::CounterCall(client, number));
-        } else {
-            let event =
-                Event::CounterReplied { counter, status: Status::ConnectFailed, total: 0.0, elapsed: 0.0 };
-            self.events.borrow_mut().push_back(event);
-        }
+impl ListSink for Driver {
+    fn list(&self, kind: ListKind, endpoints: Vec<Listed>) {
+        self.update_endpoints(kind, endpoints);
     }
 
-    fn fire(self: &Rc<Self>, purpose: TimerPurpose) {
-        match purpose {
-            TimerPurpose::Policy(token) => self.post(Event::Timer { token }),
-            TimerPurpose::Attempt(request_id, number) => self.stop(&request_id, number, Status::Timeout),
-            TimerPurpose::CounterCall(client, number) => client.expire(&self.sender(), number),
-            TimerPurpose::DedupEnd(request_id) => self.wind_up(&request_id),
-            TimerPurpose::Deadline(request_id) => self.fail_at_deadline(request_id),
-        }
+    fn unlisted(&self) {
+        self.policy.post(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
     }
+}
 
-    /// Fires timers for good.
-    pub async fn run_timers(self: Rc<Self>) {
-        loop {
-            match self.timers.next_due() {
-                Some(at) if at <= self.clock.now() => {
-                    let purpose = self.timers.take_next();
-                    purpose.into_iter().for_each(|purpose| self.fire(purpose));
-                }
-                Some(at) => {
-                    let until = tokio::time::sleep_until(self.clock.instant(at).into());
-                    tokio::select! { () = until => {}, () = self.timers.earlier_one() => {} }
-                }
-                None => self.timers.earlier_one().await,
-            }
-        }
+impl SiblingHandler for Driver {
+    fn inherit(&self, memory: HandoverSnapshot) {
+        self.policy.post(Event::SnapshotReceived(memory));
     }
-}
 
-impl EventSink for Driver {
-    fn post(self: Rc<Self>, event: Event) {
-        Driver::post(&self, event);
+    fn memory(&self) -> HandoverSnapshot {
+        self.policy.snapshot()
     }
-}
 
-impl ListSink for Rc<Driver> {
-    fn list(&self, kind: ListKind, endpoints: Vec<Listed>) {
-        Driver::list(self, kind, endpoints);
+    fn set_maintenance(&self, endpoint: &EndpointId, in_maintenance: bool) {
+        self.maintenance.set(endpoint, in_maintenance);
     }
 
-    fn unlisted(&self) {
-        Driver::post(self, Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
+    fn processes_changed(&self) {
+        let index = self.processes.place();
+        let count = self.processes.count();
+        info!(index, processes = count, "replicas changed");
+        self.endpoints.share(count as usize);
+        self.policy.post(Event::ReplicasChanged { index, count });
     }
 }
--- /dev/null
+++ b/src/node/runtime/policy_loop.rs
@@ -0,0 +1,105 @@
+//! Feeds the policy one event at a time and has its actions executed in order.
+
+use crate::node::{
+    connection::events::{EventSender, EventSink},
+    runtime::clock::Clock,
+};
+use oliverack::{Action, EndpointCounts, EndpointId, Event, Gateway, HandoverSnapshot, Time};
+use std::{
+    cell::{Cell, RefCell},
+    collections::VecDeque,
+    rc::{Rc, Weak},
+};
+
+/// Executes the actions of the policy.
+pub trait ActionExecutor {
+    /// Executes one action that the policy decided on at `now`. Events that this leads to may be posted at
+    /// once: they are handled after the actions of the present event.
+    fn execute(&self, now: Time, action: Action);
+}
+
+/// The policy, with the queue of events that it has yet to handle.
+pub struct PolicyLoop {
+    gateway: RefCell<Gateway>,
+    clock: Rc<Clock>,
+    pending: RefCell<VecDeque<Event>>,
+    is_processing: Cell<bool>,
+    /// Weak, as executors hold the loop to post events to it.
+    executor: Weak<dyn ActionExecutor>,
+}
+
+/// Marks the loop as idle when it is dropped, also by a panic of the policy: other requests go on.
+struct ProcessingGuard<'a>(&'a Cell<bool>);
+
+impl Drop for ProcessingGuard<'_> {
+    fn drop(&mut self) {
+        self.0.set(false);
+    }
+}
+
+impl PolicyLoop {
+    /// A loop over `gateway` whose actions `executor` executes.
+    pub fn new(gateway: Gateway, clock: Rc<Clock>, executor: Weak<dyn ActionExecutor>) -> Rc<Self> {
+        Rc::new(Self {
+            gateway: RefCell::new(gateway),
+            clock,
+            pending: RefCell::default(),
+            is_processing: Cell::new(false),
+            executor,
+        })
+    }
+
+    /// The handle by which connections post events.
+    pub fn sender(self: &Rc<Self>) -> EventSender {
+        self.clone()
+    }
+
+    /// Has the policy handle an event. If it is already handling one, the event waits in the queue.
+    pub fn post(&self, event: Event) {
+        self.pending.borrow_mut().push_back(event);
+        if self.is_processing.replace(true) {
+            return;
+        }
+        let _guard = ProcessingGuard(&self.is_processing);
+        self.process_pending();
+    }
+
+    fn process_pending(&self) {
+        let Some(executor) = self.executor.upgrade() else { return };
+        let mut actions = Vec::new();
+        loop {
+            let Some(event) = self.pending.borrow_mut().pop_front() else { return };
+            let now = self.clock.now();
+            self.gateway.borrow_mut().handle(now, event, &mut actions);
+            for action in actions.drain(..) {
+                executor.execute(now, action);
+            }
+        }
+    }
+
+    /// Whether the policy has an endpoint of this id.
+    pub fn knows_endpoint(&self, endpoint: &EndpointId) -> bool {
+        self.gateway.borrow().knows_endpoint(endpoint)
+    }
+
+    /// How many endpoints there are, and how many of them receive nothing at present.
+    pub fn endpoint_counts(&self) -> EndpointCounts {
+        self.gateway.borrow().endpoint_counts(self.clock.now())
+    }
+
+    /// The endpoints that operators have put into maintenance.
+    pub fn endpoints_in_maintenance(&self) -> Vec<EndpointId> {
+        self.gateway.borrow().in_maintenance().cloned().collect()
+    }
+
+    /// What a successor in a hot restart should know.
+    pub fn snapshot(&self) -> HandoverSnapshot {
+        self.gateway.borrow().snapshot()
+    }
+}
+
+impl EventSink for PolicyLoop {
+    fn post(self: Rc<Self>, event: Event) {
+        PolicyLoop::post(&self, event);
+    }
+}
--- a/src/node/runtime/requests.rs
+++ b/src/node/runtime/requests.rs
@@ -1,111 +1,108 @@
-//! Carries requests from their clients to their final answers.
+//! Accepts clients' requests and gives each its one final response.
 
 use crate::node::{
     connection::clients::{FinalAnswer, RequestHandler},
     runtime::{
-        driver::Driver,
-        open_requests::{Given, OpenRequest},
-        timers::TimerPurpose,
+        attempts::Attempts,
+        clock::Clock,
+        open_request::{DeliveryOutcome, OpenRequest},
+        policy_loop::PolicyLoop,
+        request_table::RequestTable,
+        timers::{TimerPurpose, Timers},
     },
     wire::{client_request::ClientRequest, stream::Content},
 };
-use oliverack::{Event, Request, RequestId, Status};
+use oliverack::{Event, Request, RequestId, Seconds};
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tracing::debug;
 
-/// Seconds after a request's end at which it is failed, should the policy not have answered.
-const LAST_RESORT: f64 = 0.004;
+/// How long after its deadline a request is failed if the policy has given no final response. The policy's
+/// own answer and the attempts' timeouts, which are cut to the deadline, come before.
+const DEADLINE_GRACE: Seconds = 0.004;
 
-impl Driver {
-    /// How many requests wait for their answer.
-    pub fn waiting_requests(&self) -> usize {
-        self.open.borrow().values().filter(|open| open.is_waiting()).count()
+/// The open requests, from their acceptance to their final responses.
+pub struct Requests {
+    policy: Rc<PolicyLoop>,
+    clock: Rc<Clock>,
+    timers: Rc<Timers>,
+    table: Rc<RequestTable>,
+    attempts: Rc<Attempts>,
+}
+
+impl Requests {
+    /// Requests that are kept in `table` and served by `attempts`.
+    pub fn new(
+        policy: Rc<PolicyLoop>,
+        clock: Rc<Clock>,
+        timers: Rc<Timers>,
+        table: Rc<RequestTable>,
+        attempts: Rc<Attempts>,
+    ) -> Rc<Self> {
+        Rc::new(Self { policy, clock, timers, table, attempts })
     }
 
-    /// Gives every request in hand its final answer: the process is about to be killed.
-    pub fn fail_all(self: &Rc<Self>) {
-        let requests: Vec<RequestId> = self.open.borrow().keys().cloned().collect();
-        for request_id in requests {
-            self.fail(&request_id);
-            self.post(Event::ClientDisconnected { request_id });
-        }
+    /// How many requests wait for their final response.
+    pub fn waiting_count(&self) -> usize {
+        self.table.waiting_count()
     }
 
-    /// The policy answers before: this is the last resort, so that no client waits for nothing.
-    pub(super) fn fail_at_deadline(self: &Rc<Self>, request_id: RequestId) {
-        let waits = self.open.borrow().get(&request_id).is_some_and(OpenRequest::is_waiting);
-        if waits {
-            self.fail(&request_id);
-            self.post(Event::ClientDisconnected { request_id });
-        }
+    /// Gives the final response: rejected.
+    pub fn reject(&self, request_id: &RequestId, retry_after: Seconds) {
+        self.respond(request_id, FinalAnswer::Refused { retry_after });
     }
 
-    pub(super) fn refuse(self: &Rc<Self>, request_id: &RequestId, retry_after: f64) {
-        self.answer(request_id, FinalAnswer::Refused { retry_after });
+    /// Gives the final response: failed.
+    pub fn fail(&self, request_id: &RequestId) {
+        self.respond(request_id, FinalAnswer::Failed);
     }
 
-    pub(super) fn fail(self: &Rc<Self>, request_id: &RequestId) {
-        self.answer(request_id, FinalAnswer::Failed);
+    /// Fails every open request, as the process is about to be killed.
+    pub fn fail_all(&self) {
+        for request_id in self.table.ids() {
+            self.fail_and_close(request_id);
+        }
     }
 
-    fn answer(self: &Rc<Self>, request_id: &RequestId, answer: FinalAnswer) {
-        let given =
-            self.open.borrow_mut().get_mut(request_id).map_or(Given::Before, |open| open.give(answer));
-        if given != Given::Before {
-            self.wind_up(request_id);
+    /// Fails a request that has no response although its deadline has passed.
+    pub fn fail_at_deadline(&self, request_id: RequestId) {
+        if self.table.is_some_and(&request_id, OpenRequest::is_waiting) {
+            self.fail_and_close(request_id);
         }
     }
 
-    /// Whether an attempt of a request may begin its work: its client waits, and the endpoints would know a repeat.
-    pub(super) fn may_begin(&self, request_id: &RequestId) -> bool {
-        let open = self.open.borrow();
-        open.get(request_id).is_some_and(|open| open.is_waiting() && self.clock.now() < open.dedup_until)
+    /// Fails a request without being asked by the policy, which therefore learns that no response is owed.
+    fn fail_and_close(&self, request_id: RequestId) {
+        self.fail(&request_id);
+        self.policy.post(Event::ClientDisconnected { request_id });
     }
 
-    /// Winds up a request that is answered, whose client has left, or which the endpoints may have forgotten. An
-    /// attempt that still waits for its connection, or is half written, must not begin its work now: it is
-    /// stopped. Without attempts out an answered request is dropped.
-    pub(super) fn wind_up(self: &Rc<Self>, request_id: &RequestId) {
-        let unsent = if self.may_begin(request_id) {
-            Vec::new()
-        } else {
-            self.open.borrow().get(request_id).map(OpenRequest::unsent_attempts).unwrap_or_default()
-        };
-        unsent.into_iter().for_each(|number| self.stop(request_id, number, Status::Cancelled));
-        let mut table = self.open.borrow_mut();
-        if !table.get(request_id).is_some_and(OpenRequest::is_done) {
-            return;
-        }
-        let open = table.remove(request_id);
-        drop(table);
-        if let Some(open) = open {
-            open.deadline.into_iter().for_each(|timer| self.timers.cancel(timer));
-            self.transactions.borrow_mut().remove(&open.upstream.txn);
+    fn respond(&self, request_id: &RequestId, response: FinalAnswer) {
+        let Some(mut request) = self.table.get_mut(request_id) else { return };
+        let outcome = request.deliver(response);
+        drop(request);
+        if outcome != DeliveryOutcome::NotOwed {
+            self.attempts.release(request_id);
         }
     }
 }
 
-impl RequestHandler for Rc<Driver> {
+impl RequestHandler for Rc<Requests> {
     fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)> {
-        if !self.transactions.borrow_mut().insert(request.upstream.txn.clone()) {
-            return None;
-        }
+        let request_id = self.table.reserve_id(&request.upstream.txn)?;
         debug!(request = ?request.upstream.txn, customer = request.customer, class = request.class, "request taken");
-        self.last_job.set(self.last_job.get() + 1);
-        let request_id: RequestId = self.last_job.get().to_string().into();
-        let expires = self.clock.now() + request.remaining;
-        let (answer, receiver) = oneshot::channel();
+        let deadline = self.clock.now() + request.remaining;
+        let (response, receiver) = oneshot::channel();
         let upstream = Rc::new(request.upstream);
-        let open = OpenRequest::new(answer, upstream.clone(), request.remaining);
-        self.open.borrow_mut().insert(request_id.clone(), open);
+        let open = OpenRequest::new(response, upstream.clone(), request.remaining);
+        self.table.insert(request_id.clone(), open);
         if matches!(upstream.body, Content::Whole(_)) {
             self.received_whole(&request_id);
         }
-        self.post(Event::Request(Request {
+        self.policy.post(Event::Request(Request {
             id: request_id.clone(),
             units: request.units,
-            deadline: expires,
+            deadline,
             plan: request.plan,
             customer_gateway_count: request.spread,
             first_gateway: request.first,
@@ -117,28 +114,30 @@
     }
 
     fn received_whole(&self, request_id: &RequestId) {
-        let mut table = self.open.borrow_mut();
-        let Some(open) = table.get_mut(request_id).filter(|open| open.expires.is_none()) else { return };
+        let Some(mut request) = self.table.get_mut(request_id) else { return };
+        if request.is_complete() {
+            return;
+        }
         let now = self.clock.now();
-        let expires = now + open.remaining;
-        open.expires = Some(expires);
-        // After the time-outs that are cut to the same moment: the policy's own answer comes first.
-        let deadline = TimerPurpose::Deadline(request_id.clone());
-        open.deadline = Some(self.timers.set(expires + LAST_RESORT, deadline));
-        for (number, attempt) in (0..).zip(&mut open.attempts) {
-            if let Some(attempt) = attempt.as_mut().filter(|attempt| attempt.begun.is_none()) {
-                attempt.sent = now;
+        let deadline = request.complete(now);
+        let purpose = TimerPurpose::Deadline(request_id.clone());
+        request.set_deadline_timer(self.timers.set(deadline + DEADLINE_GRACE, purpose));
+        for (number, attempt) in request.attempts_mut() {
+            if attempt.response_started_at.is_none() {
+                attempt.sent_at = now;
                 let purpose = TimerPurpose::Attempt(request_id.clone(), number);
-                attempt.timer = Some(self.timers.set(now + attempt.wait, purpose));
+                attempt.timeout_timer = Some(self.timers.set(now + attempt.timeout, purpose));
             }
         }
     }
 
     fn left(&self, request_id: &RequestId) {
-        let waited = self.open.borrow_mut().get_mut(request_id).is_some_and(OpenRequest::abandon);
-        if waited {
-            self.wind_up(request_id);
-            self.post(Event::ClientDisconnected { request_id: request_id.clone() });
+        let Some(mut request) = self.table.get_mut(request_id) else { return };
+        let was_waiting = request.abandon();
+        drop(request);
+        if was_waiting {
+            self.attempts.release(request_id);
+            self.policy.post(Event::ClientDisconnected { request_id: request_id.clone() });
         }
     }
 }
--- a/src/node/runtime/timers.rs
+++ b/src/node/runtime/timers.rs
@@ -11,62 +11,66 @@
 
 /// What a timer is for.
 pub enum TimerPurpose {
-    /// The policy asked for it, by this token.
+    /// The policy set it, with this token.
     Policy(u64),
-    /// The time of an attempt is up.
+    /// Timeout of the numbered attempt.
     Attempt(RequestId, u32),
     /// The client no longer waits.
     Deadline(RequestId),
-    /// The endpoints may have forgotten the request.
+    /// Endpoints may have forgotten the request's idempotency key.
     DedupEnd(RequestId),
-    /// The time of a counter call is up.
+    /// Timeout of the numbered counter call.
     CounterCall(Rc<CounterClient>, u64),
 }
 
-/// A timer's place: when it is due, in order, and its number among those due at once.
+/// Identifies a timer. Keys are ordered by due time, and timers due at once in the order of their setting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TimerKey(u64, u64);
+pub struct TimerKey {
+    /// The bits of the due time: those of non-negative floats are ordered as the floats.
+    due_bits: u64,
+    sequence_number: u64,
+}
 
 impl TimerKey {
-    /// Times are not negative, so their bits stand in their order.
-    fn new(at: Time, number: u64) -> Self {
-        Self(at.max(0.0).to_bits(), number)
+    fn new(due: Time, sequence_number: u64) -> Self {
+        Self { due_bits: due.max(0.0).to_bits(), sequence_number }
     }
 
     fn due(self) -> Time {
-        Time::from_bits(self.0)
+        Time::from_bits(self.due_bits)
     }
 }
 
-/// See the [module](self).
+/// The timers that are set.
 #[derive(Default)]
 pub struct Timers {
     pending: RefCell<BTreeMap<TimerKey, TimerPurpose>>,
-    last_number: Cell<u64>,
-    /// A timer was set that is due before all others.
-    earlier: Notify,
+    last_sequence_number: Cell<u64>,
+    /// Notified when a timer is set that is due before all others.
+    earlier_timer: Notify,
 }
 
 impl Timers {
     /// Sets a timer.
-    pub fn set(&self, at: Time, purpose: TimerPurpose) -> TimerKey {
-        self.last_number.set(self.last_number.get() + 1);
-        let key = TimerKey::new(at, self.last_number.get());
+    pub fn set(&self, due: Time, purpose: TimerPurpose) -> TimerKey {
+        self.last_sequence_number.set(self.last_sequence_number.get() + 1);
+        let key = TimerKey::new(due, self.last_sequence_number.get());
         let mut pending = self.pending.borrow_mut();
-        let first = pending.first_key_value().is_none_or(|(k, _)| key < *k);
+        let is_earliest = pending.first_key_value().is_none_or(|(first, _)| key < *first);
         pending.insert(key, purpose);
-        if first {
-            self.earlier.notify_one();
+        if is_earliest {
+            self.earlier_timer.notify_one();
         }
         key
     }
 
-    /// Takes a timer back.
+    /// Cancels a timer, unless it has fired.
     pub fn cancel(&self, key: TimerKey) {
         self.pending.borrow_mut().remove(&key);
     }
 
-    /// When the next timer is due. One for a call that has its answer need not wake anybody.
+    /// When the next timer is due. Timeouts of counter calls that have ended are dropped, as they need not
+    /// wake the process.
     pub fn next_due(&self) -> Option<Time> {
         let mut pending = self.pending.borrow_mut();
         while let Some(first) = pending.first_entry() {
@@ -80,13 +84,13 @@
         None
     }
 
-    /// Takes the next timer, whenever it is due.
-    pub fn take_next(&self) -> Option<TimerPurpose> {
+    /// Removes the next timer, whether or not it is due.
+    pub fn pop_next(&self) -> Option<TimerPurpose> {
         self.pending.borrow_mut().pop_first().map(|(_, purpose)| purpose)
     }
 
-    /// Waits until a timer was set that is due before all others.
-    pub async fn earlier_one(&self) {
-        self.earlier.notified().await;
+    /// Waits until a timer is set that is due before all others.
+    pub async fn wait_for_earlier(&self) {
+        self.earlier_timer.notified().await;
     }
 }
--- /dev/null
+++ b/src/node/tasks.rs
@@ -0,0 +1,125 @@
+//! The tasks that run for the life of the process.
+
+use crate::node::{
+    assembly::Node,
+    config::Config,
+    connection::{
+        discovery::{self, Discovery},
+        operators::Operators,
+        siblings,
+    },
+    error::EssentialTask,
+    operator_calls::OperatorCalls,
+    reload::reload_on_hangup,
+    runtime::driver::Driver,
+};
+use std::{net::SocketAddr, rc::Rc, time::Duration};
+use tokio::{
+    net::TcpListener,
+    signal::unix::Signal,
+    sync::watch,
+    task::{JoinHandle, JoinSet, spawn_local},
+    time::sleep,
+};
+use tracing::info;
+
+/// Time between two searches for connections to endpoints that have been idle for too long.
+const IDLE_CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The essential tasks. They end by a panic only.
+pub struct Tasks {
+    discovery: JoinHandle<()>,
+    timers: JoinHandle<()>,
+    reload: JoinHandle<()>,
+    idle_connections: JoinHandle<()>,
+    client_time_limits: JoinHandle<()>,
+    /// The servers of operators and of sibling processes; empty where there are no operator calls.
+    operators_and_siblings: JoinSet<()>,
+}
+
+impl Tasks {
+    /// Takes over from the predecessor, if there is one, and starts the tasks.
+    pub async fn spawn(node: &mut Node, hangup: Signal) -> Self {
+        let driver = &node.driver;
+        let mut operators_and_siblings = JoinSet::new();
+        if node.operator_listener.is_some() {
+            join_siblings(driver, &mut operators_and_siblings).await;
+        }
+        driver.counter_calls().connect();
+        let (discovery_address, discovery_addresses) = watch::channel(node.config.discovery);
+        let mut tasks = Self {
+            discovery: follow_discovery(&node.config, driver, discovery_addresses),
+            timers: spawn_local(driver.clone().run_timers()),
+            reload: spawn_local(reload_on_hangup(hangup, discovery_address, driver.clone())),
+            idle_connections: spawn_local(close_idle_connections(driver.clone())),
+            client_time_limits: spawn_local(node.clients.clone().watch()),
+            operators_and_siblings,
+        };
+        info!(gateway = %node.config.name, address = %node.address, "listening");
+        if let Some(listener) = node.operator_listener.take() {
+            serve_operators(node, listener, &mut tasks.operators_and_siblings);
+        }
+        tasks
+    }
+
+    /// Waits until one of the tasks ends.
+    pub async fn first_end(&mut self) -> EssentialTask {
+        tokio::select! {
+            _ = &mut self.discovery => EssentialTask::Discovery,
+            _ = &mut self.timers => EssentialTask::Timers,
+            _ = &mut self.client_time_limits => EssentialTask::ClientTimeLimits,
+            _ = &mut self.reload => EssentialTask::Reload,
+            _ = &mut self.idle_connections => EssentialTask::IdleConnections,
+            Some(_) = self.operators_and_siblings.join_next() => EssentialTask::OperatorsAndSiblings,
+        }
+    }
+}
+
+/// Takes over what a predecessor hands over, or else what the last process has stored, and listens for
+/// successors.
+async fn join_siblings(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
+    let handler: siblings::Handler = driver.clone();
+    let (has_predecessor, listener) = siblings::meet(driver.siblings(), &handler).await;
+    if !has_predecessor {
+        driver.maintenance().restore();
+    }
+    if let Some(listener) = listener {
+        tasks.spawn_local(siblings::welcome(driver.siblings().clone(), handler, listener));
+    }
+}
+
+fn follow_discovery(
+    config: &Config,
+    driver: &Rc<Driver>,
+    addresses: watch::Receiver<SocketAddr>,
+) -> JoinHandle<()> {
+    let discovery = Discovery {
+        must_ask: config.options.settings.discovery_is_polled,
+        version: config.version,
+        list_bound: config.list_bound(),
+        zones: config.options.zones.clone(),
+        asked: driver.poll_requested().clone(),
+        sink: driver.clone(),
+    };
+    spawn_local(discovery::follow(addresses, discovery))
+}
+
+fn serve_operators(node: &Node, listener: TcpListener, tasks: &mut JoinSet<()>) {
+    if let Ok(address) = listener.local_addr() {
+        info!(address = %address, "listening for operators");
+    }
+    let operations = Box::new(OperatorCalls {
+        driver: node.driver.clone(),
+        clients: node.clients.clone(),
+        metrics: node.metrics.clone(),
+        class_names: node.config.options.classes.clone(),
+    });
+    tasks.spawn_local(Rc::new(Operators { operations }).serve(listener));
+}
+
+async fn close_idle_connections(driver: Rc<Driver>) {
+    loop {
+        sleep(IDLE_CONNECTION_SWEEP_INTERVAL).await;
+        driver.close_idle_connections();
+    }
+}
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -88,7 +88,17 @@
     &["config", "config_check", "maintenance_file", "metrics", "processes", "wire"],
     &["connection"],
     &["runtime"],
-    &["descriptors", "drain", "listener", "reload", "start"],
+    &[
+        "assembly",
+        "descriptors",
+        "error",
+        "listener",
+        "operator_calls",
+        "reload",
+        "shutdown",
+        "start",
+        "tasks",
+    ],
 ];
 
 /// All Rust files below a folder.
