--- a/src/node/assembly.rs
+++ b/src/node/assembly.rs
@@ -45,8 +45,9 @@
         let budget = DescriptorBudget::new(&config);
         let metrics = Metrics::new(config.options.classes.len());
         // Later lists replace it, so it is not kept.
-        let known = std::mem::take(&mut config.known);
-        let driver = Driver::new(&config, known, budget.endpoints, &metrics).map_err(NodeError::Settings)?;
+        let cached_endpoints = std::mem::take(&mut config.cached_endpoints);
+        let driver = Driver::new(&config, cached_endpoints, budget.endpoints, &metrics)
+            .map_err(NodeError::Settings)?;
         let clients = Clients::new(clients_context(&config, &driver, &metrics), budget.clients);
         Ok(Self { config, driver, clients, metrics, listener, address, operator_listener })
     }
@@ -71,6 +72,6 @@
         config.options.clone(),
         metrics.clone(),
         driver.processes().clone(),
-        config.memory / BODY_MEMORY_DIVISOR,
+        config.memory_bytes / BODY_MEMORY_DIVISOR,
     )
 }
--- a/src/node/config_check.rs
+++ b/src/node/config_check.rs
@@ -1,12 +1,13 @@
-//! Checks a configuration before it is used: what is wrong with it, and which of its keys nobody knows.
+//! Checks a configuration before it is used: what is wrong with it, and which of its keys are unknown.
 
 use crate::node::config::{Config, ConfigDocument, ConfigError};
 use oliverack::{Gateway, SettingsError};
 use serde_ignored::Path;
-use std::{collections::BTreeSet, fmt};
+use std::collections::BTreeSet;
+use thiserror::Error;
 
-/// Keys that the protocol has and the gateway has no use for. `[]` stands for any place of a list.
-const UNUSED: [&str; 24] = [
+/// Keys of the protocol that the gateway does not use. `[]` stands for any index of a list.
+const UNUSED_KEYS: [&str; 24] = [
     "known.servers[].kind",
     "known.servers[].weight",
     "limits.cores",
@@ -34,27 +35,18 @@
 ];
 
 /// Why a configuration does not pass.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum CheckError {
     /// It can't be used.
+    #[error(transparent)]
     Config(ConfigError),
     /// No gateway can work with its settings.
+    #[error("the configuration's {}: {}", settings_key(.0), .0)]
     Settings(SettingsError),
 }
 
-impl fmt::Display for CheckError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Config(error) => error.fmt(f),
-            Self::Settings(error) => write!(f, "the configuration's {}: {error}", key(error)),
-        }
-    }
-}
-
-impl std::error::Error for CheckError {}
-
 /// The key that a settings error is about.
-fn key(error: &SettingsError) -> &'static str {
+fn settings_key(error: &SettingsError) -> &'static str {
     match error {
         SettingsError::NoGateways => "settings.PeersTotal",
         SettingsError::GatewayIndexOutOfRange => "settings.Me",
@@ -79,39 +71,39 @@
     }
 }
 
-/// Checks a configuration; the paths of its keys that nobody knows.
+/// Checks a configuration and returns the paths of its unknown keys.
 ///
 /// # Errors
 /// The gateway would not start with it.
 pub fn check(text: &[u8]) -> Result<BTreeSet<String>, CheckError> {
-    let mut unknown = BTreeSet::new();
-    let note = |path: Path| {
-        let path = name(&path);
-        if !UNUSED.contains(&path.as_str()) {
-            unknown.insert(path);
+    let mut unknown_keys = BTreeSet::new();
+    let on_unknown_key = |path: Path| {
+        let key = key_path(&path);
+        if !UNUSED_KEYS.contains(&key.as_str()) {
+            unknown_keys.insert(key);
         }
     };
-    let config = Config::read_noting(text, note).map_err(CheckError::Config)?;
+    let config = Config::read_reporting_unknown_keys(text, on_unknown_key).map_err(CheckError::Config)?;
     Gateway::new(config.options.settings, config.seed).map_err(CheckError::Settings)?;
-    Ok(unknown)
+    Ok(unknown_keys)
 }
 
-/// The JSON schema of the configuration's file.
+/// The JSON schema of the configuration file.
 pub fn schema() -> schemars::Schema {
     schemars::schema_for!(ConfigDocument)
 }
 
-/// A key's path, such as `settings.Classes[].Worth`.
-fn name(path: &Path) -> String {
+/// The path of a key, such as `settings.Classes[].Worth`.
+fn key_path(path: &Path) -> String {
     match path {
         Path::Root => String::new(),
-        Path::Seq { parent, .. } => name(parent) + "[]",
+        Path::Seq { parent, .. } => key_path(parent) + "[]",
         Path::Map { parent, key } => {
-            let parent = name(parent);
+            let parent = key_path(parent);
             if parent.is_empty() { key.clone() } else { format!("{parent}.{key}") }
         }
         Path::Some { parent } | Path::NewtypeStruct { parent } | Path::NewtypeVariant { parent } => {
-            name(parent)
+            key_path(parent)
         }
     }
 }
--- a/src/node/descriptors.rs
+++ b/src/node/descriptors.rs
@@ -29,7 +29,7 @@
     /// Divides the descriptors of a configuration, which has been checked to allow enough.
     pub fn new(config: &Config) -> Self {
         let operators = config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + siblings::SOCKETS);
-        let shared = config.sockets - PROCESS_DESCRIPTORS - COUNTER_DESCRIPTORS - operators;
+        let shared = config.max_descriptors - PROCESS_DESCRIPTORS - COUNTER_DESCRIPTORS - operators;
         let endpoints = shared * ENDPOINT_TWENTIETHS / 20;
         Self { clients: shared - endpoints, endpoints }
     }
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -50,13 +50,13 @@
 }
 
 impl Driver {
-    /// The runtime of a gateway that starts with the endpoint list `known`, which may be out of date.
+    /// The runtime of a gateway that starts with the endpoint list `cached_endpoints`, which may be out of date.
     ///
     /// # Errors
     /// The settings are not usable.
     pub fn new(
         config: &Config,
-        known: Vec<Listed>,
+        cached_endpoints: Vec<Listed>,
         endpoint_budget: usize,
         metrics: &Metrics,
     ) -> Result<Rc<Self>, SettingsError> {
@@ -69,7 +69,7 @@
             metrics.dispatches.clone(),
         ));
         let processes = Rc::new(Processes::default());
-        let siblings = Siblings::new(&config.name, config.list_bound(), processes.clone());
+        let siblings = Siblings::new(&config.name, config.max_list_bytes(), processes.clone());
         let file = config.operator.and_then(|_| MaintenanceFile::new(&config.name));
         let driver = Rc::new_cyclic(|driver: &Weak<Self>| {
             let clock = Rc::new(Clock::new());
@@ -103,7 +103,7 @@
                 processes,
             }
         });
-        driver.update_endpoints(ListKind::Stale, known);
+        driver.update_endpoints(ListKind::Stale, cached_endpoints);
         Ok(driver)
     }
 
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -95,8 +95,8 @@
 ) -> JoinHandle<()> {
     let discovery = Discovery {
         must_ask: config.options.settings.discovery_is_polled,
-        version: config.version,
-        list_bound: config.list_bound(),
+        version: config.cached_version,
+        list_bound: config.max_list_bytes(),
         zones: config.options.zones.clone(),
         asked: driver.poll_requested().clone(),
         sink: driver.clone(),
--- a/tests/unit/config.rs
+++ b/tests/unit/config.rs
@@ -57,9 +57,9 @@
     assert_eq!(config.counter.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9002"));
     assert_eq!(config.operator.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9003"));
     assert_eq!(config.seed, 0x00ff_00ff_00ff_00ff);
-    assert_eq!((config.sockets, config.memory), (512, 32 << 20));
-    assert_eq!(config.version, 17);
-    let [listed] = &config.known[..] else { panic!("one worker: {:?}", config.known) };
+    assert_eq!((config.max_descriptors, config.memory_bytes), (512, 32 << 20));
+    assert_eq!(config.cached_version, 17);
+    let [listed] = &config.cached_endpoints[..] else { panic!("one worker: {:?}", config.cached_endpoints) };
     let endpoint = &listed.endpoint;
     assert_eq!((&*endpoint.id, endpoint.zone, endpoint.cell), ("s-00000001", 1, 4));
     assert_eq!((endpoint.started, endpoint.lifecycle), (12.5, Lifecycle::Running));
