--- a/src/command_line.rs
+++ b/src/command_line.rs
@@ -2,16 +2,21 @@
 
 use crate::{
     logging::{self, LogError},
-    node::{NodeError, config_check, run_configured},
+    node::{
+        NodeError,
+        config_check::{self, CheckError},
+        run_configured,
+    },
 };
 use clap::{Parser, Subcommand};
-use std::{fmt, fs, io, path::PathBuf};
+use std::{fs, io, path::PathBuf};
+use thiserror::Error;
 
-/// A gatekeeper that holds customers to shared quotas in front of a common back end.
+/// A gateway that holds customers to shared quotas in front of a common back end.
 ///
-/// Without a command it serves clients by the configuration that the variable NODE_CONFIG names, until SIGTERM. The
-/// variable OLIVERACK_LOG sets the log: a level (error, warn, info, debug, trace) and a form (text, json), parted by a
-/// comma; by default "info,text".
+/// Without a command it serves clients until SIGTERM, with the configuration file that the environment variable
+/// NODE_CONFIG names. The variable OLIVERACK_LOG sets the log: a level (error, warn, info, debug, trace) and a format
+/// (text, json), separated by a comma; "info,text" by default.
 #[derive(Debug, Parser)]
 #[command(name = "oliverack", version)]
 pub struct CommandLine {
@@ -21,52 +26,53 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Reads a configuration and says what is wrong with it, with the path of the key; keys that nobody knows are named.
+    /// Checks a configuration file: says what is wrong with it, with the path of the key, and names unknown keys.
     Check {
-        /// The configuration's file.
+        /// The configuration file.
         file: PathBuf,
     },
-    /// Prints the JSON schema of the configuration's file.
+    /// Prints the JSON schema of the configuration file.
     Schema,
 }
 
 /// Why a command has failed.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum CommandError {
     /// The gateway has failed.
+    #[error(transparent)]
     Run(NodeError),
     /// The log can't be started.
+    #[error(transparent)]
     Log(LogError),
-    /// This file can't be read.
-    Unreadable(PathBuf, io::Error),
-    /// This file holds a configuration that can't be used.
-    Check(PathBuf, config_check::CheckError),
-    /// Nobody takes what is printed.
+    /// A file can't be read.
+    #[error("{}: {error}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Why it can't be read.
+        error: io::Error,
+    },
+    /// A file contains a configuration that can't be used.
+    #[error("{}: {error}", path.display())]
+    Check {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with the configuration.
+        error: CheckError,
+    },
+    /// Output can't be written.
+    #[error("output: {0}")]
     Output(io::Error),
-    /// The schema can't be written down.
+    /// The schema can't be serialized.
+    #[error("the schema: {0}")]
     Schema(serde_json::Error),
 }
 
-impl fmt::Display for CommandError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Run(error) => error.fmt(f),
-            Self::Log(error) => error.fmt(f),
-            Self::Unreadable(path, error) => write!(f, "{}: {error}", path.display()),
-            Self::Check(path, error) => write!(f, "{}: {error}", path.display()),
-            Self::Output(error) => write!(f, "output: {error}"),
-            Self::Schema(error) => write!(f, "the schema: {error}"),
-        }
-    }
-}
-
-impl std::error::Error for CommandError {}
-
 impl CommandLine {
-    /// Carries out the command; what it prints goes to `output`.
+    /// Runs the command, which prints to `output`.
     ///
     /// # Errors
-    /// It has failed.
+    /// The command has failed.
     pub fn run(self, output: &mut dyn io::Write) -> Result<(), CommandError> {
         match self.command {
             None => {
@@ -74,28 +80,28 @@
                 run_configured().map_err(CommandError::Run)
             }
             Some(Command::Check { file }) => check(file, output),
-            Some(Command::Schema) => schema(output),
+            Some(Command::Schema) => print_schema(output),
         }
     }
 }
 
-fn check(file: PathBuf, output: &mut dyn io::Write) -> Result<(), CommandError> {
-    let text = match fs::read(&file) {
+fn check(path: PathBuf, output: &mut dyn io::Write) -> Result<(), CommandError> {
+    let text = match fs::read(&path) {
         Ok(text) => text,
-        Err(error) => return Err(CommandError::Unreadable(file, error)),
+        Err(error) => return Err(CommandError::Unreadable { path, error }),
     };
-    let unknown = match config_check::check(&text) {
-        Ok(unknown) => unknown,
-        Err(error) => return Err(CommandError::Check(file, error)),
+    let unknown_keys = match config_check::check(&text) {
+        Ok(unknown_keys) => unknown_keys,
+        Err(error) => return Err(CommandError::Check { path, error }),
     };
-    let name = file.display();
-    for path in unknown {
-        writeln!(output, "{name}: unknown key {path}").map_err(CommandError::Output)?;
+    let file = path.display();
+    for key in unknown_keys {
+        writeln!(output, "{file}: unknown key {key}").map_err(CommandError::Output)?;
     }
-    writeln!(output, "{name}: usable").map_err(CommandError::Output)
+    writeln!(output, "{file}: usable").map_err(CommandError::Output)
 }
 
-fn schema(output: &mut dyn io::Write) -> Result<(), CommandError> {
+fn print_schema(output: &mut dyn io::Write) -> Result<(), CommandError> {
     let text = serde_json::to_string_pretty(&config_check::schema()).map_err(CommandError::Schema)?;
     writeln!(output, "{text}").map_err(CommandError::Output)
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,18 +1,19 @@
-//! The structured log: one line an event, with fields, on standard error.
+//! The structured log on standard error: one line for each event, with fields.
 
 use std::{
     env::{self, VarError},
-    fmt, io,
+    io,
     str::FromStr,
 };
+use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 
-/// The variable of the environment that sets the log.
-const VARIABLE: &str = "OLIVERACK_LOG";
+/// The environment variable that sets the log.
+const LOG_VARIABLE: &str = "OLIVERACK_LOG";
 
-/// The form of a line.
+/// The format of a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Form {
+enum Format {
     Text,
     Json,
 }
@@ -21,35 +22,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LogSettings {
     level: LevelFilter,
-    form: Form,
+    format: Format,
 }
 
 impl Default for LogSettings {
     fn default() -> Self {
-        Self { level: LevelFilter::INFO, form: Form::Text }
+        Self { level: LevelFilter::INFO, format: Format::Text }
     }
 }
 
-/// The variable says something that is neither a level nor a form.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// The variable has a part that is neither a level nor a format.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("{LOG_VARIABLE}: {0:?} is neither a level (error, warn, info, debug, trace) nor a form (text, json)")]
 pub struct LogError(String);
 
-impl fmt::Display for LogError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "{VARIABLE}: {:?} is neither a level (error, warn, info, debug, trace) nor a form (text, json)",
-            self.0
-        )
-    }
-}
-
-impl std::error::Error for LogError {}
-
 impl FromStr for LogSettings {
     type Err = LogError;
 
-    /// A level and a form, each of which may be missing, parted by a comma.
+    /// Parses a level and a format, separated by a comma. Each may be missing.
     fn from_str(text: &str) -> Result<Self, LogError> {
         let mut settings = Self::default();
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
@@ -59,8 +49,8 @@
                 "info" => settings.level = LevelFilter::INFO,
                 "debug" => settings.level = LevelFilter::DEBUG,
                 "trace" => settings.level = LevelFilter::TRACE,
-                "text" => settings.form = Form::Text,
-                "json" => settings.form = Form::Json,
+                "text" => settings.format = Format::Text,
+                "json" => settings.format = Format::Json,
                 other => return Err(LogError(other.to_owned())),
             }
         }
@@ -71,23 +61,23 @@
 /// Starts the log as the environment sets it.
 ///
 /// # Errors
-/// The variable can't be understood.
+/// The variable has a part that is neither a level nor a format.
 pub fn start() -> Result<(), LogError> {
-    let settings = match env::var(VARIABLE) {
+    let settings = match env::var(LOG_VARIABLE) {
         Ok(text) => text.parse()?,
         Err(VarError::NotPresent) => LogSettings::default(),
         Err(VarError::NotUnicode(text)) => return Err(LogError(text.to_string_lossy().into_owned())),
     };
-    // A log that nobody takes is no reason to complain, on the same way, of just that.
+    // Errors of the log itself would go to the same standard error that can't be written.
     let log = tracing_subscriber::fmt()
         .with_max_level(settings.level)
         .with_writer(io::stderr)
         .with_ansi(false)
         .with_target(false)
         .log_internal_errors(false);
-    match settings.form {
-        Form::Text => log.init(),
-        Form::Json => log.json().flatten_event(true).init(),
+    match settings.format {
+        Format::Text => log.init(),
+        Format::Json => log.json().flatten_event(true).init(),
     }
     Ok(())
 }
--- a/tests/unit/logging.rs
+++ b/tests/unit/logging.rs
@@ -1,19 +1,19 @@
-//! What the variable of the log may say.
+//! The values of the variable that sets the log.
 
 use super::*;
 
 #[test]
-fn a_level_and_a_form_stand_in_any_order_and_each_may_be_missing() {
-    let read = |text: &str| text.parse::<LogSettings>().expect("a level or a form");
-    assert_eq!(read(""), LogSettings { level: LevelFilter::INFO, form: Form::Text });
-    assert_eq!(read("json"), LogSettings { level: LevelFilter::INFO, form: Form::Json });
-    assert_eq!(read("debug"), LogSettings { level: LevelFilter::DEBUG, form: Form::Text });
-    assert_eq!(read("json, trace"), LogSettings { level: LevelFilter::TRACE, form: Form::Json });
+fn level_and_format_in_any_order_are_parsed_and_default_if_missing() {
+    let read = |text: &str| text.parse::<LogSettings>().expect("a level or a format");
+    assert_eq!(read(""), LogSettings { level: LevelFilter::INFO, format: Format::Text });
+    assert_eq!(read("json"), LogSettings { level: LevelFilter::INFO, format: Format::Json });
+    assert_eq!(read("debug"), LogSettings { level: LevelFilter::DEBUG, format: Format::Text });
+    assert_eq!(read("json, trace"), LogSettings { level: LevelFilter::TRACE, format: Format::Json });
     assert_eq!(read("warn,text"), read("text,warn"));
 }
 
 #[test]
-fn another_word_is_an_error_that_names_it() {
-    let error = "info,xml".parse::<LogSettings>().expect_err("no form");
+fn unknown_word_is_an_error_that_names_it() {
+    let error = "info,xml".parse::<LogSettings>().expect_err("not a format");
     assert!(error.to_string().contains("\"xml\""), "{error}");
 }
--- a/tests/unit/metrics.rs
+++ b/tests/unit/metrics.rs
@@ -1,9 +1,9 @@
-//! The metrics as operators read them.
+//! The text of the metrics.
 
 use super::*;
 
 #[test]
-fn every_class_stands_there_from_the_start_and_each_request_is_counted_once() {
+fn classes_start_at_zero_and_each_request_is_counted_once() {
     let metrics = Metrics::new(2);
     let render = || metrics.render(&["a".into(), "b\"\\".into()], EndpointCounts { listed: 3, avoided: 1 });
     for line in ["svc_success{type=\"a\"} 0", "svc_error{type=\"b\\\"\\\\\"} 0", "svc_dispatches 0"] {
