--- a/src/node/runtime/policy_loop.rs
+++ b/src/node/runtime/policy_loop.rs
@@ -103,3 +103,7 @@
         PolicyLoop::post(&self, event);
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/policy_loop.rs"]
+mod tests;
--- a/src/node/runtime/timers.rs
+++ b/src/node/runtime/timers.rs
@@ -94,3 +94,7 @@
         self.earlier_timer.notified().await;
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/timers.rs"]
+mod tests;
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -150,3 +150,7 @@
         timeout_at(deadline, all_closed).await.is_ok()
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/shutdown.rs"]
+mod tests;
