--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -62,19 +62,14 @@
     ) -> Result<Rc<Self>, SettingsError> {
         let settings = &config.options.settings;
         let gateway = Gateway::new(settings.clone(), config.seed)?;
-        let endpoints = Rc::new(EndpointPool::new(
-            endpoint_budget,
-            Duration::from_secs_f64(config.options.conn_idle),
-            Duration::from_secs_f64(config.options.connect_timeout),
-            metrics.dispatches.clone(),
-        ));
+        let clock = Rc::new(Clock::new());
+        let timers = Rc::new(Timers::default());
+        let table = Rc::new(RequestTable::default());
+        let endpoints = endpoint_pool(config, endpoint_budget, metrics);
         let processes = Rc::new(Processes::default());
         let siblings = Siblings::new(&config.name, config.max_list_bytes(), processes.clone());
         let file = config.operator.and_then(|_| MaintenanceFile::new(&config.name));
         let driver = Rc::new_cyclic(|driver: &Weak<Self>| {
-            let clock = Rc::new(Clock::new());
-            let timers = Rc::new(Timers::default());
-            let table = Rc::new(RequestTable::default());
             let policy = PolicyLoop::new(gateway, clock.clone(), driver.clone());
             let attempts = Attempts::new(
                 policy.clone(),
@@ -83,22 +78,21 @@
                 table.clone(),
                 endpoints.clone(),
             );
+            let requests =
+                Requests::new(policy.clone(), clock.clone(), timers.clone(), table, attempts.clone());
+            let counter_calls = CounterCalls::new(config.counter, settings, policy.clone(), timers.clone());
+            let maintenance = Maintenance::new(policy.clone(), endpoints.clone(), siblings.clone(), file);
+            let poll_requested = Rc::default();
             Self {
-                requests: Requests::new(
-                    policy.clone(),
-                    clock.clone(),
-                    timers.clone(),
-                    table,
-                    attempts.clone(),
-                ),
-                counter_calls: CounterCalls::new(config.counter, settings, policy.clone(), timers.clone()),
-                maintenance: Maintenance::new(policy.clone(), endpoints.clone(), siblings.clone(), file),
                 clock,
                 timers,
                 policy,
+                requests,
                 attempts,
+                counter_calls,
+                maintenance,
                 endpoints,
-                poll_requested: Rc::default(),
+                poll_requested,
                 siblings,
                 processes,
             }
@@ -185,6 +179,16 @@
     }
 }
 
+/// The connections to endpoints, of which `budget` may be open.
+fn endpoint_pool(config: &Config, budget: usize, metrics: &Metrics) -> Rc<EndpointPool> {
+    Rc::new(EndpointPool::new(
+        budget,
+        Duration::from_secs_f64(config.options.conn_idle),
+        Duration::from_secs_f64(config.options.connect_timeout),
+        metrics.dispatches.clone(),
+    ))
+}
+
 impl ActionExecutor for Driver {
     fn execute(&self, now: Time, action: Action) {
         match action {
