--- a/src/node/descriptors.rs
+++ b/src/node/descriptors.rs
@@ -1,16 +1,14 @@
 //! Divides the file descriptors that the process may hold.
 
 use crate::node::{
-    config::Config,
-    connection::{counter_client, siblings},
-    runtime::counters,
+    config::Config, connection::counter::client, hot_restart::replica_table, runtime::counters,
 };
 
 /// Descriptors beside those of the counter, of clients and of endpoints: the standard three, the runtime,
 /// signals, the listener, a client just accepted, discovery, and a configuration being read.
 const PROCESS_DESCRIPTORS: usize = 21;
 /// Descriptors of the connections to the counter, including those at earlier addresses.
-const COUNTER_DESCRIPTORS: usize = counter_client::LINES * (1 + counters::RETIRED);
+const COUNTER_DESCRIPTORS: usize = client::MAX_CONNECTIONS * (1 + counters::MAX_RETIRED_CLIENTS);
 /// The endpoints' part of the remaining descriptors, in twentieths. Clients with a request in flight hold a
 /// third of the descriptors at most, so the larger part may go to clients, including those that bring none,
 /// and endpoints get enough for an attempt for each request and some idle connections.
@@ -28,7 +26,7 @@
 impl DescriptorBudget {
     /// Divides the descriptors of a configuration, which has been checked to allow enough.
     pub fn new(config: &Config) -> Self {
-        let operators = config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + siblings::SOCKETS);
+        let operators = config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + replica_table::SOCKETS);
         let shared = config.max_descriptors - PROCESS_DESCRIPTORS - COUNTER_DESCRIPTORS - operators;
         let endpoints = shared * ENDPOINT_TWENTIETHS / 20;
         Self { clients: shared - endpoints, endpoints }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,10 +1,10 @@
 //! The gateway on real sockets, in layers of which each uses only those before it:
 //!
-//! 1. `config`, `config_check`, `metrics`, `processes`, `maintenance_file` and `wire`: values, files and formats,
-//!    without sockets.
-//! 2. `connection`: clients, endpoints, the counter, discovery, operators and sibling processes.
-//! 3. `runtime`: the driver of the policy, with the clock, timers, open requests and attempts.
-//! 4. `assembly`, `descriptors`, `error`, `listener`, `operator_calls`, `reload`, `shutdown`, `start` and `tasks`:
+//! 1. `config`, `config_check`, `metrics` and `wire`: values and formats, without sockets.
+//! 2. `hot_restart`: what processes of one gateway tell each other, and leave to the next one.
+//! 3. `connection`: clients, endpoints, the counter, discovery and operators.
+//! 4. `runtime`: the driver of the policy, with the clock, timers, open requests and attempts.
+//! 5. `assembly`, `descriptors`, `error`, `listener`, `operator_calls`, `reload`, `shutdown`, `start` and `tasks`:
 //!    the life of the process.
 
 mod assembly;
@@ -13,11 +13,10 @@
 mod connection;
 mod descriptors;
 mod error;
+mod hot_restart;
 mod listener;
-mod maintenance_file;
 mod metrics;
 mod operator_calls;
-mod processes;
 mod reload;
 mod runtime;
 mod shutdown;
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -89,7 +89,7 @@
         }
         let number = request.next_attempt_number();
         let upstream = request.upstream().clone();
-        debug!(request = ?upstream.txn, attempt = number, endpoint = %endpoint, wait = timeout, "attempt begun");
+        debug!(request = ?upstream.transaction_id, attempt = number, endpoint = %endpoint, wait = timeout, "attempt begun");
         let write_progress = Trace::default();
         let task = self.spawn(request_id.clone(), number, target, upstream, timeout, write_progress.clone());
         let timeout_timer = request
@@ -163,7 +163,7 @@
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         let Some(attempt) = request.take_attempt(number) else { return };
         let endpoint = attempt.endpoint;
-        debug!(request = ?request.upstream().txn, attempt = number, %endpoint, reason = ?end.status, "attempt ended");
+        debug!(request = ?request.upstream().transaction_id, attempt = number, %endpoint, reason = ?end.status, "attempt ended");
         if let Some(timer) = attempt.timeout_timer {
             self.timers.cancel(timer);
         }
@@ -195,7 +195,7 @@
         attempt.task.abort();
         let status = if may_have_run(&attempt.write_progress) { status } else { Status::NotSent };
         drop(request);
-        self.end(request_id, number, AttemptEnd::without_answer(status));
+        self.end(request_id, number, AttemptEnd::without_response(status));
     }
 
     /// Releases what a request no longer needs. Once nothing may be sent for it, its unsent attempts are
--- a/src/node/runtime/counter_calls.rs
+++ b/src/node/runtime/counter_calls.rs
@@ -51,7 +51,7 @@
                 elapsed: 0.0,
             });
         };
-        let number = client.call(&self.policy.sender(), counter, amount, ttl);
-        self.timers.set(now + self.timeout, TimerPurpose::CounterCall(client, number));
+        let call_id = client.call(&self.policy.sender(), counter, amount, ttl);
+        self.timers.set(now + self.timeout, TimerPurpose::CounterCall(client, call_id));
     }
 }
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -3,14 +3,12 @@
 
 use crate::node::{
     config::Config,
-    connection::{
-        discovery::ListSink,
-        endpoint_pool::EndpointPool,
-        siblings::{SiblingHandler, Siblings},
+    connection::{discovery::follower::ListSink, endpoint_pool::EndpointPool},
+    hot_restart::{
+        maintenance_file::MaintenanceFile, peer_connection::SiblingHandler, replica_counts::Processes,
+        replica_table::Siblings,
     },
-    maintenance_file::MaintenanceFile,
     metrics::Metrics,
-    processes::Processes,
     runtime::{
         attempts::{AttemptOrder, Attempts},
         clock::Clock,
@@ -165,7 +163,7 @@
             TimerPurpose::Attempt(request_id, number) => {
                 self.attempts.cancel(&request_id, number, Status::Timeout);
             }
-            TimerPurpose::CounterCall(client, number) => client.expire(&self.policy.sender(), number),
+            TimerPurpose::CounterCall(client, call_id) => client.expire(&self.policy.sender(), call_id),
             TimerPurpose::DedupEnd(request_id) => self.attempts.release(&request_id),
             TimerPurpose::Deadline(request_id) => self.requests.fail_at_deadline(request_id),
         }
--- a/src/node/runtime/maintenance.rs
+++ b/src/node/runtime/maintenance.rs
@@ -1,8 +1,8 @@
 //! The endpoints that operators have put into maintenance.
 
 use crate::node::{
-    connection::{endpoint_pool::EndpointPool, operators::MaintenanceError, siblings::Siblings},
-    maintenance_file::MaintenanceFile,
+    connection::{endpoint_pool::EndpointPool, operators::MaintenanceError},
+    hot_restart::{maintenance_file::MaintenanceFile, replica_table::Siblings},
     runtime::policy_loop::PolicyLoop,
 };
 use oliverack::{EndpointId, Event};
--- a/src/node/runtime/request_table.rs
+++ b/src/node/runtime/request_table.rs
@@ -48,7 +48,7 @@
             return None;
         }
         let request = requests.remove(id)?;
-        self.transactions.borrow_mut().remove(&request.upstream().txn);
+        self.transactions.borrow_mut().remove(&request.upstream().transaction_id);
         Some(request)
     }
 
--- a/src/node/runtime/requests.rs
+++ b/src/node/runtime/requests.rs
@@ -89,8 +89,8 @@
 
 impl RequestHandler for Rc<Requests> {
     fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)> {
-        let request_id = self.table.reserve_id(&request.upstream.txn)?;
-        debug!(request = ?request.upstream.txn, customer = request.customer, class = request.class, "request taken");
+        let request_id = self.table.reserve_id(&request.upstream.transaction_id)?;
+        debug!(request = ?request.upstream.transaction_id, customer = request.customer, class = request.class, "request taken");
         let deadline = self.clock.now() + request.remaining;
         let (response, receiver) = oneshot::channel();
         let upstream = Rc::new(request.upstream);
@@ -104,11 +104,11 @@
             units: request.units,
             deadline,
             plan: request.plan,
-            customer_gateway_count: request.spread,
-            first_gateway: request.first,
+            customer_gateway_count: request.customer_gateway_count,
+            first_gateway: request.first_gateway,
             class: request.class,
             customer: request.customer.into(),
-            is_retry: request.repeat,
+            is_retry: request.is_retry,
         }));
         Some((request_id, receiver))
     }
--- a/src/node/runtime/timers.rs
+++ b/src/node/runtime/timers.rs
@@ -1,6 +1,6 @@
 //! Timers in the order in which they are due.
 
-use crate::node::connection::counter_client::CounterClient;
+use crate::node::connection::counter::{call::CallId, client::CounterClient};
 use oliverack::{RequestId, Time};
 use std::{
     cell::{Cell, RefCell},
@@ -19,8 +19,8 @@
     Deadline(RequestId),
     /// Endpoints may have forgotten the request's idempotency key.
     DedupEnd(RequestId),
-    /// Timeout of the numbered counter call.
-    CounterCall(Rc<CounterClient>, u64),
+    /// Timeout of a counter call.
+    CounterCall(Rc<CounterClient>, CallId),
 }
 
 /// Identifies a timer. Keys are ordered by due time, and timers due at once in the order of their setting.
@@ -75,7 +75,7 @@
         let mut pending = self.pending.borrow_mut();
         while let Some(first) = pending.first_entry() {
             match first.get() {
-                TimerPurpose::CounterCall(client, number) if !client.waits(*number) => {
+                TimerPurpose::CounterCall(client, call_id) if !client.awaits_call(*call_id) => {
                     first.remove();
                 }
                 _ => return Some(first.key().due()),
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -4,11 +4,11 @@
     assembly::Node,
     config::Config,
     connection::{
-        discovery::{self, Discovery},
+        discovery::follower::{self, Discovery},
         operators::Operators,
-        siblings,
     },
     error::EssentialTask,
+    hot_restart::{peer_connection, predecessor, successor},
     operator_calls::OperatorCalls,
     reload::reload_on_hangup,
     runtime::driver::Driver,
@@ -78,13 +78,13 @@
 /// Takes over what a predecessor hands over, or else what the last process has stored, and listens for
 /// successors.
 async fn join_siblings(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
-    let handler: siblings::Handler = driver.clone();
-    let (has_predecessor, listener) = siblings::meet(driver.siblings(), &handler).await;
+    let handler: peer_connection::Handler = driver.clone();
+    let (has_predecessor, listener) = predecessor::meet(driver.siblings(), &handler).await;
     if !has_predecessor {
         driver.maintenance().restore();
     }
     if let Some(listener) = listener {
-        tasks.spawn_local(siblings::welcome(driver.siblings().clone(), handler, listener));
+        tasks.spawn_local(successor::welcome(driver.siblings().clone(), handler, listener));
     }
 }
 
@@ -101,7 +101,7 @@
         asked: driver.poll_requested().clone(),
         sink: driver.clone(),
     };
-    spawn_local(discovery::follow(addresses, discovery))
+    spawn_local(follower::follow(addresses, discovery))
 }
 
 fn serve_operators(node: &Node, listener: TcpListener, tasks: &mut JoinSet<()>) {
--- /dev/null
+++ b/tests/concurrency_limit.rs
@@ -0,0 +1,112 @@
+//! Concurrency limits of plans: slots, their share at one gateway, and the queue for them.
+
+mod common;
+use common::{
+    AttemptEnd, FakeCounter, GatewayHarness, counter_calls, fire_timers, plan, rejected_count, request,
+    settings, started_attempts,
+};
+use oliverack::{Action, Event, Status};
+
+/// Six requests at once where this gateway's share of the concurrency limit is two slots; returns their actions, too.
+fn six_for_two_slots() -> (GatewayHarness, FakeCounter, Vec<Action>) {
+    let mut settings = settings();
+    settings.plans[0].max_concurrent_attempts = 4;
+    let (mut harness, mut counter) = (GatewayHarness::new(settings), FakeCounter::default());
+    let mut actions = Vec::new();
+    for i in 0..6 {
+        actions.extend(counter.send_request(&mut harness, &format!("j{i}")));
+    }
+    (harness, counter, actions)
+}
+
+#[test]
+fn concurrency_limit_is_shared_evenly_and_leased_requests_queue() {
+    let (mut harness, mut counter, actions) = six_for_two_slots();
+    assert_eq!(
+        (started_attempts(&actions).len(), rejected_count(&actions)),
+        (2, 0),
+        "two of four at one of two gateways"
+    );
+    let mut actions = started_attempts(&actions);
+    for left in (0..6).rev() {
+        harness.now += 0.05;
+        let (request_id, endpoint) = actions.remove(0);
+        actions.extend(started_attempts(&harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok)));
+        assert_eq!(actions.len(), left.min(2), "each that ends makes room for one");
+    }
+    assert_eq!(started_attempts(&counter.send_request(&mut harness, "k")).len(), 1, "all have ended");
+}
+
+#[test]
+fn concurrency_limit_shares_add_up_to_limit() {
+    for first in [0, 1] {
+        let at_once = |me: u32| {
+            let mut settings = settings();
+            settings.gateway_index = me;
+            settings.plans[0].max_concurrent_attempts = 3;
+            let (mut harness, mut counter) = (GatewayHarness::new(settings), FakeCounter::default());
+            let mut sent = 0;
+            for i in 0..6 {
+                let mut request = request(&format!("j{i}"), harness.now);
+                request.first_gateway = first;
+                let actions = harness.handle(Event::Request(request));
+                sent += started_attempts(&actions).len()
+                    + started_attempts(&counter.reply_to_calls(&mut harness, &actions)).len();
+            }
+            sent
+        };
+        let (one, two) = (at_once(first), at_once(1 - first));
+        assert_eq!((one, two), (2, 1), "three at two gateways, of which number {first} is the first");
+    }
+}
+
+#[test]
+fn queued_requests_are_rejected_when_no_slot_frees_in_time() {
+    let (mut harness, mut counter, actions) = six_for_two_slots();
+    let running = started_attempts(&actions);
+    fire_timers(&mut harness, &mut counter, 100.5);
+    assert_eq!(rejected_count(&harness.actions), 4, "well before the aim of a second is over");
+    for (request_id, endpoint) in running {
+        assert!(
+            started_attempts(&harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok)).is_empty(),
+            "none of them is sent any more"
+        );
+    }
+    assert!(
+        counter_calls(&harness.send_request("k")).is_empty(),
+        "what was not sent was not spent: the lease covers the next"
+    );
+}
+
+#[test]
+fn request_with_too_long_expected_queue_time_is_rejected_at_once() {
+    let (mut harness, mut counter, actions) = six_for_two_slots();
+    let (request_id, endpoint) = started_attempts(&actions).remove(0);
+    harness.handle(AttemptEnd::new(&request_id, &endpoint).elapsed(0.7).event());
+    let actions = counter.send_request(&mut harness, "late");
+    assert_eq!(rejected_count(&actions), 1, "two slots, three before it, and answers take most of a second");
+}
+
+#[test]
+fn streamed_response_start_frees_concurrency_slot_once() {
+    let mut capped = plan(0.0, 0.0);
+    capped.max_concurrent_attempts = 2;
+    capped.rate = 1000.0;
+    capped.burst = 1000.0;
+    let mut settings = settings();
+    settings.plans = vec![capped];
+    settings.has_counter = false;
+    settings.hedging_enabled = false;
+    let mut harness = GatewayHarness::new(settings);
+    // One slot of two over two gateways.
+    let first = started_attempts(&harness.send_request("a"));
+    assert_eq!((first.len(), started_attempts(&harness.send_request("b")).len()), (1, 0));
+    let freed = started_attempts(&harness.handle(Event::ResponseStarted { request_id: "a".into() }));
+    assert_eq!(freed.first().map(|(request_id, _)| &**request_id), Some("b"), "who waits goes");
+    assert_eq!(started_attempts(&harness.send_request("c")).len(), 0, "it is taken again");
+    // The end of the long answer frees nothing more.
+    assert_eq!(started_attempts(&harness.attempt_ended("a", 0, &first[0].1, Status::Ok)).len(), 0);
+    assert_eq!(started_attempts(&harness.send_request("d")).len(), 0);
+    let next = started_attempts(&harness.attempt_ended("b", 0, &freed[0].1, Status::Ok));
+    assert_eq!(next.first().map(|(request_id, _)| &**request_id), Some("c"));
+}
