--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -89,7 +89,7 @@
         }
         let number = request.next_attempt_number();
         let upstream = request.upstream().clone();
-        debug!(request = ?upstream.transaction_id, attempt = number, endpoint = %endpoint, wait = timeout, "attempt begun");
+        debug!(request = ?upstream.transaction_id, attempt = number, endpoint = %endpoint, timeout, "attempt started");
         let write_progress = Trace::default();
         let task = self.spawn(request_id.clone(), number, target, upstream, timeout, write_progress.clone());
         let timeout_timer = request
--- a/src/node/runtime/open_request.rs
+++ b/src/node/runtime/open_request.rs
@@ -140,7 +140,7 @@
     /// Gives the final response, unless there was one before.
     pub fn deliver(&mut self, response: FinalAnswer) -> DeliveryOutcome {
         let Some(sender) = self.response.take() else { return DeliveryOutcome::NotOwed };
-        debug!(request = ?self.upstream.transaction_id, answer = response.name(), "final answer");
+        debug!(request = ?self.upstream.transaction_id, response = response.name(), "final response");
         match sender.send(response) {
             Ok(()) => DeliveryOutcome::Delivered,
             // The client's connection reports the disconnect itself.
--- a/src/node/runtime/requests.rs
+++ b/src/node/runtime/requests.rs
@@ -90,7 +90,7 @@
 impl RequestHandler for Rc<Requests> {
     fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)> {
         let request_id = self.table.reserve_id(&request.upstream.transaction_id)?;
-        debug!(request = ?request.upstream.transaction_id, customer = request.customer, class = request.class, "request taken");
+        debug!(request = ?request.upstream.transaction_id, customer = request.customer, class = request.class, "request accepted");
         let deadline = self.clock.now() + request.remaining;
         let (response, receiver) = oneshot::channel();
         let upstream = Rc::new(request.upstream);
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -58,9 +58,12 @@
     let events = |name: &str| -> Vec<String> {
         of(name).iter().map(|line| line["message"].as_str().expect("a message").to_owned()).collect()
     };
-    assert_eq!(events("served"), ["request taken", "attempt begun", "attempt ended", "final answer"]);
+    assert_eq!(events("served"), ["request accepted", "attempt started", "attempt ended", "final response"]);
     let refused = events("refused");
-    assert_eq!((refused[0].as_str(), refused[refused.len() - 1].as_str()), ("request taken", "final answer"));
+    assert_eq!(
+        (refused[0].as_str(), refused[refused.len() - 1].as_str()),
+        ("request accepted", "final response")
+    );
     let begun = of("served")[1];
     assert_eq!((&begun["endpoint"], &begun["attempt"]), (&Value::from("w0"), &Value::from(0)));
     assert_eq!(of("served")[2]["reason"], "Ok");
