--- a/src/node/connection/clients/connection.rs
+++ b/src/node/connection/clients/connection.rs
@@ -86,7 +86,7 @@
     /// Counts a valid request whose body found no memory. One whose client failed to send it is not counted.
     fn count_unread(&self, request: &ClientRequest, end: &ConnectionEnd) {
         if let ConnectionEnd::WithStatus(StatusCode::SERVICE_UNAVAILABLE) = end {
-            self.context.metrics.take(request.class).end(metrics::Outcome::Refused);
+            self.context.metrics.request_started(request.class).end(metrics::RequestOutcome::Rejected);
         }
     }
 
@@ -109,7 +109,7 @@
         head: &Head,
     ) -> Result<(), ConnectionEnd> {
         let mut exchange = Exchange::new(&mut self.socket, body.memory);
-        let in_flight = self.context.metrics.take(request.class);
+        let in_flight = self.context.metrics.request_started(request.class);
         let response = exchange.serve(request, body.content, head.expects_continue).await?;
         let keep_alive = may_keep_alive(self.context, &exchange, &response, head);
         let delivery = exchange.respond(response, keep_alive, head.minor_version).await?;
--- a/src/node/connection/clients/response_writer.rs
+++ b/src/node/connection/clients/response_writer.rs
@@ -24,17 +24,17 @@
 /// How much of a response the client got.
 pub enum Delivery {
     /// A complete response, which ended the request in this way.
-    Complete(metrics::Outcome),
+    Complete(metrics::RequestOutcome),
     /// Only a part; nothing more may be sent on the connection.
     Truncated,
 }
 
 impl Delivery {
     /// How the request ended for the client.
-    pub fn outcome(&self) -> metrics::Outcome {
+    pub fn outcome(&self) -> metrics::RequestOutcome {
         match self {
             Self::Complete(outcome) => *outcome,
-            Self::Truncated => metrics::Outcome::Failed,
+            Self::Truncated => metrics::RequestOutcome::Failed,
         }
     }
 }
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -5,11 +5,11 @@
 
 /// How a request ended, as its client saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// The client has a successful response.
     Served,
     /// The request was rejected without running.
-    Refused,
+    Rejected,
     /// The client has an error.
     Failed,
 }
@@ -32,23 +32,26 @@
 #[derive(Default)]
 struct OutcomeCounters {
     served: Counter,
-    refused: Counter,
+    rejected: Counter,
     failed: Counter,
 }
 
 impl OutcomeCounters {
-    fn counter(&self, outcome: Outcome) -> &Counter {
+    fn counter(&self, outcome: RequestOutcome) -> &Counter {
         match outcome {
-            Outcome::Served => &self.served,
-            Outcome::Refused => &self.refused,
-            Outcome::Failed => &self.failed,
+            RequestOutcome::Served => &self.served,
+            RequestOutcome::Rejected => &self.rejected,
+            RequestOutcome::Failed => &self.failed,
         }
     }
 }
 
 /// The outcomes by the names of their metrics, in the order in which operators see them.
-const OUTCOME_METRICS: [(&str, Outcome); 3] =
-    [("success", Outcome::Served), ("overload", Outcome::Refused), ("error", Outcome::Failed)];
+const OUTCOME_METRICS: [(&str, RequestOutcome); 3] = [
+    ("success", RequestOutcome::Served),
+    ("overload", RequestOutcome::Rejected),
+    ("error", RequestOutcome::Failed),
+];
 
 /// The counters and gauges, from 0 at the start of the process.
 pub struct Metrics {
@@ -67,7 +70,7 @@
     }
 
     /// Counts a request of this class as in flight until the guard is dropped.
-    pub fn take(self: &Rc<Self>, class: usize) -> InFlightGuard {
+    pub fn request_started(self: &Rc<Self>, class: usize) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightGuard { metrics: self.clone(), class }
     }
@@ -85,7 +88,7 @@
         text
     }
 
-    fn render_outcome(&self, text: &mut String, name: &str, outcome: Outcome, class_names: &[String]) {
+    fn render_outcome(&self, text: &mut String, name: &str, outcome: RequestOutcome, class_names: &[String]) {
         // Writing to a string can't fail.
         let _ = writeln!(text, "# TYPE svc_{name} counter");
         for (class, counters) in class_names.iter().zip(&self.outcomes) {
@@ -113,7 +116,7 @@
 
 impl InFlightGuard {
     /// Counts the request's outcome, and the request as no longer in flight.
-    pub fn end(self, outcome: Outcome) {
+    pub fn end(self, outcome: RequestOutcome) {
         if let Some(counters) = self.metrics.outcomes.get(self.class) {
             counters.counter(outcome).increment();
         }
--- a/src/node/wire/client_response.rs
+++ b/src/node/wire/client_response.rs
@@ -31,11 +31,13 @@
 
 impl ClientResponse {
     /// How the request ended for the client, provided that the response is delivered completely.
-    pub fn outcome(&self) -> metrics::Outcome {
+    pub fn outcome(&self) -> metrics::RequestOutcome {
         match self.status {
-            StatusCode::OK => metrics::Outcome::Served,
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => metrics::Outcome::Refused,
-            _ => metrics::Outcome::Failed,
+            StatusCode::OK => metrics::RequestOutcome::Served,
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+                metrics::RequestOutcome::Rejected
+            }
+            _ => metrics::RequestOutcome::Failed,
         }
     }
 
--- a/tests/unit/metrics.rs
+++ b/tests/unit/metrics.rs
@@ -9,10 +9,11 @@
     for line in ["svc_success{type=\"a\"} 0", "svc_error{type=\"b\\\"\\\\\"} 0", "svc_dispatches 0"] {
         assert!(render().lines().any(|l| l == line), "{line}");
     }
-    let (one, two, gone) = (metrics.take(0), metrics.take(1), metrics.take(1));
+    let (one, two, gone) =
+        (metrics.request_started(0), metrics.request_started(1), metrics.request_started(1));
     assert!(render().contains("\nsvc_concurrent 3\n"));
-    one.end(Outcome::Served);
-    two.end(Outcome::Refused);
+    one.end(RequestOutcome::Served);
+    two.end(RequestOutcome::Rejected);
     drop(gone);
     for line in [
         "svc_success{type=\"a\"} 1",
@@ -30,10 +31,10 @@
 #[test]
 fn text_has_the_bytes_that_earlier_versions_showed() {
     let metrics = Metrics::new(2);
-    metrics.take(0).end(Outcome::Served);
-    metrics.take(1).end(Outcome::Refused);
-    metrics.take(1).end(Outcome::Failed);
-    let waiting = metrics.take(0);
+    metrics.request_started(0).end(RequestOutcome::Served);
+    metrics.request_started(1).end(RequestOutcome::Rejected);
+    metrics.request_started(1).end(RequestOutcome::Failed);
+    let waiting = metrics.request_started(0);
     metrics.dispatches.set(4);
     let expected = r#"# TYPE svc_success counter
 svc_success{type="lookup"} 1
