--- a/src/node/runtime/open_request.rs
+++ b/src/node/runtime/open_request.rs
@@ -195,3 +195,7 @@
         numbered.filter(|(_, attempt)| is_unsent(attempt)).map(|(number, _)| number).collect()
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/open_request.rs"]
+mod tests;
--- a/src/node/runtime/request_table.rs
+++ b/src/node/runtime/request_table.rs
@@ -62,3 +62,7 @@
         self.requests.borrow().values().filter(|request| request.is_waiting()).count()
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/request_table.rs"]
+mod tests;
