--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -89,7 +89,17 @@
     &["hot_restart"],
     &["connection"],
     &["runtime"],
-    &["descriptors", "drain", "listener", "reload", "start"],
+    &[
+        "assembly",
+        "descriptors",
+        "error",
+        "listener",
+        "operator_calls",
+        "reload",
+        "shutdown",
+        "start",
+        "tasks",
+    ],
 ];
 
 /// All Rust files below a folder.
