--- a/src/node/connection/discovery/call.rs
+++ b/src/node/connection/discovery/call.rs
@@ -3,9 +3,9 @@
 use crate::node::{
     connection::{
         discovery::error::DiscoveryError, http_client::HttpClient, response_body::BufferLimits,
-        write_progress::Trace,
+        write_progress::WriteProgressHandle,
     },
-    wire::stream::Outgoing,
+    wire::stream::OutgoingBody,
 };
 use bytes::Bytes;
 use hyper::{Request, Response, StatusCode, Uri, header, http::response::Parts};
@@ -42,19 +42,19 @@
     pub async fn make(
         self,
         kept_connection: &mut Option<HttpClient>,
-        progress: &Trace,
+        progress: &WriteProgressHandle,
     ) -> Result<Bytes, DiscoveryError> {
-        let usable = kept_connection.take().and_then(|mut kept| kept.ready().then_some(kept));
+        let usable = kept_connection.take().and_then(|mut kept| kept.is_ready().then_some(kept));
         let hold = if usable.is_some() && self.version.is_some() { WATCH_HOLD } else { Duration::ZERO };
         let time_limit = if hold.is_zero() { FIRST_CALL_TIMEOUT } else { WATCH_HOLD + WATCH_GRACE };
         let deadline = Instant::now() + time_limit;
         let mut connection = match usable {
             Some(connection) => connection,
-            None => {
-                HttpClient::open(self.address, CONNECT_TIMEOUT).await.map_err(|_| DiscoveryError::Connect)?
-            }
+            None => HttpClient::connect(self.address, CONNECT_TIMEOUT)
+                .await
+                .map_err(|_| DiscoveryError::Connect)?,
         };
-        *progress.borrow_mut() = Some(connection.progress());
+        progress.attach(connection.progress());
         let request = self.request(hold)?;
         let exchange = self.exchange(&mut connection, request, time_limit);
         let response = timeout_at(deadline, exchange).await.map_err(|_| DiscoveryError::Timeout)??;
@@ -65,12 +65,12 @@
         Ok(response.into_body())
     }
 
-    fn request(self, hold: Duration) -> Result<Request<Outgoing>, DiscoveryError> {
+    fn request(self, hold: Duration) -> Result<Request<OutgoingBody>, DiscoveryError> {
         let path = match self.version {
             Some(version) => format!("/discovery/hosts?from={version}&hold_ms={}", hold.as_millis()),
             None => "/discovery/hosts".to_owned(),
         };
-        let mut request = Request::new(Outgoing::Whole(None));
+        let mut request = Request::new(OutgoingBody::Buffered(None));
         *request.uri_mut() = Uri::try_from(path).map_err(|_| DiscoveryError::Unreadable)?;
         request.headers_mut().insert(header::HOST, header::HeaderValue::from_static("backend.local"));
         Ok(request)
@@ -79,7 +79,7 @@
     async fn exchange(
         self,
         connection: &mut HttpClient,
-        request: Request<Outgoing>,
+        request: Request<OutgoingBody>,
         time_limit: Duration,
     ) -> Result<Response<Bytes>, DiscoveryError> {
         let is_too_long = Cell::new(false);
--- a/src/node/connection/discovery/follower.rs
+++ b/src/node/connection/discovery/follower.rs
@@ -4,7 +4,7 @@
     connection::{
         discovery::{call::ListCall, error::DiscoveryError},
         http_client::HttpClient,
-        write_progress::Trace,
+        write_progress::WriteProgressHandle,
     },
     wire::endpoint_list::{List, Listed},
 };
@@ -160,7 +160,7 @@
 
     /// Makes one call; `None` if discovery moved before it was answered.
     async fn call(&mut self) -> Option<Result<Bytes, DiscoveryError>> {
-        let progress = Trace::default();
+        let progress = WriteProgressHandle::default();
         let max_list_bytes = self.discovery.list_bound;
         let call = ListCall { address: self.address, version: self.version, max_list_bytes };
         let mut answer = pin!(call.make(&mut self.connection, &progress));
@@ -173,7 +173,7 @@
                 // By its next turn the runtime has seen everything that was written before the move. A call whose
                 // answer has not begun by then is abandoned.
                 () = yield_now() => {
-                    let first_byte_seen = progress.borrow().as_ref().is_some_and(|p| p.has_response_started());
+                    let first_byte_seen = progress.has_response_started();
                     if first_byte_seen { timeout(MOVED_ANSWER_TIMEOUT, &mut answer).await.ok() } else { None }
                 }
             },
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -5,13 +5,13 @@
         endpoint_pool::{EndpointPool, PooledConnection, Target},
         http_client::ExchangeError,
         response_body::BufferLimits,
-        write_progress::Trace,
+        write_progress::WriteProgressHandle,
     },
     wire::{
         client_request::UpstreamRequest,
         limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES},
         load_report,
-        stream::{Outgoing, Piece},
+        stream::{OutgoingBody, Piece},
     },
 };
 use bytes::Bytes;
@@ -63,7 +63,7 @@
     target: &'a Target,
     upstream: &'a UpstreamRequest,
     wait_seconds: f64,
-    progress: &'a Trace,
+    progress: &'a WriteProgressHandle,
     may_start: S,
     open_stream: O,
 }
@@ -77,7 +77,7 @@
         target: &Target,
         upstream: &UpstreamRequest,
         wait_seconds: f64,
-        progress: &Trace,
+        progress: &WriteProgressHandle,
         may_start: impl Fn() -> bool,
         open_stream: impl Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
     ) -> AttemptEnd {
@@ -109,7 +109,7 @@
                 Some(connection) => connection,
                 None => self.pool.connect(self.target).await?,
             };
-            *self.progress.borrow_mut() = Some(connection.client.progress());
+            self.progress.attach(connection.client.progress());
             connection.client.progress().count_sent_in(&self.pool.dispatches);
             let idle = connection.idle_since.elapsed();
             let request = self.build_request()?;
@@ -141,7 +141,7 @@
 
     /// The request for a connection that is up. The endpoint and the request are checked once more, because the
     /// connection may have taken long; from here on to the first byte nothing is awaited.
-    fn build_request(&self) -> Result<Request<Outgoing>, Status> {
+    fn build_request(&self) -> Result<Request<OutgoingBody>, Status> {
         if !self.pool.is_current(self.target) || !(self.may_start)() {
             return Err(Status::NotSent);
         }
@@ -152,7 +152,7 @@
     async fn exchange(
         &self,
         connection: &mut PooledConnection,
-        request: Request<Outgoing>,
+        request: Request<OutgoingBody>,
     ) -> Result<Response<Bytes>, ExchangeError> {
         // Only a served response has a body that matters.
         let open_stream = |parts: &Parts, length: Option<u64>| {
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -176,7 +176,7 @@
     }
 
     fn is_usable(&self, connection: &mut PooledConnection) -> bool {
-        self.idle_limit.allows(connection.idle_since.elapsed()) && connection.client.ready()
+        self.idle_limit.allows(connection.idle_since.elapsed()) && connection.client.is_ready()
     }
 
     /// Whether a request may still be sent to the target: the endpoint is running, in the same incarnation.
@@ -221,7 +221,7 @@
         let endpoint = endpoints.get(&target.id);
         let is_current =
             endpoint.is_some_and(|known| known.is_running && known.incarnation == connection.incarnation);
-        if is_current && connection.client.ready() {
+        if is_current && connection.client.is_ready() {
             connection.idle_since = Instant::now();
             connection.is_reused = true;
             self.idle.borrow_mut().entry(target.id.clone()).or_default().push(connection);
@@ -264,7 +264,7 @@
     /// The budget is used up, which says nothing about the endpoint, or the connection did not come up.
     pub(super) async fn connect(&self, target: &Target) -> Result<PooledConnection, Status> {
         let slot = self.reserve_slot().ok_or(Status::NotSent)?;
-        let client = HttpClient::open(target.address, self.connect_timeout).await;
+        let client = HttpClient::connect(target.address, self.connect_timeout).await;
         Ok(PooledConnection {
             client: client.map_err(|_| Status::ConnectFailed)?,
             incarnation: target.incarnation,
--- a/src/node/connection/http_client.rs
+++ b/src/node/connection/http_client.rs
@@ -9,7 +9,7 @@
         socket_input::has_input,
         write_progress::{CountedSocket, WriteProgress},
     },
-    wire::{limits::MAX_HEAD_BYTES, stream::Outgoing},
+    wire::{limits::MAX_HEAD_BYTES, stream::OutgoingBody},
 };
 use bytes::Bytes;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
@@ -57,9 +57,9 @@
 
 /// See the [module](self).
 pub struct HttpClient {
-    sender: SendRequest<Outgoing>,
+    sender: SendRequest<OutgoingBody>,
     /// hyper's side of the connection, which reads and writes when it is polled.
-    driver: Pin<Box<Connection<TokioIo<CountedSocket>, Outgoing>>>,
+    driver: Pin<Box<Connection<TokioIo<CountedSocket>, OutgoingBody>>>,
     progress: Rc<WriteProgress>,
     socket: Rc<TcpStream>,
 }
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// The connection did not come up.
-    pub async fn open(address: SocketAddr, limit: Duration) -> io::Result<Self> {
+    pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
         let socket = timeout(limit, TcpStream::connect(address)).await??;
         socket.set_nodelay(true)?;
         let socket = Rc::new(socket);
@@ -87,7 +87,7 @@
 
     /// Whether the idle connection can carry a request. Input that arrived without a request would be taken for the next
     /// response, so a connection with such input can't.
-    pub fn ready(&mut self) -> bool {
+    pub fn is_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         !has_input(&self.socket) && self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready()
     }
@@ -99,7 +99,7 @@
     /// The connection broke, or brought no valid response.
     pub async fn exchange(
         &mut self,
-        request: Request<Outgoing>,
+        request: Request<OutgoingBody>,
         limits: BufferLimits,
         open_stream: &OpenStream<'_>,
     ) -> Result<Response<Bytes>, ExchangeError> {
@@ -137,7 +137,7 @@
 /// Polls the connection until the response is read, the connection ends before the response's head, or that head takes
 /// too long. Once the head has arrived, what follows it is still read after the connection's end.
 async fn drive(
-    driver: &mut Pin<Box<Connection<TokioIo<CountedSocket>, Outgoing>>>,
+    driver: &mut Pin<Box<Connection<TokioIo<CountedSocket>, OutgoingBody>>>,
     progress: &WriteProgress,
     has_head: &Cell<bool>,
     response: impl Future<Output = Result<Response<Bytes>, Interruption>>,
--- a/src/node/connection/write_progress.rs
+++ b/src/node/connection/write_progress.rs
@@ -148,10 +148,32 @@
     }
 }
 
-/// How far an attempt has come, as its time-out needs to know; `None`: it has no connection yet.
-pub type Trace = Rc<RefCell<Option<Rc<WriteProgress>>>>;
+/// A view of a request's progress for those that wait for it from outside, such as its time-out. It is empty until the
+/// request has a connection.
+#[derive(Debug, Clone, Default)]
+pub struct WriteProgressHandle(Rc<RefCell<Option<Rc<WriteProgress>>>>);
+
+impl WriteProgressHandle {
+    /// Follows the progress on a connection from now on.
+    pub fn attach(&self, progress: Rc<WriteProgress>) {
+        self.0.replace(Some(progress));
+    }
+
+    /// Whether the request was written completely, so that the endpoint may work on it.
+    pub fn may_have_run(&self) -> bool {
+        self.0.borrow().as_ref().is_some_and(|progress| progress.is_completely_written())
+    }
+
+    /// Whether bytes of the final response have arrived.
+    pub fn has_response_started(&self) -> bool {
+        self.0.borrow().as_ref().is_some_and(|progress| progress.has_response_started())
+    }
+}
+
+/// The former name of [`WriteProgressHandle`].
+pub type Trace = WriteProgressHandle;
 
-/// Whether the attempt's last byte has been written.
-pub fn may_have_run(trace: &Trace) -> bool {
-    trace.borrow().as_ref().is_some_and(|p| p.is_completely_written())
+/// The former name of [`WriteProgressHandle::may_have_run`].
+pub fn may_have_run(progress: &WriteProgressHandle) -> bool {
+    progress.may_have_run()
 }
--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -2,7 +2,7 @@
 
 use crate::node::wire::{
     request_head::Head,
-    stream::{Content, Outgoing},
+    stream::{Content, OutgoingBody},
 };
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri, header, header::HeaderValue};
@@ -56,7 +56,7 @@
 impl UpstreamRequest {
     /// Builds the request for one attempt that the gateway waits `wait_seconds` for; `None` if a streamed body was
     /// already sent in an earlier attempt.
-    pub fn to_endpoint(&self, wait_seconds: f64) -> Option<Request<Outgoing>> {
+    pub fn to_endpoint(&self, wait_seconds: f64) -> Option<Request<OutgoingBody>> {
         let mut request = Request::new(self.body.take()?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
--- a/src/node/wire/stream.rs
+++ b/src/node/wire/stream.rs
@@ -41,8 +41,7 @@
 #[derive(Debug)]
 pub enum Content {
     Whole(Bytes),
-    /// Too large to be buffered; it can be sent only once.
-    /// The upload is `None` once an attempt has taken it.
+    /// Too large to be buffered. It can be sent only once: the upload is `None` after an attempt has taken it.
     Stream(RefCell<Option<Upload>>),
 }
 
@@ -56,10 +55,10 @@
     }
 
     /// The body for one attempt; `None` if it is streamed and an earlier attempt has taken it.
-    pub fn take(&self) -> Option<Outgoing> {
+    pub fn take(&self) -> Option<OutgoingBody> {
         match self {
-            Self::Whole(bytes) => Some(Outgoing::Whole(Some(bytes.clone()).filter(|b| !b.is_empty()))),
-            Self::Stream(upload) => upload.take().map(Outgoing::Stream),
+            Self::Whole(bytes) => Some(OutgoingBody::Buffered(Some(bytes.clone()).filter(|b| !b.is_empty()))),
+            Self::Stream(upload) => upload.take().map(OutgoingBody::Streamed),
         }
     }
 
@@ -83,23 +82,23 @@
 
 /// A request body in the form that hyper sends.
 #[derive(Debug)]
-pub enum Outgoing {
+pub enum OutgoingBody {
     /// `None` if it is empty or was sent.
-    Whole(Option<Bytes>),
-    Stream(Upload),
+    Buffered(Option<Bytes>),
+    Streamed(Upload),
 }
 
-impl Outgoing {
+impl OutgoingBody {
     /// Set once the last byte of a streamed body was handed over; `None` for a buffered one.
     pub fn finished_flag(&self) -> Option<Rc<Cell<bool>>> {
         match self {
-            Self::Whole(_) => None,
-            Self::Stream(upload) => Some(upload.is_finished.clone()),
+            Self::Buffered(_) => None,
+            Self::Streamed(upload) => Some(upload.is_finished.clone()),
         }
     }
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = TruncatedBody;
 
@@ -108,8 +107,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         let upload = match &mut *self {
-            Self::Whole(bytes) => return Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Stream(upload) => upload,
+            Self::Buffered(bytes) => return Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Streamed(upload) => upload,
         };
         if upload.is_finished.get() {
             return Poll::Ready(None);
@@ -131,15 +130,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_none(),
-            Self::Stream(upload) => upload.is_finished.get(),
+            Self::Buffered(bytes) => bytes.is_none(),
+            Self::Streamed(upload) => upload.is_finished.get(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            Self::Stream(upload) => upload.remaining.map_or_else(SizeHint::default, SizeHint::with_exact),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            Self::Streamed(upload) => upload.remaining.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
