--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -2,6 +2,7 @@
 
 use crate::process::{
     Error,
+    kill_on_drop::KillOnDrop,
     stand_in_counter::StandInCounter,
     stand_in_discovery::{EntryState, ListEntry, ListResponse, StandInDiscovery},
     stand_in_endpoints::StandInEndpoints,
@@ -78,17 +79,6 @@
     })
 }
 
-/// Ended with this.
-struct KilledOnDrop(Child);
-
-impl Drop for KilledOnDrop {
-    fn drop(&mut self) {
-        // Both fail only for a process that has ended.
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
-}
-
 /// Starts the stand-ins and the program, and waits until that ends or its time is up.
 ///
 /// # Errors
@@ -107,14 +97,13 @@
         discovery: discovery.address,
         counter: counter.address,
     };
-    let system = |operation| move |error| Error::System(operation, error);
-    let mut file = NamedTempFile::new().map_err(system("writing the program's configuration"))?;
+    let mut file = NamedTempFile::new().map_err(Error::system("writing the program's configuration"))?;
     let text = configuration(addresses, &entries).to_string();
-    file.write_all(text.as_bytes()).map_err(system("writing the program's configuration"))?;
-    let program = start(&arguments.program, file.path()).map_err(system("starting the program"))?;
+    file.write_all(text.as_bytes()).map_err(Error::system("writing the program's configuration"))?;
+    let program = start(&arguments.program, file.path()).map_err(Error::system("starting the program"))?;
     println!("configuration: {}", file.path().display());
-    wait(KilledOnDrop(program), arguments.seconds.map(Duration::from_secs))
-        .map_err(system("waiting for the program"))
+    wait(KillOnDrop(program), arguments.seconds.map(Duration::from_secs))
+        .map_err(Error::system("waiting for the program"))
 }
 
 fn start(program: &Path, configuration: &Path) -> std::io::Result<Child> {
@@ -123,7 +112,7 @@
     command.stdin(Stdio::null()).spawn()
 }
 
-fn wait(mut program: KilledOnDrop, limit: Option<Duration>) -> std::io::Result<()> {
+fn wait(mut program: KillOnDrop, limit: Option<Duration>) -> std::io::Result<()> {
     let started = Instant::now();
     while program.0.try_wait()?.is_none() && limit.is_none_or(|limit| started.elapsed() < limit) {
         thread::sleep(EXIT_POLL_INTERVAL);
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -1,13 +1,13 @@
 //! The built program as a child process that ends with its handle.
 
-use super::{Error, proc_fs};
+use super::{Error, kill_on_drop::KillOnDrop, proc_fs};
 use serde_json::{Value, json};
 use std::{
     collections::VecDeque,
     io::{BufRead, BufReader, Write},
     net::SocketAddr,
     path::Path,
-    process::{Child, ChildStderr, Command, Stdio},
+    process::{ChildStderr, Command, Stdio},
     sync::{
         Arc, Mutex, PoisonError,
         mpsc::{RecvTimeoutError, Sender, channel},
@@ -95,23 +95,11 @@
 pub struct ChildProgram {
     /// Where it takes clients.
     pub address: SocketAddr,
-    child: KilledOnDrop,
+    child: KillOnDrop,
     log: Log,
     _configuration: NamedTempFile,
 }
 
-/// A child process that is killed and waited for when this is dropped.
-#[derive(Debug)]
-struct KilledOnDrop(Child);
-
-impl Drop for KilledOnDrop {
-    fn drop(&mut self) {
-        // Both fail only for a process that has ended.
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
-}
-
 impl ChildProgram {
     /// Starts the program and waits until it listens.
     ///
@@ -119,7 +107,7 @@
     /// It cannot be started, or ends or says nothing before it listens.
     pub fn start(program: &Path, configuration: &Configuration) -> Result<Self, Error> {
         let file = write_configuration(configuration)
-            .map_err(|error| Error::System("writing the program's configuration", error))?;
+            .map_err(Error::system("writing the program's configuration"))?;
         let mut command = Command::new(program);
         command
             .env("NODE_CONFIG", file.path())
@@ -127,15 +115,17 @@
             .env_remove("NODE_ACCEPT_FD")
             .env_remove("OLIVERACK_LOG");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let child = command.spawn().map_err(|error| Error::System("starting the program", error))?;
-        let mut child = KilledOnDrop(child);
+        let child = command.spawn().map_err(Error::system("starting the program"))?;
+        let mut child = KillOnDrop(child);
         let stderr = child.0.stderr.take().ok_or(Error::ProcField("log of the program"))?;
         let log = Log::default();
         let (bound, address) = channel();
         let kept = log.clone();
         thread::spawn(move || follow_log(stderr, &kept, &bound));
         let address = address.recv_timeout(START_TIMEOUT).map_err(|error| match error {
-            RecvTimeoutError::Timeout => Error::TimedOut("the program's listening socket", START_TIMEOUT),
+            RecvTimeoutError::Timeout => {
+                Error::TimedOut { event: "the program's listening socket", limit: START_TIMEOUT }
+            }
             RecvTimeoutError::Disconnected => Error::ProgramEnded(last_line(&log)),
         })?;
         Ok(Self { address, child, log, _configuration: file })
--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -1,10 +1,10 @@
-//! Two builds of the program, side by side: what a request costs the one over what it costs the other, in pairs of
-//! batches that take turns, so that whatever else the machine does meets both.
+//! Compares the processor time of a request between two builds of the program. Their batches take turns in pairs, so
+//! that other load on the machine affects both.
 
 use super::{
     Error,
     bounds::BOUND_MEMORY_MB,
-    program_row::{Row, TestBed},
+    program_row::{MICROSECONDS_PER_SECOND, Row, TestBed},
     report::{Axis, BASE_SIZE, Subject},
     stand_in_discovery::ListFormat,
 };
@@ -12,6 +12,8 @@
 
 /// Requests before those that are measured.
 const WARM_UP_REQUESTS: u64 = 1000;
+/// Quantile of the median.
+const MEDIAN: f64 = 0.5;
 
 /// Arguments of `process compare`.
 #[derive(Debug, clap::Args)]
@@ -43,14 +45,14 @@
     bound: Option<f64>,
 }
 
-/// One of the two programs, running.
-struct Side<'a> {
+/// One of the two builds, running.
+struct Candidate<'a> {
     row: Row<'a>,
     test_bed: TestBed,
     sent: u64,
 }
 
-impl<'a> Side<'a> {
+impl<'a> Candidate<'a> {
     fn start(program: &'a Path, arguments: &Arguments) -> Result<Self, Error> {
         if !program.is_file() {
             return Err(Error::ProgramMissing(program.to_owned()));
@@ -66,14 +68,14 @@
             memory_mb: BOUND_MEMORY_MB,
         };
         let test_bed = TestBed::start(&row)?;
-        test_bed.take_list(ListFormat::Compact)?;
-        let mut side = Self { row, test_bed, sent: 0 };
-        side.batch(WARM_UP_REQUESTS)?;
-        Ok(side)
+        test_bed.send_list(ListFormat::Compact)?;
+        let mut candidate = Self { row, test_bed, sent: 0 };
+        candidate.measure_batch(WARM_UP_REQUESTS)?;
+        Ok(candidate)
     }
 
-    /// Sends so many requests; the processor time of one, in microseconds.
-    fn batch(&mut self, requests: u64) -> Result<f64, Error> {
+    /// Sends so many requests. Returns the mean processor time of a request, in microseconds.
+    fn measure_batch(&mut self, requests: u64) -> Result<f64, Error> {
         let before = self.test_bed.child.processor_time()?;
         let outcome = self.row.load(requests, self.sent).run(self.test_bed.child.address)?;
         let elapsed = self.test_bed.child.processor_time()? - before;
@@ -81,54 +83,65 @@
         if outcome.served < outcome.sent {
             return Err(Error::TooFewServed { served: outcome.served, sent: outcome.sent });
         }
-        Ok(elapsed.as_secs_f64() * 1e6 / outcome.sent as f64)
+        Ok(elapsed.as_secs_f64() * MICROSECONDS_PER_SECOND / outcome.sent as f64)
     }
 }
 
-/// Values in their order, of which the middle and the quarters are told.
-struct Sorted(Vec<f64>);
+/// Values in rising order, for quantiles.
+struct SortedValues(Vec<f64>);
 
-impl Sorted {
+impl SortedValues {
     fn new(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         Self(values)
     }
 
-    /// The value at a share of the way, from 0 to 1.
-    fn at(&self, share: f64) -> f64 {
-        self.0[((self.0.len() - 1) as f64 * share).round() as usize]
+    /// The value at a quantile from 0 to 1.
+    fn quantile(&self, quantile: f64) -> f64 {
+        self.0[((self.0.len() - 1) as f64 * quantile).round() as usize]
     }
 }
 
-/// Compares the two and prints what a request costs each.
+/// Compares the two builds and prints the processor time of a request of each.
 ///
 /// # Errors
-/// Arguments that cannot be used, a program that does not serve, and a ratio above the bound.
+/// Invalid arguments, a program that does not serve, and a ratio above the bound.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     if arguments.pairs == 0 || arguments.requests == 0 || arguments.connections == 0 {
-        return Err(Error::Argument("pairs, requests and connections must be above 0"));
+        return Err(Error::InvalidArgument("pairs, requests and connections must be above 0"));
     }
-    let mut program = Side::start(&arguments.program, arguments)?;
-    let mut baseline = Side::start(&arguments.baseline, arguments)?;
-    let (mut measured, mut compared) = (Vec::new(), Vec::new());
+    let mut program = Candidate::start(&arguments.program, arguments)?;
+    let mut baseline = Candidate::start(&arguments.baseline, arguments)?;
+    let mut program_micros = Vec::new();
+    let mut baseline_micros = Vec::new();
     for pair in 0..arguments.pairs {
-        // Each goes first in turn.
+        // Each of the two goes first in every other pair.
         if pair % 2 == 0 {
-            measured.push(program.batch(arguments.requests)?);
-            compared.push(baseline.batch(arguments.requests)?);
+            program_micros.push(program.measure_batch(arguments.requests)?);
+            baseline_micros.push(baseline.measure_batch(arguments.requests)?);
         } else {
-            compared.push(baseline.batch(arguments.requests)?);
-            measured.push(program.batch(arguments.requests)?);
+            baseline_micros.push(baseline.measure_batch(arguments.requests)?);
+            program_micros.push(program.measure_batch(arguments.requests)?);
         }
     }
-    let ratios = Sorted::new(measured.iter().zip(&compared).map(|(one, other)| one / other).collect());
-    let (measured, compared) = (Sorted::new(measured), Sorted::new(compared));
+    let ratios = SortedValues::new(
+        program_micros.iter().zip(&baseline_micros).map(|(program, baseline)| program / baseline).collect(),
+    );
+    let program_micros = SortedValues::new(program_micros);
+    let baseline_micros = SortedValues::new(baseline_micros);
     println!("processor time a request [us], middle of {} batches:", arguments.pairs);
-    println!("  program  {:.2}", measured.at(0.5));
-    println!("  baseline {:.2}", compared.at(0.5));
-    println!("ratio of a pair: {:.4} ({:.4} to {:.4})", ratios.at(0.5), ratios.at(0.25), ratios.at(0.75));
+    println!("  program  {:.2}", program_micros.quantile(MEDIAN));
+    println!("  baseline {:.2}", baseline_micros.quantile(MEDIAN));
+    println!(
+        "ratio of a pair: {:.4} ({:.4} to {:.4})",
+        ratios.quantile(MEDIAN),
+        ratios.quantile(0.25),
+        ratios.quantile(0.75)
+    );
     match arguments.bound {
-        Some(bound) if ratios.at(0.5) > bound => Err(Error::RatioExceeded { ratio: ratios.at(0.5), bound }),
+        Some(bound) if ratios.quantile(MEDIAN) > bound => {
+            Err(Error::RatioExceeded { ratio: ratios.quantile(MEDIAN), bound })
+        }
         _ => Ok(()),
     }
 }
--- a/lab/src/process/error.rs
+++ b/lab/src/process/error.rs
@@ -1,44 +1,71 @@
-//! Why a measurement could not be made.
+//! The errors of the benchmarks.
 
 use super::bounds::CheckFailure;
 use oliverack::SettingsError;
-use std::{fmt, io, path::PathBuf, time::Duration};
+use std::{io, path::PathBuf, time::Duration};
+
+const BYTES_PER_KIBIBYTE: u64 = 1024;
 
 /// Why a measurement could not be made.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// An argument cannot be used; the text says why.
-    Argument(&'static str),
-    /// No program stands at this path.
+    /// An argument is invalid; the text says why.
+    #[error("{0}")]
+    InvalidArgument(&'static str),
+    /// There is no file at this path of the program.
+    #[error("there is no program at {}", .0.display())]
     ProgramMissing(PathBuf),
-    /// The named operation of the system failed.
-    System(&'static str, io::Error),
+    /// An operation of the system failed.
+    #[error("{operation}: {source}")]
+    System {
+        /// What was attempted.
+        operation: &'static str,
+        /// How it failed.
+        source: io::Error,
+    },
     /// The policy rejects the settings.
-    Settings(SettingsError),
-    /// A reading of `/proc` holds no such field.
+    #[error("the settings: {0}")]
+    Settings(#[from] SettingsError),
+    /// A file in `/proc` lacks this field.
+    #[error("/proc holds no readable {0}")]
     ProcField(&'static str),
-    /// The named event did not come within the limit.
-    TimedOut(&'static str, Duration),
+    /// An event did not come within its time limit.
+    #[error("{event} did not come within {limit:?}")]
+    TimedOut {
+        /// What was waited for.
+        event: &'static str,
+        /// For how long.
+        limit: Duration,
+    },
     /// The program ended before it listened; the text is the last line of its log.
+    #[error("the program ended before it listened; last log line: {0}")]
     ProgramEnded(String),
-    /// The program did not take in a list of endpoints; the text is the last line of its log.
+    /// The program did not accept an endpoint list; the text is the last line of its log.
+    #[error("the list was not taken in; last log line: {0}")]
     ListNotTaken(String),
-    /// The program holds more memory than its limit, both in bytes.
+    /// The program used more memory than its limit.
+    #[error(
+        "peak memory of {} KiB is over the limit of {} KiB",
+        .peak_bytes / BYTES_PER_KIBIBYTE,
+        .limit_bytes / BYTES_PER_KIBIBYTE
+    )]
     MemoryLimitExceeded {
-        /// The most that it history.
-        peak: u64,
+        /// The most that it used.
+        peak_bytes: u64,
         /// What its configuration allows.
-        limit: u64,
+        limit_bytes: u64,
     },
     /// Too few requests were served for their cost to mean anything.
+    #[error("only {served} of {sent} requests were served")]
     TooFewServed {
         /// Requests answered 200.
         served: u64,
         /// Requests sent.
         sent: u64,
     },
-    /// Too few requests led to a call of the counter, so a row of tenants says nothing of its cost.
+    /// Too few requests led to a counter call for a row of tenants to show its cost.
+    #[error("the counter was called {calls} times in {sent} requests, fewer than {least} a request")]
     TooFewCounterCalls {
         /// Calls of the counter.
         calls: u64,
@@ -47,47 +74,27 @@
         /// Calls a request that are needed at least.
         least: f64,
     },
-    /// A request costs more of the baseline's processor time than the bound.
+    /// A request costs too much of the baseline's processor time.
+    #[error("the ratio of {ratio:.4} is over {bound}")]
     RatioExceeded {
-        /// Over the baseline's.
+        /// Processor time over that of the baseline.
         ratio: f64,
-        /// The most.
+        /// The highest ratio allowed.
         bound: f64,
     },
     /// A checked run has violated bounds, or rows of it have failed.
+    #[error("the check failed: {}", join(.0))]
     CheckFailed(Vec<CheckFailure>),
 }
 
-impl fmt::Display for Error {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Argument(reason) => f.write_str(reason),
-            Self::ProgramMissing(path) => write!(f, "there is no program at {}", path.display()),
-            Self::System(operation, error) => write!(f, "{operation}: {error}"),
-            Self::Settings(error) => write!(f, "the settings: {error}"),
-            Self::ProcField(field) => write!(f, "/proc holds no readable {field}"),
-            Self::TimedOut(event, limit) => write!(f, "{event} did not come within {limit:?}"),
-            Self::ProgramEnded(line) => {
-                write!(f, "the program ended before it listened; last log line: {line}")
-            }
-            Self::ListNotTaken(line) => write!(f, "the list was not taken in; last log line: {line}"),
-            Self::MemoryLimitExceeded { peak, limit } => {
-                write!(f, "peak memory of {} KiB is over the limit of {} KiB", peak / 1024, limit / 1024)
-            }
-            Self::TooFewServed { served, sent } => write!(f, "only {served} of {sent} requests were served"),
-            Self::TooFewCounterCalls { calls, sent, least } => {
-                write!(
-                    f,
-                    "the counter was called {calls} times in {sent} requests, fewer than {least} a request"
-                )
-            }
-            Self::RatioExceeded { ratio, bound } => write!(f, "the ratio of {ratio:.4} is over {bound}"),
-            Self::CheckFailed(failures) => {
-                let failures: Vec<String> = failures.iter().map(CheckFailure::to_string).collect();
-                write!(f, "the check failed: {}", failures.join("; "))
-            }
-        }
+impl Error {
+    /// Converts the failure of an operation of the system, for `map_err`.
+    pub fn system(operation: &'static str) -> impl Fn(io::Error) -> Self {
+        move |source| Self::System { operation, source }
     }
 }
 
-impl std::error::Error for Error {}
+fn join(failures: &[CheckFailure]) -> String {
+    let failures: Vec<String> = failures.iter().map(CheckFailure::to_string).collect();
+    failures.join("; ")
+}
--- a/lab/src/process/http.rs
+++ b/lab/src/process/http.rs
@@ -1,9 +1,9 @@
-//! The little of HTTP/1.1 that the stand-ins and the load need: messages with a `Content-Length` on kept connections.
+//! The part of HTTP/1.1 that the stand-ins and the load need: messages with a `Content-Length` on persistent connections.
 
 use std::io::{self, BufRead};
 
 /// Longest body that is read.
-const MAX_BODY_BYTES: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// One request or response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -15,7 +15,7 @@
 }
 
 impl Message {
-    /// The status code; `None` where the start line is no status line.
+    /// The status code; `None` if the start line is no status line.
     pub fn status(&self) -> Option<u16> {
         self.start_line.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
     }
@@ -31,7 +31,7 @@
 /// Reads one message; `None` at the end of the stream.
 ///
 /// # Errors
-/// The stream breaks, or holds something that is not understood.
+/// The stream fails, or the message is malformed.
 pub fn read_message(from: &mut impl BufRead) -> io::Result<Option<Message>> {
     let mut message = Message::default();
     if from.read_line(&mut message.start_line)? == 0 {
@@ -44,7 +44,7 @@
     Ok(Some(message))
 }
 
-/// Reads the headers to their end and returns the length of the body.
+/// Reads the headers and returns the length of the body.
 fn read_headers(from: &mut impl BufRead) -> io::Result<usize> {
     let malformed = |text| io::Error::new(io::ErrorKind::InvalidData, text);
     let mut length = 0;
--- a/lab/src/process/load.rs
+++ b/lab/src/process/load.rs
@@ -1,4 +1,4 @@
-//! The load: clients that each send one request after another on a kept connection.
+//! The load: clients that each send one request after another on a persistent connection.
 
 use super::{
     Error,
@@ -15,24 +15,24 @@
     time::Duration,
 };
 
-/// An answer that takes longer is given up.
+/// Longest wait for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Gateways that carry a tenant's requests, where there are so many.
+/// Gateways that serve a tenant, unless there are fewer.
 const GATEWAYS_PER_TENANT: u32 = 3;
 
-/// Numbers of the requests, unique in this process.
-static REQUESTS: AtomicU64 = AtomicU64::new(1);
+/// Number of the next request; unique in this process.
+static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// What is sent.
+/// Requests to be sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Requests in all.
+    /// How many requests are sent.
     pub requests: u64,
-    /// Requests that went before: the tenants' turns go on after them.
+    /// How many were sent before; the tenants take turns after them.
     pub before: u64,
-    /// Connections that share them.
+    /// Connections on which they are sent.
     pub connections: u64,
-    /// Tenants that they come from in turn; `None`: one tenant, without a quota.
+    /// Tenants with a quota, which take turns; `None` for one tenant without a quota.
     pub metered_tenants: Option<u64>,
     /// Gateways in the program's settings.
     pub gateways: u32,
@@ -48,7 +48,7 @@
 }
 
 impl Load {
-    /// Sends the requests and waits for all answers.
+    /// Sends the requests and waits for all responses.
     ///
     /// # Errors
     /// A connection fails.
@@ -64,10 +64,10 @@
             .collect();
         let mut total = LoadResult::default();
         for client in clients {
-            let outcome = client.join().unwrap_or_else(|panic| resume_unwind(panic));
-            let outcome = outcome.map_err(|error| Error::System("sending requests", error))?;
-            total.sent += outcome.sent;
-            total.served += outcome.served;
+            let result = client.join().unwrap_or_else(|panic| resume_unwind(panic));
+            let result = result.map_err(Error::system("sending requests"))?;
+            total.sent += result.sent;
+            total.served += result.served;
         }
         Ok(total)
     }
@@ -77,18 +77,18 @@
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         let mut reader = BufReader::new(socket.try_clone()?);
-        let mut outcome = LoadResult::default();
+        let mut result = LoadResult::default();
         for number in requests {
             socket.write_all(self.request(number).as_bytes())?;
             let answer = http::read_message(&mut reader)?.ok_or(io::ErrorKind::UnexpectedEof)?;
-            outcome.sent += 1;
-            outcome.served += u64::from(answer.status() == Some(200));
+            result.sent += 1;
+            result.served += u64::from(answer.status() == Some(200));
         }
-        Ok(outcome)
+        Ok(result)
     }
 
     fn request(&self, number: u64) -> String {
-        let transaction = REQUESTS.fetch_add(1, Ordering::Relaxed);
+        let transaction = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
         let plan = if self.metered_tenants.is_some() { PLAN_METERED } else { PLAN_FREE };
         let tenant = (self.before + number) % self.metered_tenants.unwrap_or(1).max(1);
         let customer_gateway_count = GATEWAYS_PER_TENANT.min(self.gateways);
--- a/lab/src/process/policy.rs
+++ b/lab/src/process/policy.rs
@@ -1,48 +1,36 @@
-//! The second part: the policy alone, inside this process.
+//! The benchmark `process policy`: the policy alone, inside this process.
 
 use super::{
     Error,
-    bounds::{self, BOUND_SIZE, Bound},
+    bounds::{self, Bound},
     policy_driver::{Driver, Scenario},
     policy_memory,
-    report::{Axis, Metric, Report, Subject, check_sizes},
+    program_row::MICROSECONDS_PER_SECOND,
+    report::{Axis, Metric, Report, Subject},
+    rounds::{CHECK_POSITION, RoundArguments, TENANT_ROW_ENDPOINTS},
 };
 use cpu_time::ThreadTime;
-use oliverack::Lifecycle;
-use std::{
-    path::PathBuf,
-    time::{Duration, Instant},
-};
+use oliverack::{Lifecycle, Seconds};
+use std::time::Duration;
 
-/// Endpoints in the rows of tenants.
-const TENANT_ROW_ENDPOINTS: usize = 100;
-/// Endpoints of the gateway whose open requests are weighed.
+/// Endpoints of the gateway whose open requests are measured.
 const OPEN_REQUEST_ENDPOINTS: usize = 1000;
-/// Requests before those that are measured: the policy learns its endpoints' times.
+/// Requests before those that are measured, in which the policy learns the latencies of its endpoints.
 const WARM_UP_REQUESTS: usize = 100;
-/// Sweeps that a value is taken over.
+/// Sweeps over the tenants that a value is taken over.
 const SWEEP_COUNT: usize = 20;
-/// A batch stops after so much processor time, whatever its count.
+/// Processor time after which a batch stops, whatever its count.
 const BATCH_TIME_LIMIT: Duration = Duration::from_millis(400);
-/// The clock is read once in so many repetitions.
+/// Repetitions between two readings of the clock, which costs as much as some of the work measured.
 const CLOCK_READ_INTERVAL: usize = 16;
-/// Seconds of virtual time after which the timers of requests are due.
-const TIMER_DELAY: f64 = 1.0;
+/// Virtual time after which the timers of requests have expired.
+const TIMER_DELAY: Seconds = 1.0;
 
 /// Arguments of `process policy`.
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
-    /// Counts of listed workers.
-    #[arg(
-        long = "workers",
-        value_name = "WORKERS",
-        value_delimiter = ',',
-        default_value = "10,100,1000,3000,9200"
-    )]
-    endpoints: Vec<usize>,
-    /// Counts of tenants with a quota, served by 100 workers and a counter.
-    #[arg(long, value_delimiter = ',', default_value = "100,1000,10000,32000")]
-    tenants: Vec<usize>,
+    #[command(flatten)]
+    shared: RoundArguments,
     /// Counts of gateways in the settings; the rows of workers are measured at each, those of tenants at the largest.
     #[arg(long, value_delimiter = ',', default_value = "1,100,680")]
     gateways: Vec<u32>,
@@ -55,83 +43,80 @@
     /// One-entry changes at most that a value is taken over.
     #[arg(long, default_value_t = 200)]
     changes: usize,
-    /// No row begins after so many seconds; those left out are reported as failed.
-    #[arg(long, default_value_t = 600)]
-    time_limit: u64,
     /// Fails where a row has failed, or, at 9,200 workers and any of the counts of gateways, a change takes more than
     /// 0.2 ms of processor time, or a worker outside the gateway's subset holds 150 bytes or more. Sizes 100 and 9200
     /// have to be among the workers, and a count above 1 among the gateways.
-    #[arg(long)]
+    #[arg(long, display_order = CHECK_POSITION)]
     check: bool,
-    /// Writes the report to this file, too, as JSON lines.
-    #[arg(long)]
-    json: Option<PathBuf>,
 }
 
 impl Arguments {
     fn check_values(&self) -> Result<(), Error> {
         if self.rounds == 0 || self.requests == 0 || self.changes == 0 {
-            return Err(Error::Argument("rounds, requests and changes must be above 0"));
+            return Err(Error::InvalidArgument("rounds, requests and changes must be above 0"));
         }
-        check_sizes(self.endpoints.iter().chain(&self.tenants))?;
+        self.shared.check_sizes()?;
         if self.gateways.is_empty() || self.gateways.contains(&0) {
-            return Err(Error::Argument("counts of gateways must be above 0"));
-        }
-        let bounded = [super::report::BASE_SIZE, BOUND_SIZE];
-        if self.check && !bounded.iter().all(|size| self.endpoints.contains(size)) {
-            return Err(Error::Argument("a checked run needs 100 and 9200 among the workers"));
+            return Err(Error::InvalidArgument("counts of gateways must be above 0"));
         }
-        // A gateway that is alone keeps to all endpoints.
-        if self.check && self.gateways.iter().all(|gateways| *gateways == 1) {
-            return Err(Error::Argument("a checked run needs a count of gateways above 1"));
+        if self.check { self.check_bounded() } else { Ok(()) }
+    }
+
+    /// Checks that the run measures what the bounds are for.
+    fn check_bounded(&self) -> Result<(), Error> {
+        self.shared.check_has_bounded_rows()?;
+        // The subset of a single gateway is all endpoints, so none is outside it.
+        if self.gateways.iter().all(|gateways| *gateways == 1) {
+            return Err(Error::InvalidArgument("a checked run needs a count of gateways above 1"));
         }
         Ok(())
     }
 
     fn subjects(&self) -> Vec<Subject> {
         let mut subjects = Vec::new();
-        for size in &self.endpoints {
+        for size in &self.shared.endpoints {
             let subject =
                 |gateways: &u32| Subject { axis: Axis::Endpoints, gateways: *gateways, size: *size };
             subjects.extend(self.gateways.iter().map(subject));
         }
         let gateways = self.gateways.iter().copied().max().unwrap_or(1);
         let subject = |size: &usize| Subject { axis: Axis::Tenants, gateways, size: *size };
-        subjects.extend(self.tenants.iter().map(subject));
+        subjects.extend(self.shared.tenants.iter().map(subject));
         subjects
     }
+
+    /// The bounds that a checked run has to keep.
+    fn bounds(&self) -> Vec<(Subject, Bound)> {
+        let mut bounds = Vec::new();
+        for gateways in &self.gateways {
+            let subject = bounds::bounded_subject(*gateways);
+            bounds.push((subject, bounds::CHANGE));
+            // The subset of a single gateway is all endpoints.
+            if *gateways > 1 {
+                bounds.push((subject, bounds::OUTSIDE_STATE));
+            }
+        }
+        bounds
+    }
 }
 
 /// Measures the policy and publishes the report.
 ///
 /// # Errors
-/// Arguments that cannot be used, a report that cannot be written, and, in a checked run, bounds that were violated.
+/// Invalid arguments, a report that cannot be written, and, in a checked run, bounds that were violated.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     arguments.check_values()?;
     let report = measure(arguments);
-    report.publish("policy", arguments.json.as_deref())?;
-    if !arguments.check {
-        return Ok(());
-    }
-    let failures = bounds::check(&report, bounds_at(&arguments.gateways));
-    if failures.is_empty() { Ok(()) } else { Err(Error::CheckFailed(failures)) }
+    arguments.shared.publish("policy", &report, arguments.check.then(|| arguments.bounds()))
 }
 
 fn measure(arguments: &Arguments) -> Report {
-    let limit = Duration::from_secs(arguments.time_limit);
-    let started = Instant::now();
-    let mut report = Report::default();
-    let subjects = arguments.subjects();
-    for round in 0..arguments.rounds {
-        for subject in &subjects {
-            if started.elapsed() >= limit {
-                report.fail(*subject, &Error::TimedOut("the row's turn", limit));
-            } else if let Err(error) = measure_row(arguments, *subject, round == 0, &mut report) {
-                report.fail(*subject, &error);
-            }
-        }
-    }
-    if policy_memory::counts() {
+    let measure_row = |round, subject, report: &mut Report| {
+        // The state is the same in every round.
+        measure_row(arguments, subject, round == 0, report)
+    };
+    let mut report = arguments.shared.measure(arguments.rounds, &arguments.subjects(), measure_row);
+    if policy_memory::is_counted() {
         if let Err(error) = policy_memory::measure_open_requests(OPEN_REQUEST_ENDPOINTS, &mut report) {
             let subject = Subject { axis: Axis::Endpoints, gateways: 1, size: OPEN_REQUEST_ENDPOINTS };
             report.fail(subject, &error);
@@ -140,7 +125,7 @@
     report
 }
 
-/// Measures the times of one row, and its state where `measures_memory` asks for it: that is the same in every round.
+/// Measures the times of one row, and the bytes of its state if `measures_memory`.
 fn measure_row(
     arguments: &Arguments,
     subject: Subject,
@@ -161,28 +146,29 @@
     } else {
         measure_changes(arguments, subject, &mut driver, report);
     }
-    match (measures_memory && policy_memory::counts(), subject.axis) {
+    match (measures_memory && policy_memory::is_counted(), subject.axis) {
         (true, Axis::Endpoints) => policy_memory::measure_endpoints(subject, report),
         (true, Axis::Tenants) => policy_memory::measure_tenants(subject, TENANT_ROW_ENDPOINTS, report),
         (false, _) => Ok(()),
     }
 }
 
-/// Repeats `work` up to `most` times within the limit of a batch; microseconds of processor time each took.
-fn batch(most: usize, mut work: impl FnMut(usize)) -> f64 {
+/// Repeats `work` up to `max_repetitions` times within the time limit of a batch. Returns the mean processor time of a
+/// repetition, in microseconds.
+fn batch(max_repetitions: usize, mut work: impl FnMut(usize)) -> f64 {
     let started = ThreadTime::now();
     let mut done = 0;
-    while done < most {
+    while done < max_repetitions {
         work(done);
         done += 1;
         if done % CLOCK_READ_INTERVAL == 0 && started.elapsed() >= BATCH_TIME_LIMIT {
             break;
         }
     }
-    started.elapsed().as_secs_f64() * 1e6 / done.max(1) as f64
+    started.elapsed().as_secs_f64() * MICROSECONDS_PER_SECOND / done.max(1) as f64
 }
 
-/// Requests from arrival to answer, and then the timers that they have set.
+/// Measures requests from their arrival to their response, and then the timers that they have set.
 fn measure_requests(arguments: &Arguments, subject: Subject, driver: &mut Driver, report: &mut Report) {
     let (mut served, mut sent) = (0_u64, 0_u64);
     let micros = batch(arguments.requests, |_| {
@@ -192,7 +178,7 @@
     report.record(subject, Metric::RequestProcessorMicros, micros);
     report.record(subject, Metric::ServedShare, served as f64 / sent as f64);
     driver.advance(TIMER_DELAY);
-    // The first is the sweep, which the start has set; it sets the next.
+    // The oldest timer is the sweep over the tenants, set at the start; it sets the next one.
     driver.deliver_timer();
     let timers = driver.timers().saturating_sub(1);
     if timers > 0 {
@@ -204,7 +190,7 @@
     while driver.timers() > 1 && driver.deliver_timer() {}
 }
 
-/// Drains endpoints all over the list and takes each back, one entry at a time.
+/// Measures changes of one entry: endpoints all over the list drain and are back.
 fn measure_changes(arguments: &Arguments, subject: Subject, driver: &mut Driver, report: &mut Report) {
     let micros = batch(arguments.changes, |change| {
         let number = change / 2 * subject.size / arguments.changes.div_ceil(2);
@@ -214,24 +200,10 @@
     report.record(subject, Metric::ChangeProcessorMicros, micros);
 }
 
-/// Sweeps over the tenants: the one timer that is left, which each sweep sets anew.
+/// Measures sweeps over the tenants: the only timer that is left, which each sweep sets again.
 fn measure_sweeps(subject: Subject, driver: &mut Driver, report: &mut Report) {
     let micros = batch(SWEEP_COUNT, |_| {
         driver.deliver_timer();
     });
     report.record(subject, Metric::SweepProcessorMicros, micros);
 }
-
-/// What a checked run holds against the report.
-fn bounds_at(gateways: &[u32]) -> Vec<(Subject, Bound)> {
-    let mut history = Vec::new();
-    for gateways in gateways {
-        let subject = bounds::bounded_subject(*gateways);
-        history.push((subject, bounds::CHANGE));
-        // A gateway that is alone keeps to all endpoints.
-        if *gateways > 1 {
-            history.push((subject, bounds::OUTSIDE_STATE));
-        }
-    }
-    history
-}
--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -95,7 +95,7 @@
     /// # Errors
     /// The policy rejects the settings.
     pub fn new(scenario: Scenario) -> Result<Self, Error> {
-        let gateway = Gateway::new(scenario.settings(), SEED).map_err(Error::Settings)?;
+        let gateway = Gateway::new(scenario.settings(), SEED)?;
         let tenants = (0..scenario.tenants).map(|number| format!("{number:016x}").into()).collect();
         Ok(Self {
             gateway,
@@ -133,7 +133,7 @@
     }
 
     /// The same; adds the endpoints that it was sent to.
-    pub fn request_noting(&mut self, reached: &mut BTreeSet<EndpointId>) -> bool {
+    pub fn request_and_record(&mut self, reached: &mut BTreeSet<EndpointId>) -> bool {
         self.open_request();
         self.now += RESPONSE_TIME;
         self.answer_all(Some(reached))
--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -1,7 +1,7 @@
-//! Bytes of the policy's state, by what the counting allocator has given out.
+//! Bytes of the policy's state, by the counts of the global allocator.
 //!
-//! The binary installs `stats_alloc` as its global allocator. Where a program does not, nothing is counted and
-//! nothing is measured. The figures are the sizes that were asked for, without the allocator's own overhead.
+//! The binary installs `stats_alloc` as its global allocator. In a program that does not, nothing is counted and nothing
+//! is measured. The values are the sizes that were requested, without the overhead of the allocator.
 
 use super::{
     Error,
@@ -11,74 +11,82 @@
 use stats_alloc::INSTRUMENTED_SYSTEM;
 use std::collections::BTreeSet;
 
-/// Requests that show which endpoints a gateway sends to, for each endpoint it may reach at most.
+/// Requests for each listed endpoint, so that by all odds each endpoint of the subset receives one.
 const REQUESTS_PER_ENDPOINT: usize = 12;
-/// Requests at least.
+/// Lowest count of these requests.
 const MIN_REQUESTS: usize = 500;
-/// Requests at most.
+/// Highest count of these requests.
 const MAX_REQUESTS: usize = 6000;
-/// Open requests that the state is taken over.
+/// Open requests over which the bytes of one are averaged.
 const OPEN_REQUESTS: usize = 200;
 
-/// Bytes that are allocated now; `None` where the allocator does not count.
+/// Bytes that are allocated now; `None` if the allocator does not count.
 fn allocated() -> Option<isize> {
     let stats = INSTRUMENTED_SYSTEM.stats();
     (stats.allocations > 0).then(|| stats.bytes_allocated.wrapping_sub(stats.bytes_deallocated) as isize)
 }
 
-/// Bytes allocated by `work`, and not freed.
+/// Bytes that `work` allocated and did not free.
 fn growth(work: impl FnOnce()) -> Option<f64> {
     let before = allocated()?;
     work();
     Some((allocated()? - before) as f64)
 }
 
-/// Whether bytes are counted in this program.
-pub fn counts() -> bool {
+/// True if this program counts the bytes that it allocates.
+pub fn is_counted() -> bool {
     allocated().is_some()
 }
 
-/// Records the bytes an endpoint inside and outside the gateway's subset.
+/// Records the bytes of an endpoint inside and outside the gateway's subset.
 ///
 /// # Errors
 /// The policy rejects the settings.
 pub fn measure_endpoints(subject: Subject, report: &mut Report) -> Result<(), Error> {
     let scenario = Scenario { gateways: subject.gateways, tenants: 1, metered: false };
-    // A gateway that is alone keeps to all endpoints.
-    let mut alone = Driver::new(Scenario { gateways: 1, ..scenario })?;
-    let Some(all_inside) = growth(|| alone.list(subject.size)) else { return Ok(()) };
+    // The subset of a single gateway is all endpoints.
+    let mut single = Driver::new(Scenario { gateways: 1, ..scenario })?;
+    let Some(all_inside) = growth(|| single.list(subject.size)) else { return Ok(()) };
     let inside = all_inside / subject.size as f64;
     let mut driver = Driver::new(scenario)?;
     let Some(idle) = growth(|| driver.list(subject.size)) else { return Ok(()) };
-    let (reached, answered) = reach_subset(subject, driver);
+    let subset = reach_subset(subject, driver);
+    let added = subset.added_bytes / subset.size.max(1) as f64;
     report.record(subject, Metric::EndpointInsideBytes, inside);
-    report.record(subject, Metric::EndpointAnsweredBytes, inside + answered / reached.max(1) as f64);
-    if reached < subject.size && subject.gateways > 1 {
-        let outside = (idle - reached as f64 * inside) / (subject.size - reached) as f64;
+    report.record(subject, Metric::EndpointAnsweredBytes, inside + added);
+    if subset.size < subject.size && subject.gateways > 1 {
+        let outside = (idle - subset.size as f64 * inside) / (subject.size - subset.size) as f64;
         report.record(subject, Metric::EndpointOutsideBytes, outside);
     }
     Ok(())
 }
 
-/// Sends requests until the whole subset has been reached, by all odds; its size, and the bytes that it grew by.
-fn reach_subset(subject: Subject, mut driver: Driver) -> (usize, f64) {
+/// The endpoints that have responded to a gateway, which by all odds are its subset.
+struct RespondedSubset {
+    size: usize,
+    /// Bytes that the responses added to the state.
+    added_bytes: f64,
+}
+
+/// Sends requests until by all odds each endpoint of the subset has responded.
+fn reach_subset(subject: Subject, mut driver: Driver) -> RespondedSubset {
     let requests = (REQUESTS_PER_ENDPOINT * subject.size).clamp(MIN_REQUESTS, MAX_REQUESTS);
     let mut reached = BTreeSet::new();
     // One tenant and its plan are known before the measurement begins.
     driver.request();
     let before = allocated().unwrap_or_default();
     for _ in 0..requests {
-        driver.request_noting(&mut reached);
+        driver.request_and_record(&mut reached);
     }
     driver.advance(1.0);
     while driver.timers() > 1 && driver.deliver_timer() {}
     driver.shrink();
-    let count = reached.len();
+    let size = reached.len();
     drop(reached);
-    (count, (allocated().unwrap_or_default() - before) as f64)
+    RespondedSubset { size, added_bytes: (allocated().unwrap_or_default() - before) as f64 }
 }
 
-/// Records the bytes a tenant.
+/// Records the bytes of a tenant.
 ///
 /// # Errors
 /// The policy rejects the settings.
@@ -98,7 +106,7 @@
     Ok(())
 }
 
-/// Records the bytes an open request, in a gateway that is alone and so may have many out.
+/// Records the bytes of an open request, in a gateway that is alone and so may have many out.
 ///
 /// # Errors
 /// The policy rejects the settings.
--- a/lab/src/process/proc_fs.rs
+++ b/lab/src/process/proc_fs.rs
@@ -1,28 +1,30 @@
-//! Readings of `/proc`: a process's processor time and memory.
+//! Reads the processor time and the memory of a process from `/proc`.
 
 use super::Error;
 use std::{fs, time::Duration};
 
-/// What a process has used.
+const BYTES_PER_KIBIBYTE: u64 = 1024;
+
+/// Memory of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Memory {
-    /// Memory resident now, in bytes.
-    pub resident: u64,
-    /// The most that was resident at a time, in bytes.
-    pub peak: u64,
+    /// Resident now.
+    pub resident_bytes: u64,
+    /// Most that was resident at once.
+    pub peak_bytes: u64,
 }
 
-/// Processor time of all threads that the process has now, in the resolution of the scheduler.
+/// Processor time of all present threads of a process, at the resolution of the scheduler.
 ///
 /// # Errors
 /// There is no such process, or the kernel keeps no scheduler statistics.
 pub fn processor_time(process: u32) -> Result<Duration, Error> {
-    let unreadable = |error| Error::System("reading /proc", error);
-    let threads = fs::read_dir(format!("/proc/{process}/task")).map_err(unreadable)?;
+    let unreadable = Error::system("reading /proc");
+    let threads = fs::read_dir(format!("/proc/{process}/task")).map_err(&unreadable)?;
     let mut total = Duration::ZERO;
     for thread in threads {
-        let path = thread.map_err(unreadable)?.path().join("schedstat");
-        // A thread may end between the listing and the reading.
+        let path = thread.map_err(&unreadable)?.path().join("schedstat");
+        // A thread may have ended since it was listed.
         if let Ok(text) = fs::read_to_string(path) {
             total += parse_schedstat(&text)?;
         }
@@ -36,7 +38,7 @@
 /// There is no such process.
 pub fn memory(process: u32) -> Result<Memory, Error> {
     let text = fs::read_to_string(format!("/proc/{process}/status"));
-    parse_status(&text.map_err(|error| Error::System("reading /proc", error))?)
+    parse_status(&text.map_err(Error::system("reading /proc"))?)
 }
 
 /// Processor time in the text of `/proc/PID/schedstat`.
@@ -56,7 +58,7 @@
     let field = |name: &'static str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
         let kibibytes = line.and_then(|line| line.trim().strip_suffix(" kB")?.trim().parse::<u64>().ok());
-        kibibytes.map(|value| value * 1024).ok_or(Error::ProcField(name))
+        kibibytes.map(|value| value * BYTES_PER_KIBIBYTE).ok_or(Error::ProcField(name))
     };
-    Ok(Memory { resident: field("VmRSS")?, peak: field("VmHWM")? })
+    Ok(Memory { resident_bytes: field("VmRSS")?, peak_bytes: field("VmHWM")? })
 }
--- a/lab/src/process/program.rs
+++ b/lab/src/process/program.rs
@@ -1,15 +1,13 @@
-//! The first part: the built program against stand-ins on loopback.
+//! The benchmark `process program`: the built program against stand-ins on loopback.
 
 use super::{
     Error,
-    bounds::{self, BOUND_MEMORY_MB, BOUND_SIZE},
+    bounds::{self, BOUND_MEMORY_MB},
     program_row::{self, Row},
-    report::{Axis, BASE_SIZE, Report, Subject, check_sizes},
-};
-use std::{
-    path::{Path, PathBuf},
-    time::{Duration, Instant},
+    report::{Axis, Report, Subject},
+    rounds::{CHECK_POSITION, RoundArguments},
 };
+use std::path::{Path, PathBuf};
 
 /// Arguments of `process program`.
 #[derive(Debug, clap::Args)]
@@ -17,17 +15,8 @@
     /// The built program; by default target/release/oliverack in the workspace.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Counts of listed workers.
-    #[arg(
-        long = "workers",
-        value_name = "WORKERS",
-        value_delimiter = ',',
-        default_value = "10,100,1000,3000,9200"
-    )]
-    endpoints: Vec<usize>,
-    /// Counts of tenants with a quota, served by 100 workers and a counter.
-    #[arg(long, value_delimiter = ',', default_value = "100,1000,10000,32000")]
-    tenants: Vec<usize>,
+    #[command(flatten)]
+    shared: RoundArguments,
     /// Gateways in the program's settings, in the rows of workers.
     #[arg(long, default_value_t = 680)]
     gateways: u32,
@@ -52,17 +41,11 @@
     /// The program's limit on memory in the rows of tenants, in MB.
     #[arg(long, default_value_t = 192)]
     tenant_memory_mb: usize,
-    /// No row begins after so many seconds; those left out are reported as failed.
-    #[arg(long, default_value_t = 600)]
-    time_limit: u64,
     /// Fails where a row has failed, or, at 9,200 workers, a request takes more than 1.25 times the processor time of
     /// 100 workers, a change takes more than 0.2 ms of it, or the indented list is not taken in with 32 MB. Sizes 100
     /// and 9200 have to be among the workers.
-    #[arg(long)]
+    #[arg(long, display_order = CHECK_POSITION)]
     check: bool,
-    /// Writes the report to this file, too, as JSON lines.
-    #[arg(long)]
-    json: Option<PathBuf>,
 }
 
 impl Arguments {
@@ -74,21 +57,19 @@
             || self.connections == 0
             || self.changes == 0
         {
-            return Err(Error::Argument(
+            return Err(Error::InvalidArgument(
                 "both counts of gateways, rounds, requests, connections and changes must be above 0",
             ));
         }
-        check_sizes(self.endpoints.iter().chain(&self.tenants))?;
+        self.shared.check_sizes()?;
         if self.check { self.check_bounded() } else { Ok(()) }
     }
 
-    /// Whether the run measures what a check asks for.
+    /// Checks that the run measures what the bounds are for.
     fn check_bounded(&self) -> Result<(), Error> {
-        if ![BASE_SIZE, BOUND_SIZE].iter().all(|size| self.endpoints.contains(size)) {
-            return Err(Error::Argument("a checked run needs 100 and 9200 among the workers"));
-        }
+        self.shared.check_has_bounded_rows()?;
         if self.memory_mb > BOUND_MEMORY_MB {
-            return Err(Error::Argument("a checked run needs a memory limit of 32 MB at most"));
+            return Err(Error::InvalidArgument("a checked run needs a memory limit of 32 MB at most"));
         }
         Ok(())
     }
@@ -100,8 +81,10 @@
 
     fn subjects(&self) -> Vec<Subject> {
         let subject = |axis, gateways, size: &usize| Subject { axis, gateways, size: *size };
-        let endpoints = self.endpoints.iter().map(|size| subject(Axis::Endpoints, self.gateways, size));
-        let tenants = self.tenants.iter().map(|size| subject(Axis::Tenants, self.tenant_gateways, size));
+        let endpoints =
+            self.shared.endpoints.iter().map(|size| subject(Axis::Endpoints, self.gateways, size));
+        let tenants =
+            self.shared.tenants.iter().map(|size| subject(Axis::Tenants, self.tenant_gateways, size));
         endpoints.chain(tenants).collect()
     }
 }
@@ -114,35 +97,18 @@
 /// Measures the program and publishes the report.
 ///
 /// # Errors
-/// Arguments that cannot be used, a report that cannot be written, and, in a checked run, bounds that were violated and
+/// Invalid arguments, a report that cannot be written, and, in a checked run, bounds that were violated and
 /// rows that failed.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     arguments.check_values()?;
     let program = arguments.program()?;
-    let report = measure(arguments, &program);
-    report.publish("program", arguments.json.as_deref())?;
-    if !arguments.check {
-        return Ok(());
-    }
+    let measure_row = |_round, subject, report: &mut Report| {
+        program_row::measure(&row(arguments, &program, subject), report)
+    };
+    let report = arguments.shared.measure(arguments.rounds, &arguments.subjects(), measure_row);
     let subject = bounds::bounded_subject(arguments.gateways);
-    let failures = bounds::check(&report, bounds::PROGRAM.map(|bound| (subject, bound)));
-    if failures.is_empty() { Ok(()) } else { Err(Error::CheckFailed(failures)) }
-}
-
-fn measure(arguments: &Arguments, program: &Path) -> Report {
-    let limit = Duration::from_secs(arguments.time_limit);
-    let started = Instant::now();
-    let mut report = Report::default();
-    for _ in 0..arguments.rounds {
-        for subject in arguments.subjects() {
-            if started.elapsed() >= limit {
-                report.fail(subject, &Error::TimedOut("the row's turn", limit));
-            } else if let Err(error) = program_row::measure(&row(arguments, program, subject), &mut report) {
-                report.fail(subject, &error);
-            }
-        }
-    }
-    report
+    let bounds = arguments.check.then(|| bounds::PROGRAM.map(|bound| (subject, bound)).to_vec());
+    arguments.shared.publish("program", &report, bounds)
 }
 
 fn row<'a>(arguments: &Arguments, program: &'a Path, subject: Subject) -> Row<'a> {
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -5,6 +5,7 @@
     child::{ChildProgram, Configuration},
     load::{Load, LoadResult},
     report::{Axis, Metric, Report, Subject},
+    rounds::TENANT_ROW_ENDPOINTS,
     stand_in_counter::StandInCounter,
     stand_in_discovery::{DiscoveryEvent, EntryState, ListEntry, ListFormat, ListResponse, StandInDiscovery},
     stand_in_endpoints::StandInEndpoints,
@@ -15,32 +16,36 @@
     time::{Duration, Instant},
 };
 
-/// Endpoints in the configuration's list; the rest come by discovery.
+/// Endpoints listed in the configuration; discovery lists the others.
 const CONFIGURED_ENDPOINTS: usize = 10;
-/// Endpoints in the rows of tenants.
-const TENANT_ROW_ENDPOINTS: usize = 100;
-/// An event of discovery that takes longer is given up.
+/// Longest wait for an event of discovery.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Requests before those that are measured: connections come up, and the program learns its endpoints' times.
+/// Requests before those that are measured, in which connections are opened and the program learns the latencies of its
+/// endpoints.
 const WARM_UP_REQUESTS: u64 = 1000;
-/// Requests in a batch of the tenants' warm-up.
+/// Requests in a batch of the warm-up of tenants.
 const BATCH_REQUESTS: u64 = 1000;
-/// The tenants' warm-up ends after this at the latest: the program raises its rate of counter calls, over a second or
-/// two from a low start.
+/// Longest warm-up of tenants. The program raises its rate of counter calls over a second or two, from a low start.
 const STEADY_STATE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Least calls of the counter a request: with fewer, a row of tenants does not show what a lease costs.
+/// Fewest counter calls a request; with fewer, a row of tenants does not show the cost of a lease.
 const MIN_CALLS_PER_REQUEST: f64 = 0.01;
-/// Connections on which each tenant comes once: many, as the program forgets a tenant that is idle for 26 s.
+/// Connections on which each tenant sends its first request. Many, as the program forgets a tenant that is idle for 26 s.
 const TENANT_CONNECTIONS: u64 = 32;
-/// Least share of requests that has to be served.
+/// Lowest share of requests that has to be served.
 const MIN_SERVED_SHARE: f64 = 0.9;
 
-/// What a row does.
+const BYTES_PER_KIBIBYTE: f64 = 1024.0;
+const BYTES_PER_MEBIBYTE: u64 = 1024 * 1024;
+const MILLISECONDS_PER_SECOND: f64 = 1e3;
+/// Microseconds in a second.
+pub const MICROSECONDS_PER_SECOND: f64 = 1e6;
+
+/// What a row measures and with what load.
 #[derive(Debug)]
 pub struct Row<'a> {
     /// The built program.
     pub program: &'a Path,
-    /// What the row measures.
+    /// Its place in the report.
     pub subject: Subject,
     /// Requests that are measured.
     pub requests: u64,
@@ -67,29 +72,34 @@
         }
     }
 
-    /// So many requests, after those sent before.
+    /// A load of so many requests, after those that were sent before.
     pub fn load(&self, requests: u64, before: u64) -> Load {
-        let (connections, gateways) = (self.connections, self.subject.gateways);
-        Load { requests, before, connections, metered_tenants: self.metered_tenants(), gateways }
+        Load {
+            requests,
+            before,
+            connections: self.connections,
+            metered_tenants: self.metered_tenants(),
+            gateways: self.subject.gateways,
+        }
     }
 }
 
-/// The program, running, and what stands round it.
+/// The running program and the stand-ins that it is connected to.
 #[derive(Debug)]
 pub struct TestBed {
     entries: Vec<ListEntry>,
     discovery: StandInDiscovery,
     counter: Option<StandInCounter>,
-    _workers: StandInEndpoints,
-    /// The program.
+    _stand_in_endpoints: StandInEndpoints,
+    /// The running program.
     pub child: ChildProgram,
 }
 
 impl TestBed {
-    /// Starts the stand-ins and the program, and waits until that follows discovery.
+    /// Starts the stand-ins and the program, and waits until the program watches discovery.
     ///
     /// # Errors
-    /// One of them does not start, or the program does not follow discovery.
+    /// One of them does not start, or the program does not watch discovery.
     pub fn start(row: &Row<'_>) -> Result<Self, Error> {
         let endpoints = StandInEndpoints::start()?;
         let entry = |number| ListEntry::new(number, endpoints.address(number), EntryState::Serving);
@@ -105,29 +115,29 @@
             memory_mb: row.memory_mb,
         };
         let child = ChildProgram::start(row.program, &configuration)?;
-        let surroundings = Self { entries, discovery, counter, _workers: endpoints, child };
-        surroundings.wait_for_watch()?;
-        Ok(surroundings)
+        let test_bed = Self { entries, discovery, counter, _stand_in_endpoints: endpoints, child };
+        test_bed.wait_for_watch()?;
+        Ok(test_bed)
     }
 
-    /// Has the program take the whole list in; how long that took.
+    /// Sends the complete list to the program. Returns how long the program took to apply it.
     ///
     /// # Errors
-    /// It does not.
-    pub fn take_list(&self, format: ListFormat) -> Result<Duration, Error> {
+    /// The program does not apply the list.
+    pub fn send_list(&self, format: ListFormat) -> Result<Duration, Error> {
         let version = self.discovery.replace(self.entries.clone(), format);
-        self.wait_until_taken(version)
+        self.wait_until_applied(version)
     }
 
-    /// Waits until the program watches from any version.
+    /// Waits until the program watches for changes of any version.
     fn wait_for_watch(&self) -> Result<(), Error> {
         while !matches!(self.next_event("a watch")?, DiscoveryEvent::Call { from: Some(_), .. }) {}
         Ok(())
     }
 
-    /// Waits until the answer that leads to `version` has been written and the next watch has come; the time
-    /// between the two.
-    fn wait_until_taken(&self, version: u64) -> Result<Duration, Error> {
+    /// Waits until the response that leads to `version` was written and the next watch has come. Returns the time between
+    /// the two.
+    fn wait_until_applied(&self, version: u64) -> Result<Duration, Error> {
         let mut written = None;
         loop {
             match (self.next_event("a watch")?, written) {
@@ -146,7 +156,10 @@
     }
 
     fn next_event(&self, event: &'static str) -> Result<DiscoveryEvent, Error> {
-        self.discovery.events.recv_timeout(EVENT_TIMEOUT).map_err(|_| Error::TimedOut(event, EVENT_TIMEOUT))
+        self.discovery
+            .events
+            .recv_timeout(EVENT_TIMEOUT)
+            .map_err(|_| Error::TimedOut { event, limit: EVENT_TIMEOUT })
     }
 }
 
@@ -155,14 +168,14 @@
     row: &'a Row<'a>,
     report: &'a mut Report,
     test_bed: TestBed,
-    /// Requests sent.
+    /// Requests sent so far.
     sent: u64,
 }
 
 /// Measures one row into the report.
 ///
 /// # Errors
-/// What could not be done; what was measured before that is in the report.
+/// A measurement could not be made; the results of earlier ones are in the report.
 pub fn measure(row: &Row<'_>, report: &mut Report) -> Result<(), Error> {
     let test_bed = TestBed::start(row)?;
     let mut benchmark = RowBenchmark { row, report, test_bed, sent: 0 };
@@ -174,34 +187,28 @@
 
 impl RowBenchmark<'_> {
     fn measure_endpoints(&mut self) -> Result<(), Error> {
-        self.measure_list(
-            ListFormat::Compact,
-            [Metric::CompactListElapsedMillis, Metric::CompactListProcessorMillis],
-        )?;
+        self.measure_list(ListFormat::Compact)?;
         self.send(self.row.load(WARM_UP_REQUESTS, self.sent))?;
         self.measure_requests()?;
         self.measure_changes()?;
-        let peak = self.test_bed.child.memory()?.peak;
-        self.record(Metric::PeakResidentKibibytes, peak as f64 / 1024.0);
+        let peak_bytes = self.test_bed.child.memory()?.peak_bytes;
+        self.record(Metric::PeakResidentKibibytes, peak_bytes as f64 / BYTES_PER_KIBIBYTE);
         self.check_memory()?;
-        self.measure_list(
-            ListFormat::Indented,
-            [Metric::IndentedListElapsedMillis, Metric::IndentedListProcessorMillis],
-        )?;
-        let peak = self.test_bed.child.memory()?.peak;
-        self.record(Metric::PeakIndentedKibibytes, peak as f64 / 1024.0);
+        self.measure_list(ListFormat::Indented)?;
+        let peak_bytes = self.test_bed.child.memory()?.peak_bytes;
+        self.record(Metric::PeakIndentedKibibytes, peak_bytes as f64 / BYTES_PER_KIBIBYTE);
         self.check_memory()
     }
 
     fn measure_tenants(&mut self) -> Result<(), Error> {
-        self.test_bed.take_list(ListFormat::Compact)?;
-        // Each tenant comes once, so that all are known when the measurement begins.
+        self.test_bed.send_list(ListFormat::Compact)?;
+        // Each tenant sends one request, so that the program knows all of them when the measurement begins.
         let load = self.row.load(self.row.subject.size as u64, self.sent);
         self.send(Load { connections: TENANT_CONNECTIONS, ..load })?;
         self.wait_for_steady_counter_calls()?;
         self.measure_requests()?;
-        let peak = self.test_bed.child.memory()?.peak;
-        self.record(Metric::PeakResidentKibibytes, peak as f64 / 1024.0);
+        let peak_bytes = self.test_bed.child.memory()?.peak_bytes;
+        self.record(Metric::PeakResidentKibibytes, peak_bytes as f64 / BYTES_PER_KIBIBYTE);
         self.check_memory()
     }
 
@@ -210,37 +217,47 @@
     }
 
     fn check_memory(&self) -> Result<(), Error> {
-        let limit = (self.row.memory_mb as u64) << 20;
-        let peak = self.test_bed.child.memory()?.peak;
-        if peak > limit { Err(Error::MemoryLimitExceeded { peak, limit }) } else { Ok(()) }
+        let limit_bytes = self.row.memory_mb as u64 * BYTES_PER_MEBIBYTE;
+        let peak_bytes = self.test_bed.child.memory()?.peak_bytes;
+        if peak_bytes > limit_bytes {
+            Err(Error::MemoryLimitExceeded { peak_bytes, limit_bytes })
+        } else {
+            Ok(())
+        }
     }
 
-    /// Takes the whole list in, and records the elapsed and the processor time.
-    fn measure_list(&mut self, format: ListFormat, [elapsed, processor]: [Metric; 2]) -> Result<(), Error> {
+    /// Sends the complete list, and records how long the program took to apply it, and its processor time.
+    fn measure_list(&mut self, format: ListFormat) -> Result<(), Error> {
+        let (elapsed_metric, processor_metric) = match format {
+            ListFormat::Compact => (Metric::CompactListElapsedMillis, Metric::CompactListProcessorMillis),
+            ListFormat::Indented => (Metric::IndentedListElapsedMillis, Metric::IndentedListProcessorMillis),
+        };
         let before = self.test_bed.child.processor_time()?;
-        let taken = self.test_bed.take_list(format)?;
+        let elapsed = self.test_bed.send_list(format)?;
         let processor_time = self.test_bed.child.processor_time()? - before;
-        self.record(elapsed, taken.as_secs_f64() * 1e3);
-        self.record(processor, processor_time.as_secs_f64() * 1e3);
+        self.record(elapsed_metric, elapsed.as_secs_f64() * MILLISECONDS_PER_SECOND);
+        self.record(processor_metric, processor_time.as_secs_f64() * MILLISECONDS_PER_SECOND);
         Ok(())
     }
 
     fn measure_requests(&mut self) -> Result<(), Error> {
         let calls_before = self.counter_calls();
         let before = self.test_bed.child.processor_time()?;
-        let outcome = self.send(self.row.load(self.row.requests, self.sent))?;
+        let result = self.send(self.row.load(self.row.requests, self.sent))?;
         let processor_time = self.test_bed.child.processor_time()? - before;
-        let share = outcome.served as f64 / outcome.sent as f64;
+        let share = result.served as f64 / result.sent as f64;
         self.record(Metric::ServedShare, share);
         if share < MIN_SERVED_SHARE {
-            return Err(Error::TooFewServed { served: outcome.served, sent: outcome.sent });
+            return Err(Error::TooFewServed { served: result.served, sent: result.sent });
         }
-        self.record(Metric::RequestProcessorMicros, processor_time.as_secs_f64() * 1e6 / outcome.sent as f64);
-        let resident = self.test_bed.child.memory()?.resident;
-        self.record(Metric::ResidentKibibytes, resident as f64 / 1024.0);
-        let metered = self.test_bed.counter.is_some();
-        if metered {
-            self.record_counter_calls(self.counter_calls() - calls_before, outcome.sent)
+        self.record(
+            Metric::RequestProcessorMicros,
+            processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / result.sent as f64,
+        );
+        let resident_bytes = self.test_bed.child.memory()?.resident_bytes;
+        self.record(Metric::ResidentKibibytes, resident_bytes as f64 / BYTES_PER_KIBIBYTE);
+        if self.test_bed.counter.is_some() {
+            self.record_counter_calls(self.counter_calls() - calls_before, result.sent)
         } else {
             Ok(())
         }
@@ -253,15 +270,15 @@
         if calls_per_request < least { Err(Error::TooFewCounterCalls { calls, sent, least }) } else { Ok(()) }
     }
 
-    /// Sends requests until calls of the counter a request have settled, or for [`STEADY_STATE_TIMEOUT`].
+    /// Sends requests until the rate of counter calls a request is steady, or for [`STEADY_STATE_TIMEOUT`].
     fn wait_for_steady_counter_calls(&mut self) -> Result<(), Error> {
         let started = Instant::now();
         let mut steady_state = SteadyState::default();
         while started.elapsed() < STEADY_STATE_TIMEOUT {
             let calls_before = self.counter_calls();
-            let outcome = self.send(self.row.load(BATCH_REQUESTS, self.sent))?;
-            let calls_per_request = (self.counter_calls() - calls_before) as f64 / outcome.sent as f64;
-            if steady_state.note(calls_per_request, MIN_CALLS_PER_REQUEST) {
+            let result = self.send(self.row.load(BATCH_REQUESTS, self.sent))?;
+            let calls_per_request = (self.counter_calls() - calls_before) as f64 / result.sent as f64;
+            if steady_state.add(calls_per_request, MIN_CALLS_PER_REQUEST) {
                 break;
             }
         }
@@ -269,31 +286,35 @@
     }
 
     fn send(&mut self, load: Load) -> Result<LoadResult, Error> {
-        let outcome = load.run(self.test_bed.child.address)?;
-        self.sent += outcome.sent;
-        Ok(outcome)
+        let result = load.run(self.test_bed.child.address)?;
+        self.sent += result.sent;
+        Ok(result)
     }
 
-    /// Calls of the counter; 0 in a row without.
+    /// Counter calls so far; 0 in a row without a counter.
     fn counter_calls(&self) -> u64 {
         self.test_bed.counter.as_ref().map_or(0, StandInCounter::calls)
     }
 
-    /// Drains endpoints all over the list and takes each back, one entry at a time.
+    /// Measures changes of one entry: endpoints all over the list drain and are back.
     fn measure_changes(&mut self) -> Result<(), Error> {
-        let (changes, endpoints) = (self.row.changes, self.test_bed.entries.len());
+        let changes = self.row.changes;
+        let endpoints = self.test_bed.entries.len();
         let mut elapsed = Vec::with_capacity(changes);
         let before = self.test_bed.child.processor_time()?;
         for change in 0..changes {
             let number = change / 2 * endpoints / changes.div_ceil(2);
             let state = if change % 2 == 0 { EntryState::Draining } else { EntryState::Serving };
             let version = self.test_bed.discovery.change(number, state);
-            elapsed.push(self.test_bed.wait_until_taken(version)?.as_secs_f64() * 1e6);
+            elapsed.push(self.test_bed.wait_until_applied(version)?.as_secs_f64() * MICROSECONDS_PER_SECOND);
         }
         let processor_time = self.test_bed.child.processor_time()? - before;
         elapsed.sort_by(f64::total_cmp);
         self.record(Metric::ChangeElapsedMicros, elapsed[changes / 2]);
-        self.record(Metric::ChangeProcessorMicros, processor_time.as_secs_f64() * 1e6 / changes as f64);
+        self.record(
+            Metric::ChangeProcessorMicros,
+            processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / changes as f64,
+        );
         Ok(())
     }
 }
--- a/lab/src/process/report.rs
+++ b/lab/src/process/report.rs
@@ -23,7 +23,7 @@
     if sizes.all(|size| (1..=MAX_SIZE).contains(size)) {
         Ok(())
     } else {
-        Err(Error::Argument("counts of workers and tenants must be from 1 to 1000000"))
+        Err(Error::InvalidArgument("counts of workers and tenants must be from 1 to 1000000"))
     }
 }
 
@@ -244,7 +244,7 @@
     pub fn publish(&self, part: &str, json: Option<&Path>) -> Result<(), Error> {
         print!("{}", self.table());
         let Some(path) = json else { return Ok(()) };
-        fs::write(path, self.json_lines(part)).map_err(|error| Error::System("writing the JSON lines", error))
+        fs::write(path, self.json_lines(part)).map_err(Error::system("writing the JSON lines"))
     }
 
     /// The table: a block for each quantity, a line for each row.
--- a/lab/src/process/stand_in_discovery.rs
+++ b/lab/src/process/stand_in_discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery: the whole list, compact or indented, and watches that wait for changes.
+//! A stand-in for discovery: serves the complete list, compact or indented, and holds watches until a change.
 
 use super::{Error, http};
 use serde::Serialize;
@@ -16,16 +16,16 @@
 /// A watch is history for so long at most, whatever it asks for; a shorter hold is allowed.
 const MAX_HOLD: Duration = Duration::from_millis(1000);
 
-/// What ends a line of an indented list, and begins the next.
+/// End of a line of an indented list, with the indent of the next.
 const INDENTED_LINE_BREAK: &str = "\r\n        ";
 
-/// An endpoint's state in the list.
+/// State of an endpoint in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EntryState {
-    /// Takes work.
+    /// Accepts requests.
     Serving,
-    /// Finishes what it has.
+    /// Finishes the requests that it has.
     Draining,
 }
 
@@ -43,31 +43,31 @@
 }
 
 impl ListEntry {
-    /// The entry of an endpoint by its number.
+    /// The entry of the endpoint with this number.
     pub fn new(number: usize, addr: SocketAddr, state: EntryState) -> Self {
         let id = format!("s-{number:08x}");
         Self { id, addr, zone: "zone-a", kind: "m2", cell: 0, state, weight: 1.0, started_ms: 0 }
     }
 }
 
-/// An answer's body.
+/// Body of a response.
 #[derive(Debug, Serialize)]
 pub struct ListResponse<'a> {
-    /// The version that it leads to.
+    /// Version of the list after it.
     pub version: u64,
-    /// It is the whole list.
+    /// True for the complete list, false for changes.
     pub full: bool,
     /// The entries.
     #[serde(rename = "servers")]
     pub endpoints: &'a [ListEntry],
 }
 
-/// How a list is written.
+/// How the JSON of a list is formatted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListFormat {
     /// Without white space.
     Compact,
-    /// An entry's fields on a line each, each line far indented and ended by CRLF.
+    /// Each field of an entry on a line of its own, far indented and ended by CRLF.
     Indented,
 }
 
@@ -83,43 +83,50 @@
     }
 }
 
-/// What the stand-in has seen or done.
+/// A call or a response of the stand-in.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DiscoveryEvent {
-    /// A call came; `None` asks for the whole list.
+    /// A call was received.
     Call {
-        /// The version from which it watches.
+        /// Version from which it watches; `None` if it asks for the complete list.
         from: Option<u64>,
-        /// When it was read.
+        /// When it was received.
         at: Instant,
     },
-    /// An answer is about to be written.
+    /// A response is about to be written.
     Answer {
-        /// The version that it leads to.
+        /// Version of the list after it.
         version: u64,
-        /// When the write began.
+        /// When the write started.
         at: Instant,
     },
 }
 
-/// What is kept back for the calls to come.
+/// The change of one entry.
+#[derive(Debug)]
+struct EntryChange {
+    /// Version of the list after it.
+    version: u64,
+    entry: ListEntry,
+}
+
+/// The list and its changes.
 #[derive(Debug)]
 struct ListHistory {
     version: u64,
-    /// The version from which on changes are known one by one; earlier watches get the whole list.
+    /// Oldest version from which changes are known; watches from earlier ones get the complete list.
     oldest_watchable: u64,
     format: ListFormat,
     entries: Vec<ListEntry>,
-    /// Changed entries, with the version of each.
-    changes: Vec<(u64, ListEntry)>,
+    changes: Vec<EntryChange>,
 }
 
 impl ListHistory {
     fn answer(&self, from: Option<u64>) -> String {
         match from.filter(|from| *from >= self.oldest_watchable) {
             Some(from) => {
-                let newer = self.changes.iter().filter(|(version, _)| *version > from);
-                let endpoints: Vec<ListEntry> = newer.map(|(_, entry)| entry.clone()).collect();
+                let newer = self.changes.iter().filter(|change| change.version > from);
+                let endpoints: Vec<ListEntry> = newer.map(|change| change.entry.clone()).collect();
                 self.format.write(&ListResponse { version: self.version, full: false, endpoints: &endpoints })
             }
             None => self.format.write(&ListResponse {
@@ -148,20 +155,20 @@
 pub struct StandInDiscovery {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Calls and answers in the order in which they came.
+    /// Calls and responses in their order.
     pub events: Receiver<DiscoveryEvent>,
     shared: Arc<Shared>,
 }
 
 impl StandInDiscovery {
-    /// Starts to listen on a free port, with this list as version 1. The threads end with the process.
+    /// Starts to listen on a free port, with this list as version 1. Its threads end with the process.
     ///
     /// # Errors
-    /// No socket can be had.
+    /// No socket can be opened.
     pub fn start(entries: Vec<ListEntry>) -> Result<Self, Error> {
-        let system = |error| Error::System("listening as discovery", error);
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(system)?;
-        let address = listener.local_addr().map_err(system)?;
+        let system = Error::system("listening as discovery");
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&system)?;
+        let address = listener.local_addr().map_err(&system)?;
         let history = ListHistory {
             version: 1,
             oldest_watchable: 1,
@@ -181,7 +188,7 @@
         Ok(Self { address, events, shared })
     }
 
-    /// Replaces the list; each watch is told the whole of it. Returns its version.
+    /// Replaces the list and sends it to each watch. Returns its version.
     pub fn replace(&self, entries: Vec<ListEntry>, format: ListFormat) -> u64 {
         let mut history = self.shared.lock();
         history.version += 1;
@@ -195,14 +202,14 @@
         version
     }
 
-    /// Changes the entry with this number in the list; watches are told of it alone. Returns the new version.
+    /// Changes the entry with this number and sends only this entry to each watch. Returns the new version.
     pub fn change(&self, number: usize, state: EntryState) -> u64 {
         let mut history = self.shared.lock();
         history.version += 1;
         let version = history.version;
         history.entries[number].state = state;
         let entry = history.entries[number].clone();
-        history.changes.push((version, entry));
+        history.changes.push(EntryChange { version, entry });
         drop(history);
         self.shared.changed.notify_all();
         version
@@ -210,7 +217,7 @@
 }
 
 fn serve(mut socket: &TcpStream, shared: &Shared, report: &Sender<DiscoveryEvent>) {
-    // Answers leave at once, also behind others that are not yet acknowledged.
+    // Without this, a response waits until the client has acknowledged the one before.
     if socket.set_nodelay(true).is_err() {
         return;
     }
@@ -232,7 +239,8 @@
     }
 }
 
-/// Waits until there is something newer than `from`, or the hold is over; the answer's version and body.
+/// Waits until there is a version other than `from`, or the hold has elapsed. Returns the version and the body of the
+/// response.
 fn wait_for_answer(shared: &Shared, from: Option<u64>, hold: Duration) -> (u64, String) {
     let history = shared.lock();
     let wait = |history: &mut ListHistory| from == Some(history.version);
--- a/lab/src/process/stand_in_endpoints.rs
+++ b/lab/src/process/stand_in_endpoints.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for endpoints: they answer 200 at once on kept connections.
+//! Stand-ins for endpoints: they respond 200 at once on persistent connections.
 
 use super::{Error, http};
 use std::{
@@ -7,33 +7,33 @@
     thread,
 };
 
-/// Endpoints on one octet of the loopback network.
+/// Endpoints on each octet of a loopback address.
 const ENDPOINTS_PER_OCTET: usize = 250;
-/// The body of each answer.
-const BODY: &str = "ok";
+/// Body of each response.
+const RESPONSE_BODY: &str = "ok";
 
-/// Any number of endpoints that share one listener: each has a loopback address of its own, and the listener takes
-/// the connections to all of them. Connections from elsewhere are closed unread.
+/// Any number of endpoints that share one listener: each has its own loopback address, and the listener accepts the
+/// connections to all of them. Connections from other machines are closed unread.
 #[derive(Debug)]
 pub struct StandInEndpoints {
     port: u16,
 }
 
 impl StandInEndpoints {
-    /// Starts to listen on a free port. The threads end with the process.
+    /// Starts to listen on a free port. Its threads end with the process.
     ///
     /// # Errors
-    /// No socket can be had.
+    /// No socket can be opened.
     pub fn start() -> Result<Self, Error> {
-        let system = |error| Error::System("listening as workers", error);
-        // Only the wildcard address takes connections to every loopback address.
-        let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).map_err(system)?;
-        let port = listener.local_addr().map_err(system)?.port();
+        let system = Error::system("listening as workers");
+        // Only the wildcard address accepts connections to every loopback address.
+        let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).map_err(&system)?;
+        let port = listener.local_addr().map_err(&system)?.port();
         thread::spawn(move || accept(&listener));
         Ok(Self { port })
     }
 
-    /// The address of an endpoint by its number.
+    /// The address of the endpoint with this number.
     pub fn address(&self, number: usize) -> SocketAddr {
         let second = 1 + number / (ENDPOINTS_PER_OCTET * ENDPOINTS_PER_OCTET);
         let third = number / ENDPOINTS_PER_OCTET % ENDPOINTS_PER_OCTET;
@@ -51,14 +51,14 @@
 }
 
 fn serve(mut socket: &TcpStream) {
-    // Answers leave at once, also behind others that are not yet acknowledged.
+    // Without this, a response waits until the client has acknowledged the one before.
     if socket.set_nodelay(true).is_err() {
         return;
     }
     let mut reader = BufReader::new(socket);
-    let answer = http::ok_response(BODY);
+    let response = http::ok_response(RESPONSE_BODY);
     while let Ok(Some(_)) = http::read_message(&mut reader) {
-        if socket.write_all(answer.as_bytes()).is_err() {
+        if socket.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
--- a/lab/tests/process_bounds.rs
+++ b/lab/tests/process_bounds.rs
@@ -107,13 +107,13 @@
 #[test]
 fn a_rate_settles_once_three_batches_agree() {
     let mut steady_state = SteadyState::default();
-    let actual_units = [0.1, 0.2, 0.4, 0.42, 0.43, 0.42].map(|value| steady_state.note(value, 0.01));
-    assert_eq!(actual_units, [false, false, false, false, true, true]);
+    let is_steady = [0.1, 0.2, 0.4, 0.42, 0.43, 0.42].map(|value| steady_state.add(value, 0.01));
+    assert_eq!(is_steady, [false, false, false, false, true, true]);
 }
 
 #[test]
 fn a_rate_under_the_least_does_not_settle() {
     let mut steady_state = SteadyState::default();
-    assert!([0.0; 6].into_iter().all(|value| !steady_state.note(value, 0.01)));
-    assert!([0.009; 6].into_iter().all(|value| !steady_state.note(value, 0.01)));
+    assert!([0.0; 6].into_iter().all(|value| !steady_state.add(value, 0.01)));
+    assert!([0.009; 6].into_iter().all(|value| !steady_state.add(value, 0.01)));
 }
--- a/lab/tests/process_report.rs
+++ b/lab/tests/process_report.rs
@@ -27,11 +27,11 @@
     assert_eq!(elapsed, Duration::from_nanos(364_058_052));
     let status = "Name:\toliverack\nVmPeak:\t   90 kB\nVmHWM:\t    21568 kB\nVmRSS:\t    16052 kB\n";
     let memory = proc_fs::parse_status(status).expect("a reading");
-    assert_eq!((memory.resident, memory.peak), (16_052 * 1024, 21_568 * 1024));
+    assert_eq!((memory.resident_bytes, memory.peak_bytes), (16_052 * 1024, 21_568 * 1024));
     assert!(proc_fs::parse_schedstat("").is_err());
     assert!(proc_fs::parse_status("VmRSS:\t 1 kB\n").is_err());
     let own = proc_fs::memory(std::process::id()).expect("this process");
-    assert!(own.resident > 0 && own.peak >= own.resident);
+    assert!(own.resident_bytes > 0 && own.peak_bytes >= own.resident_bytes);
     proc_fs::processor_time(std::process::id()).expect("this process");
 }
 
