--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The `demo` command: the built program before stand-ins on this machine, for a first look by hand.
+//! The `demo` command: runs the built program with stand-ins on this machine, for a first look by hand.
 
 use crate::process::{
     Error,
@@ -9,7 +9,7 @@
 };
 use serde_json::{Value, json};
 use std::{
-    io::Write,
+    io::{self, Write},
     net::SocketAddr,
     path::{Path, PathBuf},
     process::{Child, Command, Stdio},
@@ -19,12 +19,12 @@
 use tempfile::NamedTempFile;
 
 /// Endpoints behind the gateway.
-const ENDPOINTS: usize = 4;
+const ENDPOINT_COUNT: usize = 4;
 /// The one class of requests.
 const CLASS: &str = "lookup";
 /// The plan with a quota of a few requests.
 const PLAN: &str = "small";
-/// Between looks whether the program has ended.
+/// Time between two checks whether the program has ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Arguments of the `demo` command.
@@ -44,20 +44,20 @@
     seconds: Option<u64>,
 }
 
-/// Where the parts of a demonstration are.
+/// Addresses of the parts of a demonstration.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators call.
     pub operator: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the counter listens.
+    /// Address of the counter.
     pub counter: SocketAddr,
 }
 
-/// The program's configuration: one plan of three requests at once and one every two seconds.
+/// The program's configuration, with one plan that allows three requests at once and one every two seconds.
 pub fn configuration(addresses: Addresses, endpoints: &[ListEntry]) -> Value {
     json!({
         "name": "demo",
@@ -79,7 +79,7 @@
     })
 }
 
-/// Starts the stand-ins and the program, and waits until that ends or its time is up.
+/// Starts the stand-ins and the program, and waits until the program ends or the time is up.
 ///
 /// # Errors
 /// One of them does not start.
@@ -89,8 +89,9 @@
     }
     let endpoints = StandInEndpoints::start()?;
     let entry = |number| ListEntry::new(number, endpoints.address(number), EntryState::Serving);
-    let entries: Vec<ListEntry> = (0..ENDPOINTS).map(entry).collect();
-    let (discovery, counter) = (StandInDiscovery::start(entries.clone())?, StandInCounter::start()?);
+    let entries: Vec<ListEntry> = (0..ENDPOINT_COUNT).map(entry).collect();
+    let discovery = StandInDiscovery::start(entries.clone())?;
+    let counter = StandInCounter::start()?;
     let addresses = Addresses {
         listen: arguments.listen,
         operator: arguments.operator,
@@ -106,13 +107,13 @@
         .map_err(Error::system("waiting for the program"))
 }
 
-fn start(program: &Path, configuration: &Path) -> std::io::Result<Child> {
+fn start(program: &Path, configuration: &Path) -> io::Result<Child> {
     let mut command = Command::new(program);
     command.env("NODE_CONFIG", configuration).env_remove("NODE_OPERATOR").env_remove("NODE_ACCEPT_FD");
     command.stdin(Stdio::null()).spawn()
 }
 
-fn wait(mut program: KillOnDrop, limit: Option<Duration>) -> std::io::Result<()> {
+fn wait(mut program: KillOnDrop, limit: Option<Duration>) -> io::Result<()> {
     let started = Instant::now();
     while program.0.try_wait()?.is_none() && limit.is_none_or(|limit| started.elapsed() < limit) {
         thread::sleep(EXIT_POLL_INTERVAL);
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Simulates a fleet of gateways on a discrete clock.
+//! Discrete-event simulation of a fleet of gateways.
 //!
-//! Each gateway holds the policy itself ([`oliverack::Gateway`]). Endpoints, discovery, the counter, the tenants and
-//! the network are models. All sizes, rates and faults come from a TOML file, all random numbers from a seed, so a
-//! file and a seed give the same figures each time, processor times excepted.
+//! Each gateway hosts the policy itself ([`oliverack::Gateway`]). Endpoints, discovery, the counter, the tenants and the
+//! network are models. All sizes, rates and faults come from a TOML file and all random numbers from a seed, so that a
+//! file and a seed always give the same results, except for processor times.
 
 pub mod configuration;
 pub mod counter;
@@ -28,14 +28,13 @@
 use report::Record;
 use serde::de::DeserializeOwned;
 use simulation::Simulation;
-use std::fmt;
 use std::fs;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 use validation::InvalidValue;
 
-/// Explains the file in the help of the command.
+/// Description of the file in the help of the command.
 const FILE_HELP: &str = "\
 The file is TOML; times are in seconds, delays are one way, unknown keys are errors.
   seconds             for how long requests arrive
@@ -80,64 +79,66 @@
     pub json: Option<PathBuf>,
 }
 
-/// Why a measurement could not be made.
-#[derive(Debug)]
+/// Why a run could not be made.
+#[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The file cannot be read.
-    Read(PathBuf, io::Error),
-    /// The file is not what it should be; one line.
+    /// A file cannot be read.
+    #[error("cannot read {}: {source}", .path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+    /// A file is no TOML, or has unknown or missing keys; one line that says where.
+    #[error("{0}")]
     Syntax(String),
-    /// A figure that no run can have.
-    Invalid(InvalidValue),
-    /// The policy refuses its settings.
-    Settings(SettingsError),
-    /// The results cannot be written.
-    Write(PathBuf, io::Error),
+    /// A value that no run can have.
+    #[error(transparent)]
+    InvalidValue(#[from] InvalidValue),
+    /// The policy rejects its settings.
+    #[error("the policy refuses its settings: {0}")]
+    Settings(#[from] SettingsError),
+    /// The results cannot be written to a file.
+    #[error("cannot write {}: {source}", .path.display())]
+    Write {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
     /// The table cannot be printed.
+    #[error("cannot print the results: {0}")]
     Print(io::Error),
 }
 
-impl fmt::Display for Error {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Read(path, error) => write!(f, "cannot read {}: {error}", path.display()),
-            Self::Syntax(message) => f.write_str(message),
-            Self::Invalid(figure) => write!(f, "{figure}"),
-            Self::Settings(error) => write!(f, "the policy refuses its settings: {error}"),
-            Self::Write(path, error) => write!(f, "cannot write {}: {error}", path.display()),
-            Self::Print(error) => write!(f, "cannot print the results: {error}"),
-        }
-    }
-}
-
-impl std::error::Error for Error {}
-
 /// Reads and checks a configuration.
 ///
 /// # Errors
-/// A text that is no TOML, an unknown or missing key, or a figure that no run can have.
+/// The text is no TOML, has an unknown or missing key, or a value that no run can have.
 pub fn parse(text: &str) -> Result<Configuration, Error> {
     let configuration = read_toml(text)?;
-    validation::check(&configuration).map_err(Error::Invalid)?;
+    validation::check(&configuration)?;
     Ok(configuration)
 }
 
 /// Adds the faults of a second file to a configuration.
 ///
 /// # Errors
-/// As for [`parse`]; the configuration is of no further use then.
+/// As for [`parse`]; the configuration must not be used then.
 pub fn add_faults(configuration: &mut Configuration, text: &str) -> Result<(), Error> {
     let file: FaultFile = read_toml(text)?;
     configuration.faults.extend(file.faults);
-    validation::check(configuration).map_err(Error::Invalid)
+    validation::check(configuration)?;
+    Ok(())
 }
 
 fn read_toml<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
     toml::from_str(text).map_err(|error| Error::Syntax(one_line(text, &error)))
 }
 
-/// The reader's message with the line that it is about.
+/// The message of the TOML reader on one line, with the number of the line that it is about.
 fn one_line(text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match error.span() {
@@ -152,18 +153,18 @@
 /// Simulates a fleet.
 ///
 /// # Errors
-/// Settings that the policy refuses.
+/// The policy rejects its settings.
 pub fn simulate(configuration: Configuration, seed: u64) -> Result<Vec<Record>, Error> {
-    let begun = Instant::now();
-    let simulation = Simulation::new(configuration, seed).map_err(Error::Settings)?;
-    let outcome = simulation.run().map_err(Error::Settings)?;
-    Ok(report::records(&outcome, seed, begun.elapsed().as_secs_f64()))
+    let started = Instant::now();
+    let simulation = Simulation::new(configuration, seed)?;
+    let result = simulation.run()?;
+    Ok(report::records(&result, seed, started.elapsed().as_secs_f64()))
 }
 
 /// Runs the command.
 ///
 /// # Errors
-/// A bad file, or results that cannot be written.
+/// A file cannot be read or is invalid, or the results cannot be written.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     let mut configuration = parse(&read_text(&arguments.file)?)?;
     if let Some(path) = &arguments.faults {
@@ -171,13 +172,13 @@
     }
     let records = simulate(configuration, arguments.seed)?;
     if let Some(path) = &arguments.json {
-        write_json(path, &records).map_err(|error| Error::Write(path.clone(), error))?;
+        write_json(path, &records).map_err(|source| Error::Write { path: path.clone(), source })?;
     }
     write!(io::stdout().lock(), "{}", table::Table(&records)).map_err(Error::Print)
 }
 
 fn read_text(path: &Path) -> Result<String, Error> {
-    fs::read_to_string(path).map_err(|error| Error::Read(path.to_owned(), error))
+    fs::read_to_string(path).map_err(|source| Error::Read { path: path.to_owned(), source })
 }
 
 fn write_json(path: &Path, records: &[Record]) -> io::Result<()> {
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -26,12 +26,12 @@
     format!("{value:.3}")
 }
 
-fn share(part: u64, whole: u64) -> String {
-    format!("{part} ({:.2}%)", 100.0 * part as f64 / whole.max(1) as f64)
+fn count_with_percent(part: u64, total: u64) -> String {
+    format!("{part} ({:.2}%)", 100.0 * part as f64 / total.max(1) as f64)
 }
 
-fn weight_share(part: f64, whole: f64) -> String {
-    let percent = if whole > 0.0 { 100.0 * part / whole } else { 0.0 };
+fn sum_with_percent(part: f64, total: f64) -> String {
+    let percent = if total > 0.0 { 100.0 * part / total } else { 0.0 };
     format!("{part:.1} ({percent:.2}%)")
 }
 
@@ -41,7 +41,7 @@
         Record::Demands(demands) => write_demands(f, demands),
         Record::Latency(latency) => write_latency(f, latency),
         Record::Quotas(quotas) => write_quotas(f, quotas),
-        Record::InQuotaWeight(worth) => write_in_quota_weight(f, worth),
+        Record::InQuotaWeight(weight) => write_in_quota_weight(f, weight),
         Record::Attempts(attempts) => write_attempts(f, attempts),
         Record::CounterCalls(calls) => write_counter_calls(f, calls),
         Record::PerSubmission(per_submission) => {
@@ -74,12 +74,12 @@
 fn write_demands(f: &mut fmt::Formatter<'_>, demands: &DemandCounts) -> fmt::Result {
     writeln!(f, "requests of clients, retries included in them")?;
     row(f, "asked", demands.submitted)?;
-    row(f, "served in time", share(demands.served, demands.submitted))?;
-    row(f, "served late", share(demands.served_late, demands.submitted))?;
-    row(f, "refused", share(demands.rejected, demands.submitted))?;
-    row(f, "failed", share(demands.failed, demands.submitted))?;
-    row(f, "abandoned", share(demands.abandoned, demands.submitted))?;
-    row(f, "lost with a gatekeeper", share(demands.lost, demands.submitted))
+    row(f, "served in time", count_with_percent(demands.served, demands.submitted))?;
+    row(f, "served late", count_with_percent(demands.served_late, demands.submitted))?;
+    row(f, "refused", count_with_percent(demands.rejected, demands.submitted))?;
+    row(f, "failed", count_with_percent(demands.failed, demands.submitted))?;
+    row(f, "abandoned", count_with_percent(demands.abandoned, demands.submitted))?;
+    row(f, "lost with a gatekeeper", count_with_percent(demands.lost, demands.submitted))
 }
 
 fn write_latency(f: &mut fmt::Formatter<'_>, latency: &LatencyRecord) -> fmt::Result {
@@ -90,20 +90,20 @@
     row(f, "max", number(latency.max))
 }
 
-fn write_in_quota_weight(f: &mut fmt::Formatter<'_>, worth: &InQuotaWeight) -> fmt::Result {
+fn write_in_quota_weight(f: &mut fmt::Formatter<'_>, weight: &InQuotaWeight) -> fmt::Result {
     writeln!(f, "worth asked for inside quotas")?;
-    row(f, "asked", format!("{:.1}", worth.submitted))?;
-    row(f, "served in time", weight_share(worth.served, worth.submitted))?;
-    row(f, "refused", weight_share(worth.rejected, worth.submitted))?;
-    row(f, "late, failed, abandoned or lost", weight_share(worth.otherwise, worth.submitted))
+    row(f, "asked", format!("{:.1}", weight.submitted))?;
+    row(f, "served in time", sum_with_percent(weight.served, weight.submitted))?;
+    row(f, "refused", sum_with_percent(weight.rejected, weight.submitted))?;
+    row(f, "late, failed, abandoned or lost", sum_with_percent(weight.otherwise, weight.submitted))
 }
 
 fn write_attempts(f: &mut fmt::Formatter<'_>, attempts: &AttemptCounts) -> fmt::Result {
     writeln!(f, "attempts at workers")?;
     row(f, "sent", attempts.sent)?;
-    row(f, "ok", share(attempts.ok, attempts.sent))?;
-    row(f, "full", share(attempts.rejected, attempts.sent))?;
-    row(f, "timeout", share(attempts.timeout, attempts.sent))?;
+    row(f, "ok", count_with_percent(attempts.ok, attempts.sent))?;
+    row(f, "full", count_with_percent(attempts.rejected, attempts.sent))?;
+    row(f, "timeout", count_with_percent(attempts.timeout, attempts.sent))?;
     row(f, "connection failed / reset", format!("{} / {}", attempts.connect_failed, attempts.reset))?;
     row(f, "cancelled", attempts.cancelled)
 }
@@ -111,9 +111,9 @@
 fn write_counter_calls(f: &mut fmt::Formatter<'_>, calls: &CounterCallCounts) -> fmt::Result {
     writeln!(f, "counter calls")?;
     row(f, "made", calls.made)?;
-    row(f, "ok", share(calls.ok, calls.made))?;
-    row(f, "full", share(calls.rejected, calls.made))?;
-    row(f, "timeout", share(calls.timeout, calls.made))?;
+    row(f, "ok", count_with_percent(calls.ok, calls.made))?;
+    row(f, "full", count_with_percent(calls.rejected, calls.made))?;
+    row(f, "timeout", count_with_percent(calls.timeout, calls.made))?;
     row(f, "added in vain / names lost", format!("{} / {}", calls.added_after_timeout, calls.entries_lost))
 }
 
@@ -129,8 +129,8 @@
     let counts = &quotas.counts;
     let units = counts.units_within_quota + counts.units_over_quota;
     writeln!(f, "units sent to workers, against the true quotas")?;
-    row(f, "inside", weight_share(counts.units_within_quota, units))?;
-    row(f, "beyond", weight_share(counts.units_over_quota, units))?;
+    row(f, "inside", sum_with_percent(counts.units_within_quota, units))?;
+    row(f, "beyond", sum_with_percent(counts.units_over_quota, units))?;
     row(
         f,
         "worth beyond / its price",
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -2,7 +2,6 @@
 
 use super::configuration::{Configuration, Fault, Range};
 use oliverack::Seconds;
-use std::fmt;
 
 /// Most gateways of a run.
 pub const MAX_GATEWAYS: u32 = 1_024;
@@ -26,7 +25,8 @@
 const MAX_RESTARTS: u32 = 100_000;
 
 /// A value that no run can have.
-#[derive(Debug, Clone, PartialEq)]
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+#[error("{key} is {value}, but must be {wanted}")]
 pub struct InvalidValue {
     /// The key in the file.
     pub key: &'static str,
@@ -36,14 +36,7 @@
     pub wanted: &'static str,
 }
 
-impl fmt::Display for InvalidValue {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} is {}, but must be {}", self.key, self.value, self.wanted)
-    }
-}
-
-impl std::error::Error for InvalidValue {}
-
+/// The result of a check.
 type Check = Result<(), InvalidValue>;
 
 fn require(holds: bool, key: &'static str, value: f64, wanted: &'static str) -> Check {
--- a/lab/src/fleet/wire_size.rs
+++ b/lab/src/fleet/wire_size.rs
@@ -8,7 +8,7 @@
 const TRANSACTION_ID_BYTES: usize = 16;
 /// Bytes of the value of `Idempotency-Key`.
 const IDEMPOTENCY_KEY_BYTES: usize = 32;
-/// The longest incarnation of a name at the counter, in milliseconds.
+/// The longest time to live of a counter entry, in milliseconds.
 const MAX_TTL_MILLISECONDS: f64 = 60_000.0;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Measurements of the gatekeeper at scale: a simulated fleet that hosts the policy itself, and benchmarks of the
-//! policy and of the built program.
+//! Measurements of the gateway at scale: a simulated fleet that hosts the policy itself, and benchmarks of the policy
+//! and of the built program.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,11 +1,11 @@
-//! Command line of the lab, which measures the gatekeeper at scale.
+//! Command line of the lab, which measures the gateway at scale.
 
 use clap::{Parser, Subcommand};
 use oliverack_lab::{demo, fleet, process};
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
-use std::{alloc::System, process::ExitCode};
+use std::{alloc::System, error::Error, process::ExitCode};
 
-/// Counts the bytes that are allocated: the measurements of state rest on it.
+/// Counts the bytes that are allocated; the measurements of state depend on it.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
@@ -28,16 +28,20 @@
 }
 
 fn main() -> ExitCode {
-    let result = match Arguments::parse().command {
-        Command::Fleet(arguments) => fleet::run(&arguments).map_err(|e| e.to_string()),
-        Command::Demo(arguments) => demo::run(&arguments).map_err(|e| e.to_string()),
-        Command::Process(arguments) => process::run(&arguments).map_err(|e| e.to_string()),
-    };
-    match result {
+    match run(&Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("oliverack-lab: {message}");
+        Err(error) => {
+            eprintln!("oliverack-lab: {error}");
             ExitCode::FAILURE
         }
     }
 }
+
+fn run(command: &Command) -> Result<(), Box<dyn Error>> {
+    match command {
+        Command::Fleet(arguments) => fleet::run(arguments)?,
+        Command::Demo(arguments) => demo::run(arguments)?,
+        Command::Process(arguments) => process::run(arguments)?,
+    }
+    Ok(())
+}
--- a/lab/src/process/bounds.rs
+++ b/lab/src/process/bounds.rs
@@ -1,14 +1,15 @@
-//! The bounds that a checked run holds its report against.
+//! The bounds that a checked run compares its report with.
 
 use super::report::{Axis, Metric, Report, RowFailure, Subject, Summary};
 use std::fmt;
 
 /// The count of endpoints at which the bounds hold.
 pub const BOUND_SIZE: usize = 9200;
-/// The limit on the program's memory under which it has to take in the indented list, in MB.
+/// The memory limit of the program with which it has to apply the indented list, in MiB.
 pub const BOUND_MEMORY_MB: usize = 32;
+const KIBIBYTES_PER_MEBIBYTE: usize = 1024;
 
-/// Processor time of a one-entry change, of the program as of the policy alone: 0.2 ms.
+/// Processor time of a one-entry change, of the program and of the policy alone: 0.2 ms.
 pub const CHANGE: Bound = Bound {
     metric: Metric::ChangeProcessorMicros,
     statistic: Statistic::Median,
@@ -21,21 +22,21 @@
     Bound {
         metric: Metric::PeakIndentedKibibytes,
         statistic: Statistic::Highest,
-        limit: Limit::AtMost((BOUND_MEMORY_MB * 1024) as f64),
+        limit: Limit::AtMost((BOUND_MEMORY_MB * KIBIBYTES_PER_MEBIBYTE) as f64),
     },
 ];
 /// State of an endpoint outside the subset of the gateway.
 pub const OUTSIDE_STATE: Bound =
     Bound { metric: Metric::EndpointOutsideBytes, statistic: Statistic::Median, limit: Limit::Below(150.0) };
 
-/// Which value of a summary is history against the limit.
+/// Which value of a summary is compared with the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Statistic {
     /// The median of the rounds.
     Median,
     /// The highest of the rounds.
     Highest,
-    /// The median over that of the base row.
+    /// The median divided by that of the base row.
     Ratio,
 }
 
@@ -62,9 +63,9 @@
 /// The limit of a value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Limit {
-    /// The value may reach it.
+    /// The value may be equal to it.
     AtMost(f64),
-    /// The value has to stay below it.
+    /// The value has to be below it.
     Below(f64),
 }
 
@@ -93,48 +94,45 @@
     pub metric: Metric,
     /// Which of its values.
     pub statistic: Statistic,
-    /// What the value is history against.
+    /// What the value is compared with.
     pub limit: Limit,
 }
 
 /// Why a checked run fails.
-#[derive(Debug, Clone, PartialEq)]
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CheckFailure {
-    /// The row's value is not within the bound; `None`: it was not measured.
+    /// The value of a row violates a bound, or was not measured.
+    #[error(
+        "{subject}: {}, {}: {}, bound {}",
+        .bound.metric.title(),
+        .bound.statistic,
+        value_text(*.value),
+        .bound.limit
+    )]
     Violated {
         /// The row.
         subject: Subject,
         /// The bound.
         bound: Bound,
-        /// The value.
+        /// The value; `None` if it was not measured.
         value: Option<f64>,
     },
     /// A row could not be measured.
+    #[error(transparent)]
     Row(RowFailure),
 }
 
-impl fmt::Display for CheckFailure {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Violated { subject, bound, value } => {
-                let Bound { metric, statistic, limit } = bound;
-                write!(f, "{subject}: {}, {statistic}: ", metric.title())?;
-                match value {
-                    Some(value) => write!(f, "{value:.2}, bound {limit}"),
-                    None => write!(f, "not measured, bound {limit}"),
-                }
-            }
-            Self::Row(failure) => write!(f, "{failure}"),
-        }
-    }
+/// The value of a violated bound as text.
+fn value_text(value: Option<f64>) -> String {
+    value.map_or_else(|| "not measured".to_owned(), |value| format!("{value:.2}"))
 }
 
-/// The row that bounds hold for, of a run with this count of gateways.
+/// The row that the bounds are for, in a run with this count of gateways.
 pub fn bounded_subject(gateways: u32) -> Subject {
     Subject { axis: Axis::Endpoints, gateways, size: BOUND_SIZE }
 }
 
-/// Holds the bounds against the values of their rows; also each failed row of the report fails the check.
+/// Compares the values of rows with their bounds. Each failed row of the report is a failure of the check, too.
 pub fn check(report: &Report, bounds: impl IntoIterator<Item = (Subject, Bound)>) -> Vec<CheckFailure> {
     let violated = bounds.into_iter().filter_map(|(subject, bound)| violation(report, subject, bound));
     violated.chain(report.failures().map(CheckFailure::Row)).collect()
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -1,4 +1,4 @@
-//! The built program as a child process that ends with its handle.
+//! The built program as a child process that is killed with its handle.
 
 use super::{Error, kill_on_drop::KillOnDrop, proc_fs};
 use serde_json::{Value, json};
@@ -17,27 +17,27 @@
 };
 use tempfile::NamedTempFile;
 
-/// How long the program may take to listen.
+/// Longest time from the start of the program until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long the program gets to finish its turn before its processor time is read.
+/// Time that the program gets to become idle before its processor time is read.
 const SCHEDULER_UPDATE_DELAY: Duration = Duration::from_millis(5);
-/// What the program's log says before the address that it has bound.
+/// What precedes the bound address in the log of the program.
 const LISTEN_MARKER: &str = "listen";
-/// Lines of the log that are kept.
+/// Last lines of the log that are stored.
 const MAX_LOG_LINES: usize = 20;
 
-/// What the program's configuration says, beside the fixed settings.
+/// The part of the program's configuration that differs between runs.
 #[derive(Debug)]
 pub struct Configuration {
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the counter listens.
+    /// Address of the counter; `None` for a program without one.
     pub counter: Option<SocketAddr>,
-    /// The list of endpoints known at the start.
+    /// The endpoint list at the start.
     pub known: Value,
-    /// How many gateways there are.
+    /// Gateways in the settings.
     pub gateways: u32,
-    /// Its limit on memory, in MB.
+    /// Memory limit, in MiB.
     pub memory_mb: usize,
 }
 
@@ -90,10 +90,10 @@
 /// The last lines of the program's log.
 type Log = Arc<Mutex<VecDeque<String>>>;
 
-/// The program, running; killed when this is dropped.
+/// The running program; killed when this is dropped.
 #[derive(Debug)]
 pub struct ChildProgram {
-    /// Where it takes clients.
+    /// Address on which it listens for clients.
     pub address: SocketAddr,
     child: KillOnDrop,
     log: Log,
@@ -104,7 +104,7 @@
     /// Starts the program and waits until it listens.
     ///
     /// # Errors
-    /// It cannot be started, or ends or says nothing before it listens.
+    /// The program cannot be started, ends before it listens, or does not listen in time.
     pub fn start(program: &Path, configuration: &Configuration) -> Result<Self, Error> {
         let file = write_configuration(configuration)
             .map_err(Error::system("writing the program's configuration"))?;
@@ -131,24 +131,25 @@
         Ok(Self { address, child, log, _configuration: file })
     }
 
-    /// Processor time that it has had, once it rests: the kernel adds a thread's time up when it goes to sleep.
+    /// Processor time used so far. Waits for the program to become idle first, as the kernel updates the time of a thread
+    /// when it goes to sleep.
     ///
     /// # Errors
-    /// It has ended.
+    /// The program has ended.
     pub fn processor_time(&self) -> Result<Duration, Error> {
         thread::sleep(SCHEDULER_UPDATE_DELAY);
         proc_fs::processor_time(self.child.0.id())
     }
 
-    /// Its memory.
+    /// Memory of the program.
     ///
     /// # Errors
-    /// It has ended.
+    /// The program has ended.
     pub fn memory(&self) -> Result<proc_fs::Memory, Error> {
         proc_fs::memory(self.child.0.id())
     }
 
-    /// The last line of its log; empty where it said nothing.
+    /// The last line of its log; empty if there is none.
     pub fn last_line(&self) -> String {
         last_line(&self.log)
     }
@@ -165,14 +166,14 @@
     Ok(file)
 }
 
-/// The address that a line of the log says the program listens on: its last word, or its last field's value. So
-/// programs of earlier forms of the log can be compared.
+/// The address that a line of the log says the program listens on: its last word, or the value of its last field. Both
+/// are accepted, so that builds with an older format of the log can be compared.
 fn bound_address(line: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once(LISTEN_MARKER)?;
     rest.rsplit([' ', '=']).next()?.trim().parse().ok()
 }
 
-/// Keeps the last lines of the log, and tells of the address that it names.
+/// Stores the last lines of the log, and sends the address on which the program listens.
 fn follow_log(stderr: ChildStderr, log: &Log, bound: &Sender<SocketAddr>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         if let Some(address) = bound_address(&line) {
--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -1,44 +1,44 @@
-//! Drives one gateway's policy without any I/O: endpoints and counter answer at once.
+//! Drives the policy of one gateway without any I/O: endpoints and counter respond at once.
 
 use super::Error;
 use oliverack::{
     Action, Class, CustomerId, Endpoint, EndpointId, Event, Gateway, Lifecycle, ListKind, LoadReport, Plan,
-    Request, RequestId, Settings, Status,
+    Request, RequestId, Seconds, Settings, Status, Time,
 };
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The seed of every gateway, so that runs differ in nothing but time.
+/// The seed of every gateway, so that runs differ only in their times.
 const SEED: u64 = 1;
-/// Seconds of virtual time between two requests. With the two below: a policy forgets a tenant that has been idle for
-/// 26 s, and has to know 32,000 of them at a time.
-const REQUEST_SPACING: f64 = 0.0001;
-/// Seconds of virtual time that an endpoint's answer takes.
-const RESPONSE_TIME: f64 = 0.0003;
-/// Seconds of virtual time that a counter call takes.
-const COUNTER_TIME: f64 = 0.0001;
-/// Seconds of virtual time that a client waits.
-const CLIENT_DEADLINE: f64 = 5.0;
-/// Gateways that carry a tenant's requests, where there are so many.
+/// Virtual time between two requests. The policy forgets a tenant that is idle for 26 s, so with the two durations below
+/// this has to be short enough for 32,000 tenants to take turns in that time.
+const REQUEST_SPACING: Seconds = 0.0001;
+/// Virtual time until an endpoint responds.
+const RESPONSE_TIME: Seconds = 0.0003;
+/// Virtual time that a counter call takes.
+const COUNTER_TIME: Seconds = 0.0001;
+/// Virtual time until the deadline of a request.
+const CLIENT_DEADLINE: Seconds = 5.0;
+/// Gateways that serve a tenant, unless there are fewer.
 const GATEWAYS_PER_TENANT: u32 = 3;
 /// Index of the plan without a quota.
 const PLAN_FREE: usize = 0;
-/// Index of the plan with one.
+/// Index of the plan with a quota.
 const PLAN_METERED: usize = 1;
 
-/// A gateway, its clock, and what it has asked for.
+/// A gateway, its clock, and the actions that are pending.
 #[derive(Debug)]
 pub struct Driver {
     gateway: Gateway,
-    now: f64,
+    now: Time,
     metered: bool,
     customer_gateway_count: u32,
     requests: u64,
     tenants: Vec<CustomerId>,
-    counts: HashMap<u64, f64>,
-    /// Timers that were asked for and are not yet delivered.
+    counter_totals: HashMap<u64, f64>,
+    /// Timers that were set and have not been delivered, oldest first.
     timers: VecDeque<u64>,
-    /// Attempts that are out.
-    open: Vec<AttemptInFlight>,
+    /// Attempts in flight.
+    attempts_in_flight: Vec<AttemptInFlight>,
     actions: Vec<Action>,
 }
 
@@ -48,14 +48,14 @@
     endpoint: EndpointId,
 }
 
-/// What a driver is built for.
+/// The settings and the load of a driver.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
     /// Gateways in the settings.
     pub gateways: u32,
-    /// Tenants that requests come from in turn.
+    /// Tenants, which take turns.
     pub tenants: usize,
-    /// The tenants have a quota, and there is a counter.
+    /// True if the tenants have a quota and there is a counter.
     pub metered: bool,
 }
 
@@ -79,14 +79,14 @@
     }
 }
 
-/// The name of an endpoint, as the real lists have them.
-fn name(number: usize) -> EndpointId {
+/// Id of an endpoint, in the format of real lists.
+fn endpoint_id(number: usize) -> EndpointId {
     format!("s-{number:08x}").into()
 }
 
-/// The entry of an endpoint by its number.
+/// The list entry of the endpoint with this number.
 fn endpoint(number: usize, lifecycle: Lifecycle) -> Endpoint {
-    Endpoint { id: name(number), zone: 0, cell: 0, started: 0.0, lifecycle }
+    Endpoint { id: endpoint_id(number), zone: 0, cell: 0, started: 0.0, lifecycle }
 }
 
 impl Driver {
@@ -104,42 +104,42 @@
             customer_gateway_count: GATEWAYS_PER_TENANT.min(scenario.gateways),
             requests: 0,
             tenants,
-            counts: HashMap::new(),
+            counter_totals: HashMap::new(),
             timers: VecDeque::new(),
-            open: Vec::new(),
+            attempts_in_flight: Vec::new(),
             actions: Vec::new(),
         })
     }
 
-    /// Gives the gateway a whole list, as known at its start, which also starts its sweeps. The timer that it asks
-    /// for is the oldest of [`Driver::deliver_timer`].
+    /// Notifies the gateway of a complete list, as at its start. This also sets the timer of its sweeps, which
+    /// [`Driver::deliver_timer`] delivers first.
     pub fn list(&mut self, endpoints: usize) {
         let endpoints = (0..endpoints).map(|number| endpoint(number, Lifecycle::Running)).collect();
         self.handle(Event::EndpointsUpdated { kind: ListKind::Stale, endpoints });
     }
 
-    /// Changes one endpoint's entry.
+    /// Notifies the gateway of the change of one entry.
     pub fn change(&mut self, number: usize, lifecycle: Lifecycle) {
         self.now += REQUEST_SPACING;
         let endpoints = vec![endpoint(number, lifecycle)];
         self.handle(Event::EndpointsUpdated { kind: ListKind::Changes, endpoints });
     }
 
-    /// One request, from its arrival to its answer; whether it was served.
+    /// One request, from its arrival to its response. Returns whether it was served.
     pub fn request(&mut self) -> bool {
         self.open_request();
         self.now += RESPONSE_TIME;
-        self.answer_all(None)
+        self.serve_all(None)
     }
 
-    /// The same; adds the endpoints that it was sent to.
+    /// Like [`Driver::request`]; adds the endpoints that were reached.
     pub fn request_and_record(&mut self, reached: &mut BTreeSet<EndpointId>) -> bool {
         self.open_request();
         self.now += RESPONSE_TIME;
-        self.answer_all(Some(reached))
+        self.serve_all(Some(reached))
     }
 
-    /// A request arrives; its attempts stay out. How many are out in all.
+    /// A request arrives, and its attempts stay in flight. Returns how many attempts are in flight.
     pub fn open_request(&mut self) -> usize {
         self.now += REQUEST_SPACING;
         let tenant = (self.requests % self.tenants.len().max(1) as u64) as usize;
@@ -156,13 +156,13 @@
             is_retry: false,
         };
         self.handle(Event::Request(request));
-        self.open.len()
+        self.attempts_in_flight.len()
     }
 
-    /// Every attempt that is out is answered 200; whether there was any.
-    fn answer_all(&mut self, mut reached: Option<&mut BTreeSet<EndpointId>>) -> bool {
-        let served = !self.open.is_empty();
-        for AttemptInFlight { request_id, endpoint } in std::mem::take(&mut self.open) {
+    /// All attempts in flight are served. Returns whether there were any.
+    fn serve_all(&mut self, mut reached: Option<&mut BTreeSet<EndpointId>>) -> bool {
+        let served = !self.attempts_in_flight.is_empty();
+        for AttemptInFlight { request_id, endpoint } in std::mem::take(&mut self.attempts_in_flight) {
             if let Some(reached) = &mut reached {
                 reached.insert(endpoint.clone());
             }
@@ -180,32 +180,32 @@
         served
     }
 
-    /// Moves the clock on by so many seconds.
-    pub fn advance(&mut self, seconds: f64) {
+    /// Advances the clock.
+    pub fn advance(&mut self, seconds: Seconds) {
         self.now += seconds;
     }
 
-    /// Delivers the oldest timer; `false` where there is none.
+    /// Delivers the oldest timer. Returns false if there is none.
     pub fn deliver_timer(&mut self) -> bool {
         let Some(token) = self.timers.pop_front() else { return false };
         self.handle(Event::Timer { token });
         true
     }
 
-    /// Timers that are not yet delivered.
+    /// How many timers have not been delivered.
     pub fn timers(&self) -> usize {
         self.timers.len()
     }
 
-    /// Frees what the driver itself holds for later use, so that it does not count as the gateway's state.
+    /// Frees the unused capacity of the driver, so that it is not measured as state of the gateway.
     pub fn shrink(&mut self) {
         self.actions = Vec::new();
-        self.counts.shrink_to_fit();
+        self.counter_totals.shrink_to_fit();
         self.timers.shrink_to_fit();
-        self.open.shrink_to_fit();
+        self.attempts_in_flight.shrink_to_fit();
     }
 
-    /// Hands the event over, and answers the counter calls that come of it.
+    /// Notifies the gateway of an event, and responds to the counter calls that result.
     fn handle(&mut self, event: Event) {
         let mut event = Some(event);
         let mut calls = VecDeque::new();
@@ -214,20 +214,20 @@
             for action in self.actions.drain(..) {
                 match action {
                     Action::StartAttempt { request_id, endpoint, .. } => {
-                        self.open.push(AttemptInFlight { request_id, endpoint })
+                        self.attempts_in_flight.push(AttemptInFlight { request_id, endpoint })
                     }
                     Action::SetTimer { token, .. } => self.timers.push_back(token),
                     Action::AddToCounter { counter, amount, .. } => calls.push_back((counter, amount)),
                     _ => {}
                 }
             }
-            event = calls.pop_front().map(|(counter, amount)| self.count(counter, amount));
+            event = calls.pop_front().map(|(counter, amount)| self.counter_reply(counter, amount));
         }
     }
 
-    fn count(&mut self, counter: u64, amount: f64) -> Event {
+    fn counter_reply(&mut self, counter: u64, amount: f64) -> Event {
         self.now += COUNTER_TIME;
-        let total = self.counts.entry(counter).or_default();
+        let total = self.counter_totals.entry(counter).or_default();
         *total += amount;
         Event::CounterReplied { counter, status: Status::Ok, total: *total, elapsed: COUNTER_TIME }
     }
--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -11,7 +11,7 @@
 use stats_alloc::INSTRUMENTED_SYSTEM;
 use std::collections::BTreeSet;
 
-/// Requests for each listed endpoint, so that by all odds each endpoint of the subset receives one.
+/// Requests for each listed endpoint, enough that each endpoint of the subset almost certainly receives one.
 const REQUESTS_PER_ENDPOINT: usize = 12;
 /// Lowest count of these requests.
 const MIN_REQUESTS: usize = 500;
@@ -61,14 +61,14 @@
     Ok(())
 }
 
-/// The endpoints that have responded to a gateway, which by all odds are its subset.
+/// The endpoints that have responded to a gateway, almost certainly its complete subset.
 struct RespondedSubset {
     size: usize,
     /// Bytes that the responses added to the state.
     added_bytes: f64,
 }
 
-/// Sends requests until by all odds each endpoint of the subset has responded.
+/// Sends requests until almost certainly each endpoint of the subset has responded.
 fn reach_subset(subject: Subject, mut driver: Driver) -> RespondedSubset {
     let requests = (REQUESTS_PER_ENDPOINT * subject.size).clamp(MIN_REQUESTS, MAX_REQUESTS);
     let mut reached = BTreeSet::new();
--- a/lab/src/process/report.rs
+++ b/lab/src/process/report.rs
@@ -9,16 +9,16 @@
     path::Path,
 };
 
-/// Ratios are given against the row of this size.
+/// Size of the row that ratios are relative to.
 pub const BASE_SIZE: usize = 100;
 
 /// The largest size of a row.
 const MAX_SIZE: usize = 1_000_000;
 
-/// Whether the counts of endpoints and tenants can be measured.
+/// Checks that rows of these sizes can be measured.
 ///
 /// # Errors
-/// One is 0 or too large.
+/// A size is 0 or too large.
 pub fn check_sizes<'a>(mut sizes: impl Iterator<Item = &'a usize>) -> Result<(), Error> {
     if sizes.all(|size| (1..=MAX_SIZE).contains(size)) {
         Ok(())
@@ -27,7 +27,7 @@
     }
 }
 
-/// What grows from row to row.
+/// What differs in size from row to row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Axis {
@@ -47,10 +47,10 @@
     }
 }
 
-/// What a row measures.
+/// A row of the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Subject {
-    /// What grows.
+    /// What the size is of.
     pub axis: Axis,
     /// Gateways in the settings.
     pub gateways: u32,
@@ -72,23 +72,23 @@
     RequestProcessorMicros,
     /// Share of the requests that were served.
     ServedShare,
-    /// Calls to the counter for each request, which the processor time of a row of tenants depends on.
+    /// Counter calls a request, on which the processor time of a row of tenants depends.
     CounterCallsPerRequest,
     /// Processor time of a change of one entry, in microseconds.
     ChangeProcessorMicros,
-    /// Time from the write of such a change until the next watch comes, in microseconds.
+    /// Time from the write of such a change to the next watch, in microseconds.
     ChangeElapsedMicros,
     /// Processor time of a timer, in microseconds.
     TimerProcessorMicros,
     /// Processor time of a sweep over the tenants, in microseconds.
     SweepProcessorMicros,
-    /// Processor time to take in the whole list, compact, in milliseconds.
+    /// Processor time to apply the complete list, compact, in milliseconds.
     CompactListProcessorMillis,
-    /// Time from the write of the whole list, compact, until the next watch, in milliseconds.
+    /// Time from the write of the complete list, compact, to the next watch, in milliseconds.
     CompactListElapsedMillis,
-    /// The same with the list indented: processor time, in milliseconds.
+    /// Processor time to apply the complete list, indented, in milliseconds.
     IndentedListProcessorMillis,
-    /// The same with the list indented: elapsed, in milliseconds.
+    /// Time from the write of the complete list, indented, to the next watch, in milliseconds.
     IndentedListElapsedMillis,
     /// Resident memory after the requests, in KiB.
     ResidentKibibytes,
@@ -96,18 +96,18 @@
     PeakResidentKibibytes,
     /// Peak of the resident memory after the indented list, in KiB.
     PeakIndentedKibibytes,
-    /// Bytes of state for a listed endpoint that the gateway sends nothing.
+    /// Bytes of state for a listed endpoint outside the subset of the gateway.
     #[serde(rename = "worker_outside_bytes")]
     EndpointOutsideBytes,
-    /// Bytes of state for an endpoint that the gateway sends requests, before it has.
+    /// Bytes of state for an endpoint of the subset that has not received requests.
     #[serde(rename = "worker_inside_bytes")]
     EndpointInsideBytes,
-    /// Bytes of state for such an endpoint once it has answered.
+    /// Bytes of state for an endpoint of the subset that has responded.
     #[serde(rename = "worker_answered_bytes")]
     EndpointAnsweredBytes,
     /// Bytes of state for a tenant.
     TenantBytes,
-    /// Bytes of state for an open request, its timer included.
+    /// Bytes of state for an open request with its timer.
     OpenRequestBytes,
 }
 
@@ -141,7 +141,7 @@
 /// The values of one quantity over the rounds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Summary {
-    /// The middle value.
+    /// The median.
     pub median: f64,
     /// The lowest.
     pub lowest: f64,
@@ -149,12 +149,13 @@
     pub highest: f64,
     /// How many values there are.
     pub rounds: usize,
-    /// The median over that of the row of [`BASE_SIZE`] in the same run.
+    /// The median divided by that of the row of [`BASE_SIZE`] in the same run.
     pub ratio: Option<f64>,
 }
 
-/// Why a row could not be measured, wholly or in part.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// Why a row could not be measured completely.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[error("{subject}, in {rounds} rounds: {reason}")]
 pub struct RowFailure {
     /// The row.
     pub subject: Subject,
@@ -164,17 +165,11 @@
     pub rounds: usize,
 }
 
-impl fmt::Display for RowFailure {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}, in {} rounds: {}", self.subject, self.rounds, self.reason)
-    }
-}
-
 /// Measured values, by quantity and row, and the rows that failed.
 #[derive(Debug, Default)]
 pub struct Report {
     values: BTreeMap<(Axis, Metric), BTreeMap<Subject, Vec<f64>>>,
-    /// Reasons, and in how many rounds each was met.
+    /// By row and reason, in how many rounds it failed.
     failures: BTreeMap<Subject, BTreeMap<String, usize>>,
 }
 
@@ -210,7 +205,7 @@
         *self.failures.entry(subject).or_default().entry(error.to_string()).or_default() += 1;
     }
 
-    /// The summary of one quantity of one row; `None` where it was not measured.
+    /// The summary of one quantity of one row; `None` if it was not measured.
     pub fn summary(&self, subject: Subject, metric: Metric) -> Option<Summary> {
         let values = self.values.get(&(subject.axis, metric))?.get(&subject)?;
         let mut summary = summarize(values)?;
@@ -237,7 +232,7 @@
         })
     }
 
-    /// Prints the table, and writes the JSON lines where a file is named.
+    /// Prints the table, and writes the JSON lines if a file is given.
     ///
     /// # Errors
     /// The file cannot be written.
--- a/lab/src/process/stand_in_discovery.rs
+++ b/lab/src/process/stand_in_discovery.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-/// A watch is history for so long at most, whatever it asks for; a shorter hold is allowed.
+/// Longest hold of a watch, whatever hold it requests; the protocol allows a shorter one.
 const MAX_HOLD: Duration = Duration::from_millis(1000);
 
 /// End of a line of an indented list, with the indent of the next.
--- a/lab/tests/demo.rs
+++ b/lab/tests/demo.rs
@@ -1,4 +1,4 @@
-//! What the demonstration shows, as the policy decides it.
+//! The decisions of the policy under the configuration of the demonstration.
 
 use oliverack::{Action, Endpoint, Event, Gateway, Lifecycle, ListKind, Options, Request, Status};
 use oliverack_lab::{
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn three_requests_at_once_are_sent_and_the_fourth_is_told_when_to_come_back() {
+fn fourth_request_at_once_is_rejected_with_retry_after() {
     let entry = ListEntry::new(0, "127.0.0.1:9".parse().expect("an address"), EntryState::Serving);
     let configuration = configuration(addresses(), &[entry]);
     let options = Options::read(&configuration["settings"]).expect("readable");
--- a/lab/tests/fleet_configuration.rs
+++ b/lab/tests/fleet_configuration.rs
@@ -1,4 +1,4 @@
-//! Files that no run can be made from end in one plain line.
+//! Files that are invalid are rejected with one line.
 
 use oliverack_lab::fleet::{add_faults, parse};
 use std::path::Path;
@@ -7,7 +7,7 @@
 const SMALL: &str = include_str!("../experiments/small.toml");
 
 fn complaint(text: &str) -> String {
-    let message = parse(text).expect_err("a file that no run can be made from").to_string();
+    let message = parse(text).expect_err("an invalid file").to_string();
     assert!(!message.contains('\n'), "more than one line: {message}");
     message
 }
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn all_examples_are_usable() {
+fn all_example_files_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
     let mut seen = 0;
     for entry in std::fs::read_dir(folder).expect("the folder of examples") {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn all_faults_fit_the_tenth_of_the_target() {
+fn all_fault_files_fit_the_tenth_of_the_target() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/faults");
     let base = include_str!("../experiments/target-10.toml");
     let mut seen = 0;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_file_of_faults_holds_nothing_else_and_none_that_cannot_be() {
+fn fault_file_with_other_keys_or_an_impossible_fault_is_rejected() {
     let mut configuration = parse(SMALL).expect("a usable example");
     let fault = "[[faults]]\nkind = \"cut-counter\"\nat = 1.0\nuntil = 2.0\nzone = 99\n";
     let message = add_faults(&mut configuration, fault).expect_err("no such zone").to_string();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn unknown_keys_are_errors() {
+fn unknown_keys_are_rejected() {
     assert!(complaint(&format!("colour = 1\n{SMALL}")).contains("colour"));
     assert!(complaint(&with("max_units = 4", "max_units = 4\nshape = 2")).contains("shape"));
     let fault = "\n[[faults]]\nkind = \"forget-counts\"\nat = 1.0\nshare = 0.5\nlength = 3\n";
@@ -72,12 +72,12 @@
 }
 
 #[test]
-fn what_is_no_toml_is_an_error_that_names_its_line() {
+fn invalid_toml_is_rejected_with_its_line() {
     assert!(complaint("seconds = 1\nseconds = ").starts_with("line 2"));
 }
 
 #[test]
-fn impossible_sizes_are_errors() {
+fn impossible_sizes_are_rejected_with_their_key() {
     let cases = [
         ("count = 12\n", "count = 0\n", "gatekeepers.count"),
         ("count = 12\n", "count = 1025\n", "gatekeepers.count"),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn impossible_faults_are_errors() {
+fn impossible_faults_are_rejected_with_their_key() {
     let cases = [
         ("kind = \"restart-at-once\"\nat = 1.0\nshare = 1.5", "faults.share"),
         ("kind = \"forget-counts\"\nat = -1.0\nshare = 0.5", "faults.at"),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_program_ends_with_one_line_and_a_failing_exit() {
+fn invalid_file_ends_the_program_with_one_line_and_a_failing_status() {
     for file in ["no/such/file.toml", concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml")] {
         let output = Command::new(env!("CARGO_BIN_EXE_oliverack-lab"))
             .args(["fleet", file])
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -13,7 +13,7 @@
 use oliverack_lab::fleet::tenants::TokenBucket;
 use oliverack_lab::fleet::wire_size;
 
-/// A counter of one part that serves 100 calls a second and lets two wait.
+/// A counter of one shard that serves 100 calls a second and queues two.
 fn counter() -> Counter {
     Counter::new(&CounterFigures { shards: 1, calls_per_second: 100.0, queue: 2, delay: 0.0 })
 }
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn events_come_by_time_and_those_of_one_time_in_their_order() {
+fn events_are_popped_by_time_then_by_order_of_scheduling() {
     let mut queue = EventQueue::default();
     for (at, event) in [(3.0, 'd'), (1.0, 'a'), (2.0, 'b'), (2.0, 'c'), (9.0, 'e')] {
         queue.schedule(RUN_START + at, event);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_event_of_the_past_is_due_at_once() {
+fn event_scheduled_in_the_past_is_due_at_once() {
     let mut queue = EventQueue::default();
     queue.schedule(RUN_START + 2.0, 'a');
     queue.pop_until(RUN_START + 2.0);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_counter_serves_calls_in_turn_and_turns_away_beyond_its_queue() {
+fn counter_serves_calls_in_order_and_rejects_when_its_queue_is_full() {
     let mut counter = counter();
     let at: Vec<CallAdmission> = (0..4).map(|_| counter.admit(RUN_START, 1)).collect();
     let CallAdmission::Admitted { completes_at: third } = at[2] else { panic!("{at:?}") };
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn parts_of_the_counter_have_lines_of_their_own() {
+fn counter_shards_have_separate_queues() {
     let mut counter =
         Counter::new(&CounterFigures { shards: 2, calls_per_second: 100.0, queue: 0, delay: 0.0 });
     assert!(matches!(counter.admit(RUN_START, 0), CallAdmission::Admitted { .. }));
@@ -63,15 +63,15 @@
 }
 
 #[test]
-fn a_slow_counter_takes_longer_for_each_call() {
+fn slow_counter_takes_longer_for_each_call() {
     let mut counter = counter();
     counter.set_slowdown(5.0);
-    let CallAdmission::Admitted { completes_at } = counter.admit(RUN_START, 1) else { panic!("turned away") };
+    let CallAdmission::Admitted { completes_at } = counter.admit(RUN_START, 1) else { panic!("rejected") };
     assert_close(completes_at, RUN_START + 0.05);
 }
 
 #[test]
-fn a_name_lives_for_the_life_that_its_first_call_gave() {
+fn entry_expires_after_the_time_to_live_of_its_first_call() {
     let mut counter = counter();
     assert_close(counter.add(RUN_START, 7, 2.0, 4.0), 2.0);
     assert_close(counter.add(RUN_START + 3.9, 7, 1.0, 4.0), 3.0);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_counter_forgets_the_given_share_of_its_names() {
+fn counter_loses_the_given_share_of_its_entries() {
     let mut counter = counter();
     for name in 0..1000 {
         counter.add(RUN_START, name, 1.0, 60.0);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_silent_counter_takes_no_calls() {
+fn silent_counter_does_not_respond() {
     let mut counter = counter();
     counter.set_silent(true);
     assert_eq!(counter.admit(RUN_START, 1), CallAdmission::NoResponse);
@@ -102,15 +102,15 @@
 }
 
 #[test]
-fn answers_for_one_name_are_told_in_the_order_of_the_calls() {
+fn results_for_one_entry_are_notified_in_the_order_of_the_calls() {
     let mut calls = CounterCalls::default();
     let (first, second) = (calls.start(RUN_START, 1), calls.start(RUN_START, 1));
     let full = CallResult { status: Status::Rejected, total: 0.0 };
     let ok = CallResult { status: Status::Ok, total: 3.0 };
     assert!(calls.end(RUN_START + 0.01, second, full).is_empty());
-    let told: Vec<Status> = calls.end(RUN_START + 0.02, first, ok).iter().map(status).collect();
-    assert_eq!(told, [Status::Ok, Status::Rejected]);
-    // An answer that comes after the time-out is not told again.
+    let notified: Vec<Status> = calls.end(RUN_START + 0.02, first, ok).iter().map(status).collect();
+    assert_eq!(notified, [Status::Ok, Status::Rejected]);
+    // A response that comes after the timeout causes no further notification.
     assert!(!calls.is_in_flight(first));
     assert!(calls.end(RUN_START + 0.03, first, ok).is_empty());
 }
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_worker_serves_queues_and_then_turns_away() {
+fn endpoint_serves_then_queues_then_rejects() {
     let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
     let receptions: Vec<Reception> = (0..3).map(|number| endpoint.receive(attempt(number))).collect();
     assert_eq!(receptions, [Reception::Started, Reception::Queued, Reception::Rejected(Status::Rejected)]);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_worker_passes_over_what_nobody_waits_for() {
+fn endpoint_skips_queued_attempts_that_are_not_wanted() {
     let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
     endpoint.receive(attempt(0));
     endpoint.receive(attempt(1));
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn workers_fail_in_their_different_ways() {
+fn endpoint_reception_follows_its_state() {
     let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
     endpoint.state = EndpointState::Draining;
     assert_eq!(endpoint.receive(attempt(0)), Reception::Rejected(Status::Rejected));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_started_worker_climbs_from_its_cold_share() {
+fn capacity_rises_from_the_initial_share_during_slow_start() {
     let figures = endpoint_figures();
     let endpoint = SimulatedEndpoint::new(&figures, 0, RUN_START);
     assert_close(endpoint.capacity(RUN_START, &figures), 0.2);
@@ -203,16 +203,16 @@
 }
 
 #[test]
-fn calls_for_the_list_wait_in_turn_and_fail_after_the_limit() {
+fn polls_are_served_in_order_and_time_out_in_the_queue() {
     let mut discovery = discovery();
-    let turns: Vec<PollResult> = (0..3).map(|_| discovery.poll(RUN_START)).collect();
-    assert_eq!(turns[0], PollResult::Answered(RUN_START + 0.1));
-    assert!(matches!(turns[1], PollResult::Answered(at) if (at - RUN_START - 0.2).abs() < 1e-9));
-    assert_eq!(turns[2], PollResult::TimedOut(RUN_START + 0.15));
+    let results: Vec<PollResult> = (0..3).map(|_| discovery.poll(RUN_START)).collect();
+    assert_eq!(results[0], PollResult::Answered(RUN_START + 0.1));
+    assert!(matches!(results[1], PollResult::Answered(at) if (at - RUN_START - 0.2).abs() < 1e-9));
+    assert_eq!(results[2], PollResult::TimedOut(RUN_START + 0.15));
 }
 
 #[test]
-fn the_list_of_a_past_time_holds_what_was_known_then() {
+fn list_at_a_past_time_has_the_changes_until_then() {
     let mut discovery = discovery();
     discovery.change(RUN_START + 1.0, endpoint("a", Lifecycle::Gone));
     discovery.change(RUN_START + 2.0, endpoint("c", Lifecycle::Running));
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_bucket_refills_to_its_burst_and_a_ceiling_may_be_overdrawn() {
+fn bucket_refills_to_its_burst_and_can_be_overdrawn() {
     let mut bucket = TokenBucket::full(1.0, 4.0);
     assert!(bucket.try_take(RUN_START, 4.0));
     assert!(!bucket.try_take(RUN_START + 0.5, 1.0));
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn messages_have_the_lengths_of_the_protocol() {
+fn message_sizes_match_the_protocol() {
     assert_eq!(wire_size::counter_call(42, -2.5, 4.0), "bump 42 -2.5 4000\r\n".len() as u64);
     assert_eq!(wire_size::counter_call(1, 1.0, 90.0), "bump 1 1 60000\r\n".len() as u64);
     assert_eq!(wire_size::counter_total(12.5), "ok 12.5\r\n".len() as u64);
--- a/lab/tests/fleet_runs.rs
+++ b/lab/tests/fleet_runs.rs
@@ -1,4 +1,4 @@
-//! Whole runs of the simulated fleet.
+//! Complete runs of the simulated fleet.
 
 use oliverack_lab::fleet::configuration::{Configuration, DiscoveryMode, Fault};
 use oliverack_lab::fleet::measures::{
@@ -15,7 +15,7 @@
     configuration
 }
 
-/// Tenants that poll for a part of their quota only.
+/// Tenants that use only a part of their quota.
 fn quiet() -> Configuration {
     let mut configuration = small();
     configuration.usage.truncate(1);
@@ -26,7 +26,7 @@
     simulate(configuration, seed).expect("a run")
 }
 
-/// All records but those of processor times, as they stand in the JSON file.
+/// All records except those of processor times, as in the JSON file.
 fn comparable(records: &[Record]) -> Vec<String> {
     let compared = records.iter().filter(|record| !matches!(record, Record::Processor(_)));
     compared.map(|record| serde_json::to_string(record).expect("a record")).collect()
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_same_file_and_seed_give_the_same_numbers() {
+fn same_file_and_seed_give_the_same_records() {
     let mut configuration = small();
     configuration.faults = every_fault();
     let [one, same, other] = [1, 1, 2].map(|seed| comparable(&run(configuration.clone(), seed)));
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn a_quiet_fleet_serves_what_is_inside_quotas() {
+fn quiet_fleet_serves_demands_within_quotas() {
     let records = run(quiet(), 3);
     let inside: &InQuotaWeight = record!(records, InQuotaWeight);
     assert!(inside.served >= 0.98 * inside.submitted, "{inside:?}");
 }
 
 #[test]
-fn a_quiet_fleet_under_ceilings_serves_what_is_inside_quotas_and_breaks_none() {
+fn quiet_fleet_with_ceilings_serves_demands_within_quotas_and_exceeds_no_ceiling() {
     let mut configuration = quiet();
-    // A gateway starts with nothing of a ceiling: what that costs is spread over a longer run.
+    // A gateway starts with an empty ceiling, so a longer run is needed for its cost to be small.
     configuration.seconds = 30.0;
     configuration.plans.iter_mut().for_each(|plan| {
         (plan.ceiling_rate, plan.ceiling_burst) = (2.0 * plan.rate, 2.0 * plan.burst);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn each_wish_ends_once_whatever_goes_wrong() {
+fn each_demand_ends_once_under_every_fault() {
     let mut configuration = small();
     configuration.faults = every_fault();
     let records = run(configuration, 5);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn seconds_add_up_to_the_whole() {
+fn counts_of_seconds_add_up_to_the_totals() {
     let records = run(small(), 7);
     let demands: &DemandCounts = record!(records, Demands);
     let attempts: &AttemptCounts = record!(records, Attempts);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_silent_counter_answers_nothing_and_a_full_one_says_so() {
+fn silent_counter_times_out_and_full_counter_rejects() {
     let mut silent = quiet();
     silent.faults = vec![Fault::SilenceCounter { at: 0.0, until: 60.0 }];
     let records = run(silent, 1);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_slow_counter_adds_calls_that_nobody_waits_for() {
+fn slow_counter_adds_calls_after_their_timeout() {
     let mut slow = quiet();
     slow.faults = vec![Fault::SlowCounter { at: 0.0, until: 60.0, factor: 50.0 }];
     let records = run(slow, 1);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn without_a_counter_none_is_called() {
+fn fleet_without_counter_makes_no_counter_calls() {
     let mut alone = quiet();
     alone.counter = None;
     let records = run(alone, 1);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn an_asked_list_reaches_every_gatekeeper_in_the_end() {
+fn polled_list_reaches_every_gateway() {
     let mut configuration = quiet();
     configuration.discovery.mode = DiscoveryMode::Poll;
     configuration.faults = vec![Fault::ReplaceEndpoints { from: 3.0, until: 3.5, count: 3 }];
--- a/lab/tests/process_bounds.rs
+++ b/lab/tests/process_bounds.rs
@@ -1,4 +1,4 @@
-//! The bounds of a checked run, and when a rate counts as settled.
+//! The bounds of a checked run, and when a rate is steady.
 
 use oliverack_lab::process::{
     Error,
@@ -9,7 +9,7 @@
 
 const GATEWAYS: u32 = 680;
 
-/// A report whose values of the bounded row all stand at their bounds.
+/// A report in which all values of the bounded row are at their bounds.
 fn report_at_the_bounds() -> Report {
     let subject = bounds::bounded_subject(GATEWAYS);
     let mut report = Report::default();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn values_at_the_bounds_pass() {
+fn values_at_the_bounds_pass_the_check() {
     assert_eq!(program(&report_at_the_bounds()), []);
     assert_eq!(policy(&report_at_the_bounds()), []);
 }
@@ -84,14 +84,14 @@
 }
 
 #[test]
-fn a_ratio_without_its_base_row_fails_the_check() {
+fn ratio_without_its_base_row_fails_the_check() {
     let mut report = Report::default();
     report.record(bounds::bounded_subject(GATEWAYS), Metric::RequestProcessorMicros, 100.0);
     assert!(violated(&program(&report)).contains(&Metric::RequestProcessorMicros));
 }
 
 #[test]
-fn a_failed_row_fails_the_check_with_its_reason() {
+fn failed_row_fails_the_check_with_its_reason() {
     let mut report = report_at_the_bounds();
     let row = Subject { size: 10, ..bounds::bounded_subject(GATEWAYS) };
     report.fail(row, &Error::TooFewCounterCalls { calls: 3, sent: 6000, least: 0.01 });
@@ -105,14 +105,14 @@
 }
 
 #[test]
-fn a_rate_settles_once_three_batches_agree() {
+fn rate_is_steady_once_three_batches_agree() {
     let mut steady_state = SteadyState::default();
     let is_steady = [0.1, 0.2, 0.4, 0.42, 0.43, 0.42].map(|value| steady_state.add(value, 0.01));
     assert_eq!(is_steady, [false, false, false, false, true, true]);
 }
 
 #[test]
-fn a_rate_under_the_least_does_not_settle() {
+fn rate_below_the_least_value_is_never_steady() {
     let mut steady_state = SteadyState::default();
     assert!([0.0; 6].into_iter().all(|value| !steady_state.add(value, 0.01)));
     assert!([0.009; 6].into_iter().all(|value| !steady_state.add(value, 0.01)));
--- a/lab/tests/process_command.rs
+++ b/lab/tests/process_command.rs
@@ -1,4 +1,4 @@
-//! The command itself: a small run, and arguments that cannot be used.
+//! The `process` command: small runs, and invalid arguments.
 
 use serde_json::Value;
 use std::process::{Command, Output};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_small_run_of_the_policy_measures_times_and_state() {
+fn small_policy_run_measures_times_and_state() {
     let json = tempfile::NamedTempFile::new().expect("a writable folder for temporary files");
     let path = json.path().display();
     let output = process(&format!(
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_program_that_ends_at_once_fails_its_rows_and_not_the_run() {
+fn program_that_ends_at_once_fails_its_rows_but_not_the_run() {
     let output = process("program --program /bin/false --workers 10 --tenants 20 --rounds 1");
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_checked_run_of_the_program_fails_with_its_failed_rows_and_missing_values() {
+fn checked_program_run_fails_on_failed_rows_and_missing_values() {
     let output = process("program --check --program /bin/false --workers 100,9200 --tenants 20 --rounds 1");
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "{text}");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn arguments_that_cannot_be_used_are_rejected_with_a_reason() {
+fn invalid_arguments_are_rejected_with_a_reason() {
     assert_rejected("policy --rounds 0", "rounds, requests and changes must be above 0");
     assert_rejected("policy --workers 10,0", "must be from 1 to 1000000");
     assert_rejected("program --program /bin/false --tenants 1000001", "must be from 1 to 1000000");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_help_tells_of_both_parts() {
+fn help_lists_both_benchmarks() {
     let output = process("--help");
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success() && text.contains("program") && text.contains("policy"), "{text}");
--- a/lab/tests/process_report.rs
+++ b/lab/tests/process_report.rs
@@ -1,4 +1,4 @@
-//! Readings of `/proc`, medians, ratios, and the two forms of the report.
+//! Parsing of `/proc`, medians, ratios, and the two formats of the report.
 
 use oliverack_lab::process::{
     Error, proc_fs,
@@ -17,12 +17,14 @@
     let mut report = Report::default();
     [30.0, 10.0, 20.0].into_iter().for_each(|value| report.record(subject(100), METRIC, value));
     [50.0, 30.0].into_iter().for_each(|value| report.record(subject(9200), METRIC, value));
-    (0..2).for_each(|_| report.fail(subject(9200), &Error::ProgramEnded("out of luck".to_owned())));
+    for _ in 0..2 {
+        report.fail(subject(9200), &Error::ProgramEnded("out of luck".to_owned()));
+    }
     report
 }
 
 #[test]
-fn readings_of_proc_are_understood() {
+fn proc_files_are_parsed() {
     let elapsed = proc_fs::parse_schedstat("364058052 17 15\n").expect("a reading");
     assert_eq!(elapsed, Duration::from_nanos(364_058_052));
     let status = "Name:\toliverack\nVmPeak:\t   90 kB\nVmHWM:\t    21568 kB\nVmRSS:\t    16052 kB\n";
@@ -36,7 +38,7 @@
 }
 
 #[test]
-fn the_middle_value_is_told_with_the_spread_and_the_ratio_to_the_base() {
+fn summary_has_median_extremes_and_ratio_to_the_base_row() {
     let report = report();
     let base = report.summary(subject(100), METRIC).expect("measured");
     assert_eq!((base.median, base.lowest, base.highest, base.rounds), (20.0, 10.0, 30.0, 3));
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn both_forms_tell_values_and_failures() {
+fn table_and_json_lines_have_values_and_failures() {
     let table = report().table();
     assert!(table.contains("processor time a request [us]"), "{table}");
     assert!(table.contains("FAILED: 9200 workers, 1 gateways, in 2 rounds: the program ended"), "{table}");
--- a/lab/tests/process_stand_ins.rs
+++ b/lab/tests/process_stand_ins.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn workers_answer_on_kept_connections_to_addresses_of_their_own() {
+fn endpoints_respond_on_persistent_connections_to_separate_addresses() {
     let endpoints = StandInEndpoints::start().expect("a free port");
     let addresses = [0, 1, 249, 250, 9199, 62_500].map(|number| endpoints.address(number));
     for (place, address) in addresses.into_iter().enumerate() {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_counter_adds_and_tells_the_total() {
+fn counter_adds_and_responds_with_the_total() {
     let counter = StandInCounter::start().expect("a free port");
     let (mut one, mut other) = (Client::connect(counter.address), Client::connect(counter.address));
     assert_eq!(one.line("ping"), "pong\r\n");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn discovery_tells_the_whole_list_and_then_what_changes() {
+fn discovery_sends_the_complete_list_then_changes() {
     let discovery = StandInDiscovery::start(entries(3)).expect("a free port");
     let mut client = Client::connect(discovery.address);
     let list = client.list("/discovery/hosts");
@@ -96,17 +96,17 @@
     assert_eq!((&changed[0]["id"], &changed[0]["state"]), (&"s-00000001".into(), &"DRAINING".into()));
     let unchanged = client.list("/discovery/hosts?from=2&hold_ms=1");
     assert_eq!(unchanged["servers"], Value::Array(Vec::new()));
-    let whole = Client::connect(discovery.address).list("/discovery/hosts");
-    assert_eq!(whole["servers"][1]["state"], "DRAINING");
+    let complete_list = Client::connect(discovery.address).list("/discovery/hosts");
+    assert_eq!(complete_list["servers"][1]["state"], "DRAINING");
 }
 
 #[test]
-fn a_watch_that_waits_is_told_a_new_whole_list_in_the_form_asked_for() {
+fn waiting_watch_receives_a_replaced_list_in_its_format() {
     let discovery = StandInDiscovery::start(entries(1)).expect("a free port");
     let mut client = Client::connect(discovery.address);
     client.list("/discovery/hosts");
     client.send("GET /discovery/hosts?from=1&hold_ms=60000 HTTP/1.1\r\n\r\n");
-    let watches = |seen| matches!(seen, DiscoveryEvent::Call { from: Some(1), .. });
+    let watches = |event| matches!(event, DiscoveryEvent::Call { from: Some(1), .. });
     while !watches(discovery.events.recv_timeout(LIMIT).expect("the watch")) {}
     assert_eq!(discovery.replace(entries(2), ListFormat::Indented), 2);
     let answer = read_message(&mut client.0).expect("an answer").expect("a whole answer");
@@ -114,6 +114,6 @@
     assert!(text.starts_with("{\r\n          \"version\": 2,\r\n"), "{text}");
     let list: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!((&list["full"], list["servers"].as_array().map(Vec::len)), (&true.into(), Some(2)));
-    let told = |seen| matches!(seen, DiscoveryEvent::Answer { version: 2, .. });
-    while !told(discovery.events.recv_timeout(LIMIT).expect("the answer")) {}
+    let answers = |event| matches!(event, DiscoveryEvent::Answer { version: 2, .. });
+    while !answers(discovery.events.recv_timeout(LIMIT).expect("the answer")) {}
 }
