--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -1,70 +1,76 @@
-//! The results of a run: records for the JSON file, and a table for people.
+//! The results of a run as records, each a line of the JSON file. The JSON keys are older than the names of the fields
+//! and stay as they are.
 
+use super::gateways::SimulatedGateway;
 use super::measures::{
-    AttemptCounts, CounterCallCounts, FleetCounts, InsideWorth, QuotaCounts, SecondCounts, Traffic,
-    WishCounts,
+    AttemptCounts, CounterCallCounts, DemandCounts, FleetCounts, InQuotaWeight, QuotaCounts, SecondCounts,
+    Traffic,
 };
 use super::processor::ProcessorSummary;
-use super::simulation::Outcome;
+use super::simulation::RunResult;
 use super::tenants::Tenant;
 use hdrhistogram::Histogram;
+use oliverack::Seconds;
 use serde::Serialize;
 
-/// Share of its burst by which a ceiling may be overdrawn.
-pub const CEILING_SLACK: f64 = 0.1;
+/// Share of its burst by which a ceiling may be overdrawn without being counted as exceeded.
+pub const MAX_CEILING_OVERDRAFT_SHARE: f64 = 0.1;
 
 /// Sizes of the run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RunRecord {
     /// The seed.
     pub seed: u64,
-    /// Seconds in which requests arrived.
-    pub seconds: f64,
-    /// Gatekeepers.
-    pub gatekeepers: usize,
-    /// Workers at the start.
-    pub workers: u32,
+    /// How long requests arrived.
+    pub seconds: Seconds,
+    /// Gateways.
+    #[serde(rename = "gatekeepers")]
+    pub gateways: usize,
+    /// Endpoints at the start.
+    #[serde(rename = "workers")]
+    pub endpoints: u32,
     /// Tenants.
     pub tenants: usize,
-    /// Requests a second that the tenants ask for on average.
+    /// Long-term mean of the requests a second of all tenants.
     pub nominal_requests_per_second: f64,
 }
 
-/// Times of the answers that served, from the client's first try on, in milliseconds.
+/// Time from the first submission to the response that served, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LatencyRecord {
     /// Mean.
     pub mean: f64,
     /// Median.
     pub p50: f64,
-    /// 90 of 100 stay within it.
+    /// 90th percentile.
     pub p90: f64,
-    /// 99 of 100.
+    /// 99th percentile.
     pub p99: f64,
-    /// 999 of 1000.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// What was passed, against the true quotas and ceilings.
+/// What was forwarded, against the true quotas and ceilings.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct QuotaRecord {
-    /// Units and worth.
+    /// Units and their weight.
     #[serde(flatten)]
     pub counts: QuotaCounts,
     /// Tenants under a ceiling.
     pub ceilings: usize,
-    /// Those of them whose ceiling was overdrawn by more than its slack.
-    pub ceilings_broken: usize,
+    /// Those of them whose ceiling was overdrawn by more than [`MAX_CEILING_OVERDRAFT_SHARE`].
+    #[serde(rename = "ceilings_broken")]
+    pub ceilings_exceeded: usize,
     /// The lowest level of any ceiling, as a share of its burst; 1 without any.
     pub lowest_ceiling: f64,
 }
 
-/// Messages of one role, both ways.
+/// Messages of one role, in both directions.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TrafficRecord {
-    /// The role.
+    /// Name of the role.
     pub role: &'static str,
     /// Messages a second.
     pub messages_per_second: f64,
@@ -72,34 +78,39 @@
     pub bytes_per_second: f64,
 }
 
-/// Calls a try.
+/// Means for each submission.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct PerTryRecord {
-    /// Tries that reached a gatekeeper.
-    pub tries: u64,
-    /// Attempts at workers.
+pub struct PerSubmissionRecord {
+    /// Submissions that reached a gateway.
+    #[serde(rename = "tries")]
+    pub submissions: u64,
+    /// Attempts at endpoints.
     pub attempts: f64,
     /// Counter calls.
     pub counter_calls: f64,
 }
 
-/// What gatekeepers hold.
+/// How much state the gateways and the counter have.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct StateRecord {
     /// Most requests open in the whole fleet at once.
     pub fleet_open_max: usize,
-    /// Most requests open at one gatekeeper at once.
-    pub gatekeeper_open_max: usize,
-    /// Tenants that a gatekeeper met, on average.
+    /// Most requests open at one gateway at once.
+    #[serde(rename = "gatekeeper_open_max")]
+    pub gateway_open_max: usize,
+    /// Mean of the tenants that a gateway received requests of.
     pub tenants_mean: f64,
-    /// Most tenants that one met.
+    /// Most tenants that a gateway received requests of.
     pub tenants_max: usize,
-    /// Workers that a gatekeeper lists at the end, on average.
-    pub workers_listed_mean: f64,
-    /// Those of them that it avoids.
-    pub workers_avoided_mean: f64,
-    /// Names that the counter holds at the end.
-    pub counter_names: usize,
+    /// Mean of the endpoints that a gateway lists at the end.
+    #[serde(rename = "workers_listed_mean")]
+    pub endpoints_listed_mean: f64,
+    /// Mean of those of them that it avoids.
+    #[serde(rename = "workers_avoided_mean")]
+    pub endpoints_avoided_mean: f64,
+    /// Entries that the counter holds at the end.
+    #[serde(rename = "counter_names")]
+    pub counter_entries: usize,
 }
 
 /// Processor time; the only record that differs between two runs of one file and seed.
@@ -108,7 +119,7 @@
     /// The policy's time.
     #[serde(flatten)]
     pub policy: ProcessorSummary,
-    /// Time that the whole run took.
+    /// Wall clock time of the run.
     pub run_wall_seconds: f64,
 }
 
@@ -118,27 +129,30 @@
 pub enum Record {
     /// Sizes.
     Run(RunRecord),
-    /// Wishes of clients.
-    Wishes(WishCounts),
+    /// Demands of clients.
+    #[serde(rename = "wishes")]
+    Demands(DemandCounts),
     /// Latency.
     Latency(LatencyRecord),
     /// Quotas and ceilings.
     Quotas(QuotaRecord),
-    /// Worth inside quotas.
-    InsideWorth(InsideWorth),
-    /// Attempts at workers.
+    /// Weight within quotas.
+    #[serde(rename = "inside_worth")]
+    InQuotaWeight(InQuotaWeight),
+    /// Attempts at endpoints.
     Attempts(AttemptCounts),
     /// Counter calls.
     CounterCalls(CounterCallCounts),
-    /// Calls a try.
-    PerTry(PerTryRecord),
+    /// Means for each submission.
+    #[serde(rename = "per_try")]
+    PerSubmission(PerSubmissionRecord),
     /// Lists and restarts.
     Fleet(FleetCounts),
     /// Messages of a role.
     Traffic(TrafficRecord),
-    /// State.
+    /// Amounts of state.
     State(StateRecord),
-    /// One second.
+    /// One second of the run.
     Second {
         /// Its number, from 0.
         second: usize,
@@ -150,36 +164,39 @@
     Processor(ProcessorRecord),
 }
 
-/// All records of a run, that of processor times last.
-pub fn records(outcome: &Outcome, seed: u64, run_wall_seconds: f64) -> Vec<Record> {
-    let measures = &outcome.measures;
+/// All records of a run; that of processor times is the last.
+pub fn records(result: &RunResult, seed: u64, run_wall_seconds: f64) -> Vec<Record> {
+    let measures = &result.measures;
     let mut records = vec![
-        Record::Run(run_record(outcome, seed)),
-        Record::Wishes(measures.wishes),
+        Record::Run(run_record(result, seed)),
+        Record::Demands(measures.demands),
         Record::Latency(latency_record(&measures.latency)),
-        Record::Quotas(quota_record(measures.quotas, &outcome.tenants)),
-        Record::InsideWorth(measures.inside),
+        Record::Quotas(quota_record(measures.quotas, &result.tenants)),
+        Record::InQuotaWeight(measures.in_quota_weight),
         Record::Attempts(measures.attempts),
         Record::CounterCalls(measures.counter_calls),
-        Record::PerTry(per_try_record(outcome)),
+        Record::PerSubmission(per_submission_record(result)),
         Record::Fleet(measures.fleet),
     ];
-    records.extend(traffic_records(outcome).into_iter().map(Record::Traffic));
-    records.push(Record::State(state_record(outcome)));
+    records.extend(traffic_records(result).into_iter().map(Record::Traffic));
+    records.push(Record::State(state_record(result)));
     let seconds = measures.seconds.iter().enumerate();
     records.extend(seconds.map(|(second, counts)| Record::Second { second, counts: *counts }));
-    records.push(Record::Processor(ProcessorRecord { policy: outcome.times.summary(), run_wall_seconds }));
+    records.push(Record::Processor(ProcessorRecord {
+        policy: result.processor_times.summary(),
+        run_wall_seconds,
+    }));
     records
 }
 
-fn run_record(outcome: &Outcome, seed: u64) -> RunRecord {
+fn run_record(result: &RunResult, seed: u64) -> RunRecord {
     RunRecord {
         seed,
-        seconds: outcome.configuration.seconds,
-        gatekeepers: outcome.gatekeepers.len(),
-        workers: outcome.configuration.workers.count,
-        tenants: outcome.tenants.len(),
-        nominal_requests_per_second: outcome.tenants.iter().map(Tenant::mean_requests_per_second).sum(),
+        seconds: result.configuration.seconds,
+        gateways: result.gateways.len(),
+        endpoints: result.configuration.endpoints.count,
+        tenants: result.tenants.len(),
+        nominal_requests_per_second: result.tenants.iter().map(Tenant::mean_requests_per_second).sum(),
     }
 }
 
@@ -200,54 +217,58 @@
     QuotaRecord {
         counts,
         ceilings: levels.len(),
-        ceilings_broken: levels.iter().filter(|level| **level < -CEILING_SLACK).count(),
+        ceilings_exceeded: levels.iter().filter(|level| **level < -MAX_CEILING_OVERDRAFT_SHARE).count(),
         lowest_ceiling: levels.iter().copied().fold(1.0, f64::min),
     }
 }
 
-fn per_try_record(outcome: &Outcome) -> PerTryRecord {
-    let tries = outcome.measures.tries;
-    let per_try = |count: u64| count as f64 / tries.max(1) as f64;
-    PerTryRecord {
-        tries,
-        attempts: per_try(outcome.measures.attempts.sent),
-        counter_calls: per_try(outcome.measures.counter_calls.made),
+fn per_submission_record(result: &RunResult) -> PerSubmissionRecord {
+    let submissions = result.measures.submissions;
+    let per_submission = |count: u64| count as f64 / submissions.max(1) as f64;
+    PerSubmissionRecord {
+        submissions,
+        attempts: per_submission(result.measures.attempts.sent),
+        counter_calls: per_submission(result.measures.counter_calls.made),
     }
 }
 
-fn traffic_records(outcome: &Outcome) -> Vec<TrafficRecord> {
+fn traffic_records(result: &RunResult) -> Vec<TrafficRecord> {
     let record = |role, messages: f64, bytes: f64| TrafficRecord {
         role,
-        messages_per_second: messages / outcome.configuration.seconds,
-        bytes_per_second: bytes / outcome.configuration.seconds,
+        messages_per_second: messages / result.configuration.seconds,
+        bytes_per_second: bytes / result.configuration.seconds,
     };
-    let whole = |role, traffic: Traffic| record(role, traffic.messages as f64, traffic.bytes as f64);
+    let total = |role, traffic: Traffic| record(role, traffic.messages as f64, traffic.bytes as f64);
+    let traffic = &result.measures.traffic;
     let mut all = Traffic::default();
-    outcome.gatekeepers.iter().for_each(|gatekeeper| all += gatekeeper.traffic);
-    let count = outcome.gatekeepers.len().max(1) as f64;
-    let busiest = outcome.gatekeepers.iter().map(|g| g.traffic).max_by_key(|t| t.messages);
-    let traffic = &outcome.measures.traffic;
+    for gateway in &traffic.gateways {
+        all += *gateway;
+    }
+    let count = traffic.gateways.len().max(1) as f64;
+    let busiest = traffic.gateways.iter().copied().max_by_key(|gateway| gateway.messages);
     vec![
-        whole("gatekeepers", all),
+        total("gatekeepers", all),
         record("gatekeeper_mean", all.messages as f64 / count, all.bytes as f64 / count),
-        whole("gatekeeper_max", busiest.unwrap_or_default()),
-        whole("counter", traffic.counter),
-        whole("discovery", traffic.discovery),
-        whole("workers", traffic.workers),
+        total("gatekeeper_max", busiest.unwrap_or_default()),
+        total("counter", traffic.counter),
+        total("discovery", traffic.discovery),
+        total("workers", traffic.endpoints),
     ]
 }
 
-fn state_record(outcome: &Outcome) -> StateRecord {
-    let gatekeepers = &outcome.gatekeepers;
-    let count = gatekeepers.len().max(1) as f64;
-    let targets: Vec<_> = gatekeepers.iter().map(|g| g.targets(outcome.end)).collect();
+fn state_record(result: &RunResult) -> StateRecord {
+    let gateways = &result.gateways;
+    let count = gateways.len().max(1) as f64;
+    let endpoint_counts: Vec<_> = gateways.iter().map(|g| g.endpoint_counts(result.end)).collect();
     StateRecord {
-        fleet_open_max: outcome.measures.most_open,
-        gatekeeper_open_max: gatekeepers.iter().map(|g| g.most_open).max().unwrap_or(0),
-        tenants_mean: gatekeepers.iter().map(|g| g.tenants()).sum::<usize>() as f64 / count,
-        tenants_max: gatekeepers.iter().map(|g| g.tenants()).max().unwrap_or(0),
-        workers_listed_mean: targets.iter().map(|t| t.listed).sum::<usize>() as f64 / count,
-        workers_avoided_mean: targets.iter().map(|t| t.avoided).sum::<usize>() as f64 / count,
-        counter_names: outcome.counter_names,
+        fleet_open_max: result.measures.max_open,
+        gateway_open_max: gateways.iter().map(SimulatedGateway::max_open_requests).max().unwrap_or(0),
+        tenants_mean: gateways.iter().map(SimulatedGateway::tenant_count).sum::<usize>() as f64 / count,
+        tenants_max: gateways.iter().map(SimulatedGateway::tenant_count).max().unwrap_or(0),
+        endpoints_listed_mean: endpoint_counts.iter().map(|counts| counts.listed).sum::<usize>() as f64
+            / count,
+        endpoints_avoided_mean: endpoint_counts.iter().map(|counts| counts.avoided).sum::<usize>() as f64
+            / count,
+        counter_entries: result.counter_entries,
     }
 }
--- a/src/node/wire/mod.rs
+++ b/src/node/wire/mod.rs
@@ -1,8 +1,7 @@
-//! Formats of messages and of their parts on the way, without sockets.
+//! Formats of messages and their parts, without sockets.
 
 pub mod client_request;
 pub mod client_response;
-pub mod counter_protocol;
 pub mod endpoint_list;
 pub mod limits;
 pub mod load_report;
