--- a/tests/ceiling_share.rs
+++ b/tests/ceiling_share.rs
@@ -1,15 +1,14 @@
 //! The share of a ceiling that one gateway grants.
 
 mod common;
-use common::{FakeCounter, GatewayHarness, settings};
+use common::{FakeCounter, GatewayHarness, PlanBuilder, settings};
 use oliverack::Event;
 
 /// One of two gateways, with a counter that replies to all calls and a ceiling of 17 units a second and 34 at once.
 fn under_a_ceiling(has_counter: bool) -> (GatewayHarness, FakeCounter) {
     let mut settings = settings();
     settings.has_counter = has_counter;
-    settings.plans[0].ceiling_rate = 17.0;
-    settings.plans[0].ceiling_burst = 34.0;
+    settings.plans = vec![PlanBuilder::new(10.0, 20.0).ceiling(17.0, 34.0).build()];
     (GatewayHarness::new(settings), FakeCounter::default())
 }
 
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -2,15 +2,15 @@
 
 mod common;
 use common::{
-    AttemptEnd, FakeCounter, GatewayHarness, counter_calls, fire_timers, plan, rejected_count, request,
-    settings, started_attempts,
+    AttemptEnd, FakeCounter, GatewayHarness, PlanBuilder, counter_calls, fire_timers, rejected_count,
+    request, settings, started_attempts,
 };
-use oliverack::{Action, Event, Status};
+use oliverack::{Action, Event, Request, Status};
 
 /// Six requests at once where this gateway's share of the concurrency limit is two slots; returns their actions, too.
 fn six_for_two_slots() -> (GatewayHarness, FakeCounter, Vec<Action>) {
     let mut settings = settings();
-    settings.plans[0].max_concurrent_attempts = 4;
+    settings.plans = vec![PlanBuilder::new(10.0, 20.0).max_concurrent_attempts(4).build()];
     let (mut harness, mut counter) = (GatewayHarness::new(settings), FakeCounter::default());
     let mut actions = Vec::new();
     for i in 0..6 {
@@ -44,15 +44,14 @@
 #[test]
 fn concurrency_limit_shares_add_up_to_limit() {
     for first in [0, 1] {
-        let at_once = |me: u32| {
+        let at_once = |gateway_index: u32| {
             let mut settings = settings();
-            settings.gateway_index = me;
-            settings.plans[0].max_concurrent_attempts = 3;
+            settings.gateway_index = gateway_index;
+            settings.plans = vec![PlanBuilder::new(10.0, 20.0).max_concurrent_attempts(3).build()];
             let (mut harness, mut counter) = (GatewayHarness::new(settings), FakeCounter::default());
             let mut sent = 0;
             for i in 0..6 {
-                let mut request = request(&format!("j{i}"), harness.now);
-                request.first_gateway = first;
+                let request = Request { first_gateway: first, ..request(&format!("j{i}"), harness.now) };
                 let actions = harness.handle(Event::Request(request));
                 sent += started_attempts(&actions).len()
                     + started_attempts(&counter.reply_to_calls(&mut harness, &actions)).len();
@@ -97,12 +96,8 @@
 
 #[test]
 fn streamed_response_start_frees_concurrency_slot_once() {
-    let mut capped = plan(0.0, 0.0);
-    capped.max_concurrent_attempts = 2;
-    capped.rate = 1000.0;
-    capped.burst = 1000.0;
     let mut settings = settings();
-    settings.plans = vec![capped];
+    settings.plans = vec![PlanBuilder::new(1000.0, 1000.0).max_concurrent_attempts(2).build()];
     settings.has_counter = false;
     settings.hedging_enabled = false;
     let mut harness = GatewayHarness::new(settings);
--- a/tests/counter_call_rate.rs
+++ b/tests/counter_call_rate.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::{GatewayHarness, counter_calls, request, settings, started_attempts};
-use oliverack::{Event, Status};
+use oliverack::{Event, Request, Status};
 
 /// Sends requests of a hundred new customers within one second and ends each counter call by `end`; returns the
 /// number of calls.
@@ -14,8 +14,8 @@
     let mut calls = 0;
     for i in 0..100 {
         harness.now += 0.01;
-        let mut request = request(&format!("{tag}{i}"), harness.now);
-        request.customer = format!("{tag}{i}").into();
+        let request =
+            Request { customer: format!("{tag}{i}").into(), ..request(&format!("{tag}{i}"), harness.now) };
         let actions = harness.handle(Event::Request(request));
         for (name, _) in counter_calls(&actions) {
             calls += 1;
--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -4,7 +4,7 @@
 use common::{
     AttemptEnd, GatewayHarness, endpoint, rejected_count, request, settings_without_quota, started_attempts,
 };
-use oliverack::{Class, Effect, EndpointId, Event, Lifecycle, ListKind, Status};
+use oliverack::{Class, Effect, EndpointId, Event, Lifecycle, ListKind, Request, Status};
 
 #[test]
 fn draining_or_unlisted_endpoint_gets_no_new_attempts() {
@@ -148,8 +148,7 @@
     let (mut erred, mut good) = (0, 0);
     for i in 0..400 {
         harness.now += 0.01;
-        let mut request = request(&format!("j{i}"), harness.now);
-        request.class = i % 2;
+        let request = Request { class: i % 2, ..request(&format!("j{i}"), harness.now) };
         for (request_id, to) in started_attempts(&harness.handle(Event::Request(request))) {
             let errs = &*to == "a" && i % 2 == 1;
             erred += usize::from(errs);
@@ -162,10 +161,9 @@
     harness.now += 20.0;
     let back = (0..60).filter(|i| {
         harness.now += 0.01;
-        let mut request = request(&format!("k{i}"), harness.now);
-        request.class = 1;
+        let request = Request { class: 1, ..request(&format!("k{i}"), harness.now) };
         let sent = started_attempts(&harness.handle(Event::Request(request)));
-        for (request_id, to) in sent.iter() {
+        for (request_id, to) in &sent {
             drop(harness.attempt_ended(request_id, 0, to, Status::Ok));
         }
         sent.iter().any(|(_, to)| &**to == "a")
--- a/tests/fleet_ceilings.rs
+++ b/tests/fleet_ceilings.rs
@@ -3,10 +3,10 @@
 
 mod common;
 use common::{
-    GatewayHarness, plan, request, running_endpoints, settings,
+    GatewayHarness, PlanBuilder, request, running_endpoints, settings,
     simulation::{CounterModel, Simulation},
 };
-use oliverack::{CustomerId, Event, RequestId, Settings, Time};
+use oliverack::{CustomerId, Event, Request, RequestId, Settings, Time};
 use std::collections::BTreeMap;
 
 const START: Time = 100.0;
@@ -35,14 +35,14 @@
     Heavy,
     /// The same, two thirds of it at one gateway.
     Skewed,
-    /// A third of the quota, and twenty times it for the two seconds round the trouble.
+    /// A third of the quota, and twenty times it for the two seconds around the counter fault.
     Spike,
-    /// Nothing before the trouble, and ten times the quota behind it.
+    /// Nothing before the counter fault, and ten times the quota after it.
     Late,
 }
 
 impl Pattern {
-    /// Units asked for at `now`, over the quota's rate.
+    /// Requested units at `now`, as a multiple of the quota's rate.
     fn usage(self, now: Time) -> f64 {
         match self {
             Self::Heavy | Self::Skewed => 4.0,
@@ -57,12 +57,12 @@
 struct Customer {
     id: CustomerId,
     pattern: Pattern,
-    spread: u32,
-    first: u32,
-    /// The true ceiling's level, and the lowest that it came to.
+    gateway_count: u32,
+    first_gateway: u32,
+    /// Units left in an exact token bucket of the ceiling.
     level: f64,
-    lowest: f64,
-    sent: f64,
+    lowest_level: f64,
+    units_sent: f64,
 }
 
 fn ceiling_settings(n: u32, has_counter: bool) -> Settings {
@@ -71,22 +71,27 @@
     settings.has_counter = has_counter;
     settings.max_units = f64::from(LARGEST);
     settings.counter_timeout = 0.15;
-    settings.plans = vec![plan(7.0, 40.0)];
     // The lowest ceiling that operators configure, 1.6 times the quota.
-    settings.plans[0].ceiling_rate = 11.2;
-    settings.plans[0].ceiling_burst = 64.0;
+    settings.plans = vec![PlanBuilder::new(7.0, 40.0).ceiling(11.2, 64.0).build()];
     settings
 }
 
 /// Customers of each pattern: at the largest number of gateways that suits the ceiling's burst, and at all gateways.
-fn customers(n: u32, settings: &Settings, dice: &mut fastrand::Rng) -> Vec<Customer> {
+fn customers(n: u32, settings: &Settings, random: &mut fastrand::Rng) -> Vec<Customer> {
     let usual = n.min((settings.plans[0].ceiling_burst / f64::from(2 * LARGEST)) as u32);
     let mut all = Vec::new();
-    for spread in [usual, n] {
+    for gateway_count in [usual, n] {
         for pattern in [Pattern::Heavy, Pattern::Skewed, Pattern::Spike, Pattern::Late] {
             let level = settings.plans[0].ceiling_burst;
-            let (id, first) = (format!("c{}", all.len()).into(), dice.u32(0..n));
-            all.push(Customer { id, pattern, spread, first, level, lowest: level, sent: 0.0 });
+            all.push(Customer {
+                id: format!("c{}", all.len()).into(),
+                pattern,
+                gateway_count,
+                first_gateway: random.u32(0..n),
+                level,
+                lowest_level: level,
+                units_sent: 0.0,
+            });
         }
     }
     all
@@ -103,19 +108,19 @@
 
 /// Simulates a fleet; a share `restarted` of the gateways restarts when the fault begins.
 fn play(n: u32, settings: &Settings, fault: CounterFault, restarted: f64) -> Vec<Customer> {
-    let mut dice = fastrand::Rng::with_seed(u64::from(n));
-    let mut customers = customers(n, settings, &mut dice);
+    let mut random = fastrand::Rng::with_seed(u64::from(n));
+    let mut customers = customers(n, settings, &mut random);
     let gateways = (0..n).map(|index| gateway(settings, index, START)).collect();
     let mut simulation =
         Simulation::new(gateways, CounterModel::new(1000.0, 0.003, 0.2, settings.counter_timeout));
     let mut requested: BTreeMap<RequestId, (usize, f64)> = BTreeMap::new();
     let plan = settings.plans[0];
-    let (mut number, mut troubled) = (0, false);
+    let (mut number, mut fault_has_begun) = (0, false);
     let steps = (SECONDS / STEP) as u32;
     for step in 0..steps {
         let now = START + f64::from(step) * STEP;
-        if now >= FAULT_TIME && !troubled {
-            troubled = true;
+        if now >= FAULT_TIME && !fault_has_begun {
+            fault_has_begun = true;
             match fault {
                 CounterFault::None => {}
                 CounterFault::Silent => simulation.counter.silent_until = now + SILENCE,
@@ -129,24 +134,26 @@
         }
         let mut sent = simulation.advance(now);
         for (c, customer) in customers.iter().enumerate() {
-            let mut due = customer.pattern.usage(now) * plan.rate * STEP;
-            while due > 0.0 {
-                let units = f64::from(dice.u32(1..=LARGEST));
-                let comes = dice.f64() < due / units;
-                due -= units;
-                if !comes {
+            let mut due_units = customer.pattern.usage(now) * plan.rate * STEP;
+            while due_units > 0.0 {
+                let units = f64::from(random.u32(1..=LARGEST));
+                let arrives = random.f64() < due_units / units;
+                due_units -= units;
+                if !arrives {
                     continue;
                 }
                 number += 1;
-                let alone = matches!(customer.pattern, Pattern::Skewed) && dice.u32(0..3) > 0;
-                let place = if alone { 0 } else { dice.u32(0..customer.spread) };
-                let mut request = request(&format!("j{number}"), now);
-                request.units = units;
-                request.customer_gateway_count = customer.spread;
-                request.first_gateway = customer.first;
-                request.customer = customer.id.clone();
+                let at_first_gateway = matches!(customer.pattern, Pattern::Skewed) && random.u32(0..3) > 0;
+                let position = if at_first_gateway { 0 } else { random.u32(0..customer.gateway_count) };
+                let request = Request {
+                    units,
+                    customer_gateway_count: customer.gateway_count,
+                    first_gateway: customer.first_gateway,
+                    customer: customer.id.clone(),
+                    ..request(&format!("j{number}"), now)
+                };
                 requested.insert(request.id.clone(), (c, units));
-                let gateway = ((customer.first + place) % n) as usize;
+                let gateway = ((customer.first_gateway + position) % n) as usize;
                 sent.extend(simulation.handle(gateway, now, Event::Request(request)));
             }
         }
@@ -157,8 +164,8 @@
             let (c, units) = requested[&request_id];
             let customer = &mut customers[c];
             customer.level -= units;
-            customer.sent += units;
-            customer.lowest = customer.lowest.min(customer.level);
+            customer.units_sent += units;
+            customer.lowest_level = customer.lowest_level.min(customer.level);
         }
     }
     customers
@@ -179,14 +186,22 @@
             for customer in play(n, &settings, *fault, restarted) {
                 let what = format!(
                     "{n} gateways, counter {has_counter}, {fault:?}, {restarted} restarted, {:?} over {}",
-                    customer.pattern, customer.spread
+                    customer.pattern, customer.gateway_count
+                );
+                assert!(
+                    customer.lowest_level >= -slack,
+                    "{what}: {:.1} below the ceiling",
+                    -customer.lowest_level
                 );
-                assert!(customer.lowest >= -slack, "{what}: {:.1} below the ceiling", -customer.lowest);
                 // A share of the burst below one request admits little, so customers of many gateways are only held
                 // to the ceiling.
-                if matches!(customer.pattern, Pattern::Heavy) && customer.spread < 9 {
+                if matches!(customer.pattern, Pattern::Heavy) && customer.gateway_count < 9 {
                     let quota = plan.rate * SECONDS;
-                    assert!(customer.sent >= 0.6 * quota, "{what}: {} of {quota} sent", customer.sent);
+                    assert!(
+                        customer.units_sent >= 0.6 * quota,
+                        "{what}: {} of {quota} sent",
+                        customer.units_sent
+                    );
                 }
             }
         }
--- a/tests/fleet_load.rs
+++ b/tests/fleet_load.rs
@@ -5,13 +5,12 @@
     AttemptEnd, GatewayHarness, endpoint, fleet, rejected_count, request, running_endpoints, settings,
     started_attempts,
 };
-use oliverack::{Action, Endpoint, EndpointId, Event, Lifecycle, ListKind, Plan, Status};
+use oliverack::{Action, Endpoint, EndpointId, Event, Lifecycle, ListKind, Plan, Request, Status};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Sends one request, whose attempt succeeds at once; returns the endpoint, if it was sent.
 fn send_one(harness: &mut GatewayHarness, request_id: &str, spread: u32) -> Option<EndpointId> {
-    let mut request = request(request_id, harness.now);
-    request.customer_gateway_count = spread;
+    let request = Request { customer_gateway_count: spread, ..request(request_id, harness.now) };
     let actions = harness.handle(Event::Request(request));
     let (request_id, endpoint) = started_attempts(&actions).pop()?;
     harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok);
@@ -223,8 +222,8 @@
             number += 1;
             let i = number % n as usize;
             gateways[i].now = now;
-            let mut request = request(&format!("j{number}"), now);
-            request.customer = format!("c{number}").into();
+            let request =
+                Request { customer: format!("c{number}").into(), ..request(&format!("j{number}"), now) };
             actions.extend(gateways[i].handle(Event::Request(request)).into_iter().map(|a| (i, a)));
         }
         for (i, action) in actions {
@@ -258,9 +257,11 @@
     settings.gateway_count = 100;
     let mut harness = GatewayHarness::new(settings);
     let send = |harness: &mut GatewayHarness, i: u32| {
-        let mut request = request(&format!("j{i}"), harness.now);
-        request.customer_gateway_count = 100;
-        request.customer = format!("c{i}").into();
+        let request = Request {
+            customer_gateway_count: 100,
+            customer: format!("c{i}").into(),
+            ..request(&format!("j{i}"), harness.now)
+        };
         harness.handle(Event::Request(request))
     };
     // More requests at once than the call rate permits: the others are admitted by the even share, unreported.
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -4,11 +4,11 @@
 
 mod common;
 use common::{
-    AttemptEnd, fleet, plan, request, running_endpoints, settings,
+    AttemptEnd, PlanBuilder, fleet, request, running_endpoints, settings,
     simulation::{CounterModel, Simulation},
     started_attempts,
 };
-use oliverack::{CustomerId, EndpointId, Event, Plan, RequestId, Time};
+use oliverack::{CustomerId, EndpointId, Event, Plan, Request, RequestId, Time};
 use std::collections::BTreeMap;
 
 const SECONDS: f64 = 12.0;
@@ -62,20 +62,12 @@
 }
 
 fn plans() -> Vec<Plan> {
-    let figures = [
-        (1.6, 8.0, 0.55, 0.6, 0.0),
-        (3.2, 14.0, 0.8, 0.0, 0.2),
-        (9.5, 19.0, 1.3, 0.8, 0.0),
-        (24.0, 50.0, 1.4, 1.2, 0.0),
-    ];
-    let plan = |(rate, burst, pays, cost, excess)| {
-        let mut plan = plan(rate, burst);
-        plan.priority_weight = pays;
-        plan.over_quota_cost_share = cost;
-        plan.over_quota_weight_share = excess;
-        plan
-    };
-    figures.map(plan).to_vec()
+    vec![
+        PlanBuilder::new(1.6, 8.0).priority_weight(0.55).over_quota(0.6, 0.0).build(),
+        PlanBuilder::new(3.2, 14.0).priority_weight(0.8).over_quota(0.0, 0.2).build(),
+        PlanBuilder::new(9.5, 19.0).priority_weight(1.3).over_quota(0.8, 0.0).build(),
+        PlanBuilder::new(24.0, 50.0).priority_weight(1.4).over_quota(1.2, 0.0).build(),
+    ]
 }
 
 fn customers(n: u32, rng: &mut fastrand::Rng) -> Vec<Customer> {
@@ -153,12 +145,14 @@
             // Uneven: a third of a customer's requests arrive at the first of its gateways.
             let position = if rng.u32(0..3) == 0 { 0 } else { rng.u32(0..customer.gateway_count) };
             let gateway = ((customer.first_gateway + position) % n) as usize;
-            let mut request = request(&format!("j{number}"), now);
-            request.units = units;
-            request.plan = customer.plan;
-            request.customer_gateway_count = customer.gateway_count;
-            request.first_gateway = customer.first_gateway;
-            request.customer = customer.id.clone();
+            let request = Request {
+                units,
+                plan: customer.plan,
+                customer_gateway_count: customer.gateway_count,
+                first_gateway: customer.first_gateway,
+                customer: customer.id.clone(),
+                ..request(&format!("j{number}"), now)
+            };
             requested.insert(request.id.clone(), (c, units));
             sent.extend(simulation.handle(gateway, now, Event::Request(request)));
         }
@@ -235,8 +229,7 @@
         requested += 1;
         let i = rng.usize(0..n as usize);
         gateways[i].now = now;
-        let mut request = request(&format!("j{step}"), now);
-        request.customer_gateway_count = n;
+        let request = Request { customer_gateway_count: n, ..request(&format!("j{step}"), now) };
         for (request_id, endpoint) in started_attempts(&gateways[i].handle(Event::Request(request))) {
             sent += 1;
             beyond += u32::from(running.len() >= 3);
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -4,7 +4,7 @@
 use common::{
     FakeCounter, GatewayHarness, endpoint, request, settings, settings_without_quota, started_attempts,
 };
-use oliverack::{Action, Effect, Event, Lifecycle, ListKind, Status};
+use oliverack::{Action, Effect, Event, Lifecycle, ListKind, Request, Status};
 
 /// A measure of the gateway's state: the length of its debug text.
 fn state_size(harness: &GatewayHarness) -> usize {
@@ -38,8 +38,7 @@
     for i in 0..5000 {
         let request_id = format!("j{i}");
         harness.now += 0.001;
-        let mut request = request(&request_id, harness.now);
-        request.customer = format!("once-{i}").into();
+        let request = Request { customer: format!("once-{i}").into(), ..request(&request_id, harness.now) };
         let mut actions = harness.handle(Event::Request(request));
         actions.extend(counter.reply_to_calls(&mut harness, &actions.clone()));
         for action in actions {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,8 +1,10 @@
 //! Random valid event sequences with fixed seeds: the invariants that one gateway can keep hold.
 
 mod common;
-use common::{GatewayHarness, endpoint, plan, request, settings};
-use oliverack::{Action, Effect, EndpointId, Event, Lifecycle, ListKind, Plan, RequestId, Status, Time};
+use common::{GatewayHarness, PlanBuilder, endpoint, request, settings};
+use oliverack::{
+    Action, Effect, EndpointId, Event, Lifecycle, ListKind, Plan, Request, RequestId, Status, Time,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A small fixed generator, so that a seed always gives the same sequence.
@@ -77,11 +79,11 @@
     let unsafe_class = seed % 3 == 0;
     let mut settings = settings();
     settings.classes[0].effect = if unsafe_class { Effect::AtMostOnce } else { Effect::Idempotent };
-    settings.plans.push(plan(1.0, 3.0));
-    settings.plans[1].max_concurrent_attempts = 2;
-    settings.plans[0].ceiling_rate = 20.0;
-    settings.plans[0].ceiling_burst = 40.0;
-    settings.plans.push(Plan::default());
+    settings.plans = vec![
+        PlanBuilder::new(10.0, 20.0).ceiling(20.0, 40.0).build(),
+        PlanBuilder::new(1.0, 3.0).max_concurrent_attempts(2).build(),
+        Plan::default(),
+    ];
     let mut harness = GatewayHarness::new(settings);
     for n in 0..1500 {
         harness.now += 0.002 * dice.roll(4) as f64;
@@ -98,13 +100,15 @@
         }
         let actions = match dice.roll(10) {
             0..4 => {
-                let mut r = request(&format!("j{n}"), harness.now);
-                r.plan = dice.roll(3) as usize;
-                r.customer_gateway_count = 1 + dice.roll(3) as u32;
-                r.customer = format!("c{}", dice.roll(4)).as_str().into();
-                r.deadline = harness.now + 0.01 * dice.roll(100) as f64;
-                world.deadline.insert(r.id.clone(), r.deadline);
-                harness.handle(Event::Request(r))
+                let request = Request {
+                    plan: dice.roll(3) as usize,
+                    customer_gateway_count: 1 + dice.roll(3) as u32,
+                    customer: format!("c{}", dice.roll(4)).as_str().into(),
+                    deadline: harness.now + 0.01 * dice.roll(100) as f64,
+                    ..request(&format!("j{n}"), harness.now)
+                };
+                world.deadline.insert(request.id.clone(), request.deadline);
+                harness.handle(Event::Request(request))
             }
             4..7 if !world.running.is_empty() => {
                 let i = dice.roll(world.running.len() as u64) as usize;
--- a/tests/replicas.rs
+++ b/tests/replicas.rs
@@ -1,7 +1,7 @@
 //! Replicas: several processes of one gateway side by side, as in a hot restart.
 
 mod common;
-use common::{FakeCounter, GatewayHarness, endpoint, plan, settings, started_attempts};
+use common::{FakeCounter, GatewayHarness, PlanBuilder, endpoint, plan, settings, started_attempts};
 use oliverack::{Event, Lifecycle, ListKind, Plan};
 
 fn gateway_without_counter(plan: Plan) -> GatewayHarness {
@@ -45,15 +45,21 @@
 
 #[test]
 fn concurrency_limit_is_divided_among_replicas() {
-    let open = |place, of| {
-        let mut plan = plan(1000.0, 1000.0);
-        plan.max_concurrent_attempts = 8;
+    let started_by_replica = |index, count| {
+        let plan = PlanBuilder::new(1000.0, 1000.0).max_concurrent_attempts(8).build();
         let mut harness = gateway_without_counter(plan);
-        set_replica(&mut harness, place, of);
+        set_replica(&mut harness, index, count);
         (0..8).map(|i| started_attempts(&harness.send_request(&format!("j{i}"))).len()).sum::<usize>()
     };
     // Eight slots at two gateways.
-    assert_eq!((open(0, 1), open(0, 2) + open(1, 2), open(0, 3) + open(1, 3) + open(2, 3)), (4, 4, 4));
+    assert_eq!(
+        (
+            started_by_replica(0, 1),
+            started_by_replica(0, 2) + started_by_replica(1, 2),
+            started_by_replica(0, 3) + started_by_replica(1, 3) + started_by_replica(2, 3)
+        ),
+        (4, 4, 4)
+    );
 }
 
 #[test]
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -2,11 +2,11 @@
 
 mod common;
 use common::{
-    GatewayHarness, counter_calls, endpoint, failed_count, plan, rejected_count, request, settings,
+    GatewayHarness, PlanBuilder, counter_calls, endpoint, failed_count, rejected_count, request, settings,
     settings_without_quota, started_attempts,
 };
 use oliverack::{
-    Action, Effect, Endpoint, EndpointId, Event, IdempotencyScope, Lifecycle, ListKind, Status, Time,
+    Action, Effect, Endpoint, EndpointId, Event, IdempotencyScope, Lifecycle, ListKind, Request, Status, Time,
 };
 
 #[test]
@@ -51,8 +51,7 @@
 #[test]
 fn request_with_deadline_within_hold_time_is_rejected_at_once() {
     let mut harness = GatewayHarness::new(settings());
-    let mut near = request("j", harness.now);
-    near.deadline = harness.now + 0.003;
+    let near = Request { deadline: harness.now + 0.003, ..request("j", harness.now) };
     assert_eq!(rejected_count(&harness.handle(Event::Request(near))), 1);
 }
 
@@ -166,8 +165,7 @@
     }
     // Waiting for a concurrency slot.
     let mut settings = settings_without_quota(Effect::Idempotent);
-    settings.plans = vec![plan(10.0, 20.0)];
-    settings.plans[0].max_concurrent_attempts = 1;
+    settings.plans = vec![PlanBuilder::new(10.0, 20.0).max_concurrent_attempts(1).build()];
     settings.gateway_count = 1;
     settings.has_counter = false;
     let mut harness = GatewayHarness::new(settings);
