--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn run(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_oliverack-sim"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -14,18 +14,21 @@
     child.wait_with_output().expect("it ends")
 }
 
-fn fails(messages: &str, wanted: &str) {
+fn assert_batch_fails(messages: &str, expected: &str) {
     let input =
         format!("{{\"Moment\":1.0,\"n\":7,\"groups\":[{{\"GatekeeperId\":0,\"msgs\":[{messages}]}}]}}\n");
-    let output = run(&input);
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && output.stdout.is_empty(), "{said}");
-    assert!(said.lines().count() == 1 && said.contains("batch 7") && said.contains(wanted), "{said}");
+    let output = run_adapter(&input);
+    let stderr = String::from_utf8(output.stderr).expect("text");
+    assert!(!output.status.success() && output.stdout.is_empty(), "{stderr}");
+    assert!(
+        stderr.lines().count() == 1 && stderr.contains("batch 7") && stderr.contains(expected),
+        "{stderr}"
+    );
 }
 
 #[test]
 fn empty_batch_gets_empty_reply_and_end_of_input_exits_cleanly() {
-    let output = run("{\"Moment\":8.4,\"n\":1,\"groups\":[]}\n");
+    let output = run_adapter("{\"Moment\":8.4,\"n\":1,\"groups\":[]}\n");
     assert!(output.status.success());
     let reply: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one reply");
     assert_eq!(reply, serde_json::json!({"n": 1, "groups": []}));
@@ -33,7 +36,7 @@
 
 #[test]
 fn invalid_json_exits_with_error() {
-    let output = run("nonsense\n");
+    let output = run_adapter("nonsense\n");
     assert!(!output.status.success() && output.stdout.is_empty());
     assert_eq!(String::from_utf8(output.stderr).expect("text").lines().count(), 1);
 }
@@ -41,11 +44,11 @@
 #[test]
 fn invalid_event_error_names_batch_and_field() {
     let start = r#"["NEW_INSTANCE",5,{"Unknown":1}]"#;
-    fails(r#"["ELAPSED",1]"#, "unknown instance");
-    fails(r#"["NEW_INSTANCE",5]"#, "Options");
-    fails(r#"["NEW_INSTANCE",5,{"PeersTotal":0}]"#, "no gateways");
-    fails(&format!("{start},[\"NONESUCH\"]"), "NONESUCH");
-    fails(&format!("{start},[\"ELAPSED\"]"), "ELAPSED.Name");
-    fails(&format!("{start},[\"LEFT\",5]"), "LEFT.Job");
-    fails(&format!("{start},[\"PEERS_KNOWN\",1,3,\"F\"]"), "PEERS_KNOWN.Page");
+    assert_batch_fails(r#"["ELAPSED",1]"#, "unknown instance");
+    assert_batch_fails(r#"["NEW_INSTANCE",5]"#, "Options");
+    assert_batch_fails(r#"["NEW_INSTANCE",5,{"PeersTotal":0}]"#, "no gateways");
+    assert_batch_fails(&format!("{start},[\"NONESUCH\"]"), "NONESUCH");
+    assert_batch_fails(&format!("{start},[\"ELAPSED\"]"), "ELAPSED.Name");
+    assert_batch_fails(&format!("{start},[\"LEFT\",5]"), "LEFT.Job");
+    assert_batch_fails(&format!("{start},[\"PEERS_KNOWN\",1,3,\"F\"]"), "PEERS_KNOWN.Page");
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -9,66 +9,81 @@
 };
 
 /// A configuration file, removed when it is dropped.
-struct File(PathBuf);
+struct ConfigFile {
+    path: PathBuf,
+}
 
-impl File {
+impl ConfigFile {
     fn new(name: &str, text: &str) -> Self {
         let path = std::env::temp_dir().join(format!("oliverack-check-{name}-{}", std::process::id()));
         std::fs::write(&path, text).expect("a writable folder for temporary files");
-        Self(path)
+        Self { path }
     }
 }
 
-impl Drop for File {
+impl Drop for ConfigFile {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.0);
+        let _ = std::fs::remove_file(&self.path);
     }
 }
 
-fn program(arguments: &[&str]) -> Output {
+/// Runs the program to its end.
+fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oliverack"));
-    ["NODE_CONFIG", "NODE_OPERATOR", "NODE_ACCEPT_FD", "OLIVERACK_LOG"].iter().for_each(|name| {
+    for name in ["NODE_CONFIG", "NODE_OPERATOR", "NODE_ACCEPT_FD", "OLIVERACK_LOG"] {
         command.env_remove(name);
-    });
+    }
     command.args(arguments).output().expect("the program starts")
 }
 
-fn check(file: &File) -> (bool, String, String) {
-    let output = program(&["check", file.0.to_str().expect("a plain path")]);
+/// The end of `oliverack check`.
+struct CheckResult {
+    succeeded: bool,
+    stdout: String,
+    stderr: String,
+}
+
+fn check(file: &ConfigFile) -> CheckResult {
+    let output = run_program(&["check", file.path.to_str().expect("a plain path")]);
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    (output.status.success(), text(output.stdout), text(output.stderr))
+    CheckResult {
+        succeeded: output.status.success(),
+        stdout: text(output.stdout),
+        stderr: text(output.stderr),
+    }
 }
 
 /// A valid configuration; no process is started with it.
-fn usable() -> Value {
+fn valid_config() -> Value {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     builder.config()
 }
 
-fn with(pointer: &str, value: Value) -> String {
-    let mut config = usable();
+/// The valid configuration with one value replaced.
+fn config_with(pointer: &str, value: Value) -> String {
+    let mut config = valid_config();
     *config.pointer_mut(pointer).expect("a key") = value;
     config.to_string()
 }
 
 #[test]
 fn check_of_valid_configuration_succeeds_and_lists_only_unknown_keys() {
-    let mut config = usable();
+    let mut config = valid_config();
     // Keys of the protocol that the gateway doesn't use.
     config["settings"]["Prices"] = json!({"Waste": 0.08});
     config["settings"]["Classes"][0]["Worth"] = json!(2.0);
     config["limits"]["cores"] = json!(1.0);
-    let file = File::new("usable", &config.to_string());
-    let (succeeded, stdout, stderr) = check(&file);
+    let file = ConfigFile::new("usable", &config.to_string());
+    let CheckResult { succeeded, stdout, stderr } = check(&file);
     assert!(succeeded && stderr.is_empty(), "{stderr}");
-    assert_eq!(stdout, format!("{}: usable\n", file.0.display()));
+    assert_eq!(stdout, format!("{}: usable\n", file.path.display()));
     // Two misspelled keys.
     config["settings"]["Limits"]["ConIdle"] = json!(3);
     config["settings"]["Classes"][1]["slo"] = json!(3);
-    let file = File::new("unknown", &config.to_string());
-    let (succeeded, stdout, _) = check(&file);
-    let name = file.0.display();
+    let file = ConfigFile::new("unknown", &config.to_string());
+    let CheckResult { succeeded, stdout, .. } = check(&file);
+    let name = file.path.display();
     let expected = format!(
         "{name}: unknown key settings.Classes[].slo\n{name}: unknown key settings.Limits.ConIdle\n{name}: usable\n"
     );
@@ -79,37 +94,38 @@
 #[test]
 fn check_of_invalid_configuration_prints_one_line_with_key_path() {
     let bad = [
-        ("listen", with("/listen", json!("nowhere"))),
-        ("seed", with("/seed", json!("xyz"))),
-        ("limits.sockets", with("/limits/sockets", json!(3))),
-        ("limits.sockets", with("/limits/sockets", json!("many"))),
-        ("limits.memory_mb", with("/limits/memory_mb", json!(1))),
-        ("known.servers[0].cell", with("/known/servers/0/cell", json!("hall"))),
-        ("settings.PeersTotal", with("/settings/PeersTotal", json!(0))),
-        ("settings.Me", with("/settings/Me", json!(7))),
-        ("settings.Step", with("/settings/Step", json!("soon"))),
-        ("settings.Classes[1].Effect", with("/settings/Classes/1/Effect", json!("twice"))),
-        ("settings.Classes[0].Slo", with("/settings/Classes/0/Slo", json!("soon"))),
-        ("settings.Limits.ConnIdle", with("/settings/Limits/ConnIdle", json!(-1))),
-        ("settings.Limits.SecondCopies", with("/settings/Limits/SecondCopies", json!("yes"))),
-        ("settings.Domain.CountLimit", with("/settings/Domain/CountLimit", json!(-1))),
-        ("settings.Plans[].QuotaRate", with("/settings/Plans/0/QuotaRate", json!(-1))),
+        ("listen", config_with("/listen", json!("nowhere"))),
+        ("seed", config_with("/seed", json!("xyz"))),
+        ("limits.sockets", config_with("/limits/sockets", json!(3))),
+        ("limits.sockets", config_with("/limits/sockets", json!("many"))),
+        ("limits.memory_mb", config_with("/limits/memory_mb", json!(1))),
+        ("known.servers[0].cell", config_with("/known/servers/0/cell", json!("hall"))),
+        ("settings.PeersTotal", config_with("/settings/PeersTotal", json!(0))),
+        ("settings.Me", config_with("/settings/Me", json!(7))),
+        ("settings.Step", config_with("/settings/Step", json!("soon"))),
+        ("settings.Classes[1].Effect", config_with("/settings/Classes/1/Effect", json!("twice"))),
+        ("settings.Classes[0].Slo", config_with("/settings/Classes/0/Slo", json!("soon"))),
+        ("settings.Limits.ConnIdle", config_with("/settings/Limits/ConnIdle", json!(-1))),
+        ("settings.Limits.SecondCopies", config_with("/settings/Limits/SecondCopies", json!("yes"))),
+        ("settings.Domain.CountLimit", config_with("/settings/Domain/CountLimit", json!(-1))),
+        ("settings.Plans[].QuotaRate", config_with("/settings/Plans/0/QuotaRate", json!(-1))),
         ("malformed", "{".to_owned()),
-        ("malformed", usable().to_string() + "}"),
+        ("malformed", valid_config().to_string() + "}"),
     ];
     for (path, text) in bad {
-        let (succeeded, stdout, stderr) = check(&File::new("bad", &text));
+        let CheckResult { succeeded, stdout, stderr } = check(&ConfigFile::new("bad", &text));
         assert!(!succeeded && stdout.is_empty(), "{path}: {stdout}");
         assert!(stderr.lines().count() == 1 && stderr.starts_with("oliverack: "), "{path}: {stderr}");
         assert!(stderr.contains(path), "{path}: {stderr}");
     }
-    let (succeeded, _, stderr) = check(&File(std::env::temp_dir().join("oliverack-check-no-such-file")));
+    let CheckResult { succeeded, stderr, .. } =
+        check(&ConfigFile { path: std::env::temp_dir().join("oliverack-check-no-such-file") });
     assert!(!succeeded && stderr.lines().count() == 1, "{stderr}");
 }
 
 #[test]
 fn schema_covers_every_configuration_key() {
-    let output = program(&["schema"]);
+    let output = run_program(&["schema"]);
     assert!(output.status.success());
     let schema: Value = serde_json::from_slice(&output.stdout).expect("a schema is JSON");
     /// Follows references and alternatives to the schema of an object or a list.
@@ -124,12 +140,14 @@
     fn covers(schema: &Value, value: &Value, path: &str, root: &Value) {
         let schema = resolve(schema, root);
         match value {
-            Value::Object(keys) => keys.iter().for_each(|(key, value)| {
-                let known = &schema["properties"][key];
-                let unused = ["cores", "kind", "weight"].contains(&key.as_str());
-                assert!(!known.is_null() || unused, "{path}.{key} is not in {schema}");
-                covers(known, value, &format!("{path}.{key}"), root);
-            }),
+            Value::Object(keys) => {
+                for (key, value) in keys {
+                    let known = &schema["properties"][key];
+                    let unused = ["cores", "kind", "weight"].contains(&key.as_str());
+                    assert!(!known.is_null() || unused, "{path}.{key} is not in {schema}");
+                    covers(known, value, &format!("{path}.{key}"), root);
+                }
+            }
             Value::Array(items) => {
                 for item in items {
                     covers(&schema["items"], item, &format!("{path}[]"), root);
@@ -138,22 +156,22 @@
             _ => {}
         }
     }
-    covers(&schema, &usable(), "", &schema);
+    covers(&schema, &valid_config(), "", &schema);
 }
 
 #[test]
 fn help_and_version_are_printed_and_unknown_command_fails() {
-    let help = program(&["--help"]);
+    let help = run_program(&["--help"]);
     let text = String::from_utf8(help.stdout).expect("text");
     assert!(help.status.success());
     for word in ["check", "schema", "NODE_CONFIG", "OLIVERACK_LOG"] {
         assert!(text.contains(word));
     }
-    let version = program(&["--version"]);
+    let version = run_program(&["--version"]);
     assert!(version.status.success());
     assert_eq!(version.stdout, format!("oliverack {}\n", env!("CARGO_PKG_VERSION")).as_bytes());
-    assert!(!program(&["chek"]).status.success());
-    let stderr = String::from_utf8(program(&[]).stderr).expect("text");
+    assert!(!run_program(&["chek"]).status.success());
+    let stderr = String::from_utf8(run_program(&[]).stderr).expect("text");
     assert_eq!(stderr, "oliverack: NODE_CONFIG names no file\n");
 }
 
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -38,14 +38,14 @@
 }
 
 /// A gateway whose only endpoint accepts no connections, and a connected client.
-struct Scene {
+struct SaturatedGateway {
     saturated: SaturatedListener,
     node: Node,
     client: Client,
     _discovery: FakeDiscovery,
 }
 
-impl Scene {
+impl SaturatedGateway {
     fn new() -> Self {
         let saturated = SaturatedListener::start();
         let (builder, discovery) = node_with_saturated_endpoint(&saturated);
@@ -57,7 +57,7 @@
 
 #[test]
 fn client_disconnect_cancels_attempt_that_awaits_connection() {
-    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     client.send(&patient_request("gone"));
     saturated.wait_for_pending_connections(1);
     drop(client);
@@ -66,7 +66,7 @@
 
 #[test]
 fn disconnect_behind_pipelined_requests_beyond_read_buffer_is_detected() {
-    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     // More requests than the gateway reads ahead while one is in flight.
     for i in 0..100 {
         client.send(&patient_request(&format!("p{i}")).header("X-Other", &"x".repeat(500)));
@@ -78,7 +78,7 @@
 
 #[test]
 fn disconnect_behind_pipelined_requests_beyond_socket_buffers_is_detected() {
-    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     let pieces = client.reader.get_ref().try_clone().expect("a socket");
     // The close follows data in the send buffer of the client's socket.
     SockRef::from(&pieces).set_send_buffer_size(1 << 20).expect("a socket");
@@ -94,7 +94,7 @@
 
 #[test]
 fn pipelined_requests_read_ahead_are_answered_in_order() {
-    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     client.send(&patient_request("first"));
     saturated.wait_for_pending_connections(1);
     for i in 0..40 {
@@ -109,7 +109,7 @@
 
 #[test]
 fn disconnect_during_upload_that_awaits_connection_is_detected() {
-    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     // Too large to be buffered: some of it has been read, some waits in the socket, the end never arrives.
     let mut upload =
         TestRequest::submit("body").header("X-Remaining", "100.0").header("Content-Length", "4000000");
@@ -122,7 +122,7 @@
 
 #[test]
 fn disconnect_behind_upload_beyond_socket_buffers_is_detected() {
-    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     let pieces = client.reader.get_ref().try_clone().expect("a socket");
     SockRef::from(&pieces).set_send_buffer_size(1 << 20).expect("a socket");
     drop(pieces);
@@ -137,7 +137,7 @@
 
 #[test]
 fn body_read_before_endpoint_connects_is_forwarded_complete() {
-    let Scene { saturated, node: _node, mut client, .. } = Scene::new();
+    let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     let mut upload = TestRequest::submit("body").header("X-Remaining", "100.0");
     upload.body = (0..900_000u32).map(|i| (i % 251) as u8).collect();
     client.send(&upload);
@@ -191,12 +191,17 @@
     saturated.wait_until_abandoned();
 }
 
+/// A gateway with a request in flight, of which one attempt waits for its connection.
+struct HedgedRequest {
+    builder: NodeBuilder,
+    node: Node,
+    client: Client,
+    _discovery: FakeDiscovery,
+}
+
 /// Sends a request with an idempotency key that `healthy` holds, and whose hedged request waits for its connection to
 /// `saturated`, whichever of the two was selected first. The idempotency window is four seconds.
-fn send_hedged_request(
-    saturated: &SaturatedListener,
-    healthy: &FakeEndpoint,
-) -> (NodeBuilder, Node, Client, FakeDiscovery) {
+fn send_hedged_request(saturated: &SaturatedListener, healthy: &FakeEndpoint) -> HedgedRequest {
     let (mut builder, discovery) = NodeBuilder::new(&[healthy]);
     builder.known_endpoints.push(endpoint_entry("w1", saturated.addr, "SERVING"));
     discovery.update_entry(builder.known_endpoints[1].clone());
@@ -213,14 +218,14 @@
     client.send(&patient_request("keyed").header("Idempotency-Key", "k"));
     saturated.wait_for_pending_connections(1);
     healthy.next_request();
-    (builder, node, client, discovery)
+    HedgedRequest { builder, node, client, _discovery: discovery }
 }
 
 #[test]
 fn hedged_request_awaiting_connection_past_idempotency_window_is_cancelled() {
     let (saturated, healthy) =
         (SaturatedListener::start(), FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed));
-    let (_setup, _node, _client, _discovery) = send_hedged_request(&saturated, &healthy);
+    let _hedged_request = send_hedged_request(&saturated, &healthy);
     saturated.wait_until_abandoned();
     assert_eq!(healthy.drain_requests().len(), 0);
 }
@@ -230,7 +235,8 @@
     let (saturated, gate) = (SaturatedListener::start(), Arc::new(Gate::default()));
     let healthy = FakeEndpoint::start(EndpointBehaviour::RespondAfter(gate.clone()));
     let sent = Instant::now();
-    let (builder, node, mut client, _discovery) = send_hedged_request(&saturated, &healthy);
+    let hedged_request = send_hedged_request(&saturated, &healthy);
+    let HedgedRequest { builder, node, mut client, _discovery } = hedged_request;
     let mut opened = None;
     node.reload_while(&builder.config().to_string(), || {
         opened = Some(saturated.open_to_pending(EndpointBehaviour::Respond("late")));
