--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -97,7 +97,7 @@
         let requests: Vec<_> = (from..from + 12)
             .flat_map(|i| started_attempts(&harness.send_request(&format!("j{i}"))))
             .collect();
-        for (request_id, to) in requests.iter() {
+        for (request_id, to) in &requests {
             drop(harness.attempt_ended(request_id, 0, to, Status::Ok));
         }
         requests.iter().filter(|(_, to)| *to == first).count()
