--- a/lab/src/process/load.rs
+++ b/lab/src/process/load.rs
@@ -1,4 +1,4 @@
-//! The load: clients that each send one request after another on a kept connection.
+//! The load: clients that each send one request after another on a persistent connection.
 
 use super::{
     Error,
@@ -15,24 +15,24 @@
     time::Duration,
 };
 
-/// An answer that takes longer is given up.
-const ANSWER_LIMIT: Duration = Duration::from_secs(5);
-/// Gateways that carry a tenant's requests, where there are so many.
-const SPREAD: u32 = 3;
+/// Longest wait for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Gateways that serve a tenant, unless there are fewer.
+const GATEWAYS_PER_TENANT: u32 = 3;
 
-/// Numbers of the requests, unique in this process.
-static REQUESTS: AtomicU64 = AtomicU64::new(1);
+/// Number of the next request; unique in this process.
+static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// What is sent.
+/// Requests to be sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Requests in all.
+    /// How many requests are sent.
     pub requests: u64,
-    /// Requests that went before: the tenants' turns go on after them.
+    /// How many were sent before; the tenants take turns after them.
     pub before: u64,
-    /// Connections that share them.
+    /// Connections on which they are sent.
     pub connections: u64,
-    /// Tenants that they come from in turn; `None`: one tenant, without a quota.
+    /// Tenants with a quota, which take turns; `None` for one tenant without a quota.
     pub metered_tenants: Option<u64>,
     /// Gateways in the program's settings.
     pub gateways: u32,
@@ -40,7 +40,7 @@
 
 /// How the requests ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Outcome {
+pub struct LoadResult {
     /// Requests sent.
     pub sent: u64,
     /// Requests answered 200.
@@ -48,11 +48,11 @@
 }
 
 impl Load {
-    /// Sends the requests and waits for all answers.
+    /// Sends the requests and waits for all responses.
     ///
     /// # Errors
     /// A connection fails.
-    pub fn run(&self, address: SocketAddr) -> Result<Outcome, Error> {
+    pub fn run(&self, address: SocketAddr) -> Result<LoadResult, Error> {
         let share = self.requests.div_ceil(self.connections);
         let clients: Vec<_> = (0..self.connections)
             .map(|client| {
@@ -62,40 +62,40 @@
                 thread::spawn(move || load.run_client(address, first..last))
             })
             .collect();
-        let mut total = Outcome::default();
+        let mut total = LoadResult::default();
         for client in clients {
-            let outcome = client.join().unwrap_or_else(|panic| resume_unwind(panic));
-            let outcome = outcome.map_err(|error| Error::System("sending requests", error))?;
-            total.sent += outcome.sent;
-            total.served += outcome.served;
+            let result = client.join().unwrap_or_else(|panic| resume_unwind(panic));
+            let result = result.map_err(Error::system("sending requests"))?;
+            total.sent += result.sent;
+            total.served += result.served;
         }
         Ok(total)
     }
 
-    fn run_client(&self, address: SocketAddr, requests: Range<u64>) -> io::Result<Outcome> {
+    fn run_client(&self, address: SocketAddr, requests: Range<u64>) -> io::Result<LoadResult> {
         let mut socket = TcpStream::connect(address)?;
         socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(ANSWER_LIMIT))?;
+        socket.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         let mut reader = BufReader::new(socket.try_clone()?);
-        let mut outcome = Outcome::default();
+        let mut result = LoadResult::default();
         for number in requests {
             socket.write_all(self.request(number).as_bytes())?;
             let answer = http::read_message(&mut reader)?.ok_or(io::ErrorKind::UnexpectedEof)?;
-            outcome.sent += 1;
-            outcome.served += u64::from(answer.status() == Some(200));
+            result.sent += 1;
+            result.served += u64::from(answer.status() == Some(200));
         }
-        Ok(outcome)
+        Ok(result)
     }
 
     fn request(&self, number: u64) -> String {
-        let transaction = REQUESTS.fetch_add(1, Ordering::Relaxed);
+        let transaction = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
         let plan = if self.metered_tenants.is_some() { PLAN_METERED } else { PLAN_FREE };
         let tenant = (self.before + number) % self.metered_tenants.unwrap_or(1).max(1);
-        let spread = SPREAD.min(self.gateways);
+        let customer_gateway_count = GATEWAYS_PER_TENANT.min(self.gateways);
         format!(
             "GET /{CLASS} HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {transaction:016x}\r\nX-Lane: {CLASS}\r\n\
              X-Plan: {plan}\r\nX-Customer: {tenant:016x}\r\nX-Remaining: 4.0\r\n\
-             X-Quota: units=1,spread={spread},first=0\r\n\r\n"
+             X-Quota: units=1,spread={customer_gateway_count},first=0\r\n\r\n"
         )
     }
 }
--- a/lab/tests/demo.rs
+++ b/lab/tests/demo.rs
@@ -1,9 +1,9 @@
-//! What the demonstration shows, as the policy decides it.
+//! The decisions of the policy under the configuration of the demonstration.
 
 use oliverack::{Action, Endpoint, Event, Gateway, Lifecycle, ListKind, Options, Request, Status};
 use oliverack_lab::{
     demo::{Addresses, configuration},
-    process::stand_in_discovery::{Entry, State},
+    process::stand_in_discovery::{EntryState, ListEntry},
 };
 
 fn addresses() -> Addresses {
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn three_requests_at_once_are_sent_and_the_fourth_is_told_when_to_come_back() {
-    let entry = Entry::new(0, "127.0.0.1:9".parse().expect("an address"), State::Serving);
+fn fourth_request_at_once_is_rejected_with_retry_after() {
+    let entry = ListEntry::new(0, "127.0.0.1:9".parse().expect("an address"), EntryState::Serving);
     let configuration = configuration(addresses(), &[entry]);
     let options = Options::read(&configuration["settings"]).expect("readable");
     let mut gateway = Gateway::new(options.settings, 7).expect("usable");
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -3,20 +3,26 @@
 //! 1. `config`, `config_check`, `metrics` and `wire`: values and formats, without sockets.
 //! 2. `hot_restart`: what processes of one gateway tell each other, and leave to the next one.
 //! 3. `connection`: clients, endpoints, the counter, discovery and operators.
-//! 4. `runtime`: the clock, timers, open requests and the driver of the policy.
-//! 5. `descriptors`, `listener`, `start`, `reload`, `drain`: the life of the process.
+//! 4. `runtime`: the driver of the policy, with the clock, timers, open requests and attempts.
+//! 5. `assembly`, `descriptors`, `error`, `listener`, `operator_calls`, `reload`, `shutdown`, `start` and `tasks`:
+//!    the life of the process.
 
+mod assembly;
 mod config;
 pub mod config_check;
 mod connection;
 mod descriptors;
-mod drain;
+mod error;
 mod hot_restart;
 mod listener;
 mod metrics;
+mod operator_calls;
 mod reload;
 mod runtime;
+mod shutdown;
 mod start;
+mod tasks;
 mod wire;
 
-pub use start::{NodeError, run_configured};
+pub use error::NodeError;
+pub use start::run_configured;
