--- a/lab/src/fleet/simulation/endpoint_fleet.rs
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -152,10 +152,8 @@
         requests: &RequestTable,
         endpoint: usize,
     ) -> Option<Endpoint> {
-        if self.endpoints[endpoint].state != EndpointState::Serving {
-            return None;
-        }
-        Some(self.reset_and_leave(context, requests, endpoint, EndpointState::Down))
+        let is_serving = self.endpoints[endpoint].state == EndpointState::Serving;
+        is_serving.then(|| self.shut_down(context, requests, endpoint, EndpointState::Down))
     }
 
     /// A draining endpoint shuts down. Returns the change of its list entry, if there is one.
@@ -165,14 +163,12 @@
         requests: &RequestTable,
         endpoint: usize,
     ) -> Option<Endpoint> {
-        if self.endpoints[endpoint].state != EndpointState::Draining {
-            return None;
-        }
-        Some(self.reset_and_leave(context, requests, endpoint, EndpointState::Gone))
+        let is_draining = self.endpoints[endpoint].state == EndpointState::Draining;
+        is_draining.then(|| self.shut_down(context, requests, endpoint, EndpointState::Gone))
     }
 
-    /// Stops an endpoint and resets the connections of the attempts that it had.
-    fn reset_and_leave(
+    /// Stops an endpoint and resets the connections of the attempts that it had. Returns the change of its list entry.
+    fn shut_down(
         &mut self,
         context: &mut Context,
         requests: &RequestTable,
--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -8,6 +8,7 @@
     policy_driver::{Driver, Scenario},
     report::{Axis, Metric, Report, Subject},
 };
+use oliverack::Seconds;
 use stats_alloc::INSTRUMENTED_SYSTEM;
 use std::collections::BTreeSet;
 
@@ -19,6 +20,8 @@
 const MAX_REQUESTS: usize = 6000;
 /// Open requests over which the bytes of one are averaged.
 const OPEN_REQUESTS: usize = 200;
+/// Virtual time after which the timers of requests have expired.
+const TIMER_DELAY: Seconds = 1.0;
 
 /// Bytes that are allocated now; `None` if the allocator does not count.
 fn allocated() -> Option<isize> {
@@ -72,16 +75,17 @@
 fn reach_subset(subject: Subject, mut driver: Driver) -> RespondedSubset {
     let requests = (REQUESTS_PER_ENDPOINT * subject.size).clamp(MIN_REQUESTS, MAX_REQUESTS);
     let mut reached = BTreeSet::new();
-    // One tenant and its plan are known before the measurement begins.
+    // The state of the tenant and its plan must not be counted as that of endpoints.
     driver.request();
     let before = allocated().unwrap_or_default();
     for _ in 0..requests {
         driver.request_and_record(&mut reached);
     }
-    driver.advance(1.0);
+    driver.advance(TIMER_DELAY);
     while driver.timers() > 1 && driver.deliver_timer() {}
     driver.shrink();
     let size = reached.len();
+    // The set of ids must not be counted as state of the gateway.
     drop(reached);
     RespondedSubset { size, added_bytes: (allocated().unwrap_or_default() - before) as f64 }
 }
@@ -106,7 +110,7 @@
     Ok(())
 }
 
-/// Records the bytes of an open request, in a gateway that is alone and so may have many out.
+/// Records the bytes of an open request, in a single gateway, which may have many attempts in flight.
 ///
 /// # Errors
 /// The policy rejects the settings.
@@ -117,14 +121,14 @@
     for _ in 0..OPEN_REQUESTS {
         driver.request();
     }
-    let mut out = 0;
+    let mut in_flight = 0;
     let grown = growth(|| {
         for _ in 0..OPEN_REQUESTS {
-            out = driver.open_request();
+            in_flight = driver.open_request();
         }
     });
-    if let (Some(grown), 1..) = (grown, out) {
-        report.record(subject, Metric::OpenRequestBytes, grown / out as f64);
+    if let Some(grown) = grown.filter(|_| in_flight > 0) {
+        report.record(subject, Metric::OpenRequestBytes, grown / in_flight as f64);
     }
     Ok(())
 }
--- a/lab/src/process/stand_in_discovery.rs
+++ b/lab/src/process/stand_in_discovery.rs
@@ -122,7 +122,8 @@
 }
 
 impl ListHistory {
-    fn answer(&self, from: Option<u64>) -> String {
+    /// Body of the response to a watch from a version, or to a call for the complete list.
+    fn body_for(&self, from: Option<u64>) -> String {
         match from.filter(|from| *from >= self.oldest_watchable) {
             Some(from) => {
                 let newer = self.changes.iter().filter(|change| change.version > from);
@@ -231,20 +232,26 @@
             .query("hold_ms")
             .and_then(|hold| hold.parse().ok())
             .map_or(Duration::ZERO, Duration::from_millis);
-        let (version, body) = wait_for_answer(shared, from, hold.min(MAX_HOLD));
-        let _ = report.send(DiscoveryEvent::Answer { version, at: Instant::now() });
-        if socket.write_all(http::ok_response(&body).as_bytes()).is_err() {
+        let response = wait_for_response(shared, from, hold.min(MAX_HOLD));
+        let _ = report.send(DiscoveryEvent::Answer { version: response.version, at: Instant::now() });
+        if socket.write_all(http::ok_response(&response.body).as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// Waits until there is a version other than `from`, or the hold has elapsed. Returns the version and the body of the
-/// response.
-fn wait_for_answer(shared: &Shared, from: Option<u64>, hold: Duration) -> (u64, String) {
+/// The response to a call.
+struct Response {
+    /// Version of the list after it.
+    version: u64,
+    body: String,
+}
+
+/// Waits until there is a version other than `from`, or the hold has elapsed.
+fn wait_for_response(shared: &Shared, from: Option<u64>, hold: Duration) -> Response {
     let history = shared.lock();
-    let wait = |history: &mut ListHistory| from == Some(history.version);
-    let (history, _) =
-        shared.changed.wait_timeout_while(history, hold, wait).unwrap_or_else(PoisonError::into_inner);
-    (history.version, history.answer(from))
+    let is_unchanged = |history: &mut ListHistory| from == Some(history.version);
+    let waited = shared.changed.wait_timeout_while(history, hold, is_unchanged);
+    let (history, _) = waited.unwrap_or_else(PoisonError::into_inner);
+    Response { version: history.version, body: history.body_for(from) }
 }
--- a/lab/tests/fleet_runs.rs
+++ b/lab/tests/fleet_runs.rs
@@ -85,9 +85,10 @@
     let mut configuration = quiet();
     // A gateway starts with an empty ceiling, so a longer run is needed for its cost to be small.
     configuration.seconds = 30.0;
-    configuration.plans.iter_mut().for_each(|plan| {
-        (plan.ceiling_rate, plan.ceiling_burst) = (2.0 * plan.rate, 2.0 * plan.burst);
-    });
+    for plan in &mut configuration.plans {
+        plan.ceiling_rate = 2.0 * plan.rate;
+        plan.ceiling_burst = 2.0 * plan.burst;
+    }
     let records = run(configuration, 3);
     let (inside, quotas): (&InQuotaWeight, &QuotaRecord) =
         (record!(records, InQuotaWeight), record!(records, Quotas));
@@ -135,7 +136,9 @@
     assert!(calls.made > 0 && calls.timeout == calls.made, "{calls:?}");
 
     let mut narrow = quiet();
-    narrow.counter.iter_mut().for_each(|counter| (counter.calls_per_second, counter.queue) = (20.0, 1));
+    let counter = narrow.counter.as_mut().expect("the example has a counter");
+    counter.calls_per_second = 20.0;
+    counter.queue = 1;
     let records = run(narrow, 1);
     let calls: &CounterCallCounts = record!(records, CounterCalls);
     assert!(calls.rejected > 0 && calls.ok > 0, "{calls:?}");
--- a/lab/tests/process_bounds.rs
+++ b/lab/tests/process_bounds.rs
@@ -51,7 +51,9 @@
     let over = |metric, value| {
         let mut report = report_at_the_bounds();
         // Two values move the median of the three.
-        (0..2).for_each(|_| report.record(subject, metric, value));
+        for _ in 0..2 {
+            report.record(subject, metric, value);
+        }
         report
     };
     let metric = Metric::RequestProcessorMicros;
@@ -67,7 +69,9 @@
 fn memory_over_its_bound_in_one_round_fails_the_check() {
     let metric = Metric::PeakIndentedKibibytes;
     let mut report = report_at_the_bounds();
-    (0..4).for_each(|_| report.record(bounds::bounded_subject(GATEWAYS), metric, 1024.0));
+    for _ in 0..4 {
+        report.record(bounds::bounded_subject(GATEWAYS), metric, 1024.0);
+    }
     report.record(bounds::bounded_subject(GATEWAYS), metric, 32.0 * 1024.0 + 1.0);
     assert_eq!(violated(&program(&report)), [metric]);
 }
--- a/lab/tests/process_report.rs
+++ b/lab/tests/process_report.rs
@@ -15,8 +15,12 @@
 
 fn report() -> Report {
     let mut report = Report::default();
-    [30.0, 10.0, 20.0].into_iter().for_each(|value| report.record(subject(100), METRIC, value));
-    [50.0, 30.0].into_iter().for_each(|value| report.record(subject(9200), METRIC, value));
+    for value in [30.0, 10.0, 20.0] {
+        report.record(subject(100), METRIC, value);
+    }
+    for value in [50.0, 30.0] {
+        report.record(subject(9200), METRIC, value);
+    }
     for _ in 0..2 {
         report.fail(subject(9200), &Error::ProgramEnded("out of luck".to_owned()));
     }
