--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -3,14 +3,12 @@
 use crate::node::{
     config::Config,
     connection::{
-        discovery::ListSink,
+        discovery::follower::ListSink,
         endpoint_pool::EndpointPool,
         events::{EventSender, EventSink},
-        siblings::Siblings,
     },
-    maintenance_file::MaintenanceFile,
+    hot_restart::{maintenance_file::MaintenanceFile, replica_counts::Processes, replica_table::Siblings},
     metrics::Metrics,
-    processes::Processes,
     runtime::{
         clock::Clock,
         counters::CounterClients,
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -4,12 +4,12 @@
     config::{Config, ConfigError},
     connection::{
         clients::{Clients, Context},
-        discovery::{self, Discovery},
+        discovery::follower::{self, Discovery},
         operators::{MaintenanceError, Operations, Operators},
-        siblings,
     },
     descriptors::DescriptorBudget,
     drain::{drain, time_to_kill},
+    hot_restart::{peer_connection, predecessor, successor},
     listener::inherited,
     reload::reload,
     runtime::driver::Driver,
@@ -144,13 +144,13 @@
 
 /// Takes over from a process beside this one, or what the last one has kept.
 async fn meet_siblings(driver: &Rc<Driver>, calls: &mut JoinSet<()>) {
-    let handler: siblings::Handler = Rc::new(driver.clone());
-    let (met, listener) = siblings::meet(&driver.siblings, &handler).await;
+    let handler: peer_connection::Handler = Rc::new(driver.clone());
+    let (met, listener) = predecessor::meet(&driver.siblings, &handler).await;
     if !met {
         driver.restore_maintenance();
     }
     if let Some(listener) = listener {
-        calls.spawn_local(siblings::welcome(driver.siblings.clone(), handler, listener));
+        calls.spawn_local(successor::welcome(driver.siblings.clone(), handler, listener));
     }
 }
 
@@ -167,7 +167,7 @@
         asked: driver.asked.clone(),
         sink: Rc::new(driver.clone()),
     };
-    spawn_local(discovery::follow(addresses, discovery))
+    spawn_local(follower::follow(addresses, discovery))
 }
 
 fn clients_context(driver: &Rc<Driver>) -> Context {
