--- a/lab/tests/process_report.rs
+++ b/lab/tests/process_report.rs
@@ -64,3 +64,33 @@
     assert_eq!(lines[1]["metric"], "request_processor_micros");
     assert!(lines[2]["failed"].as_str().is_some_and(|reason| reason.ends_with("out of luck")));
 }
+
+#[test]
+fn metrics_have_the_names_that_other_tools_read() {
+    let names = [
+        (Metric::RequestProcessorMicros, "request_processor_micros"),
+        (Metric::ServedShare, "served_share"),
+        (Metric::CounterCallsPerRequest, "counter_calls_per_request"),
+        (Metric::ChangeProcessorMicros, "change_processor_micros"),
+        (Metric::ChangeElapsedMicros, "change_elapsed_micros"),
+        (Metric::TimerProcessorMicros, "timer_processor_micros"),
+        (Metric::SweepProcessorMicros, "sweep_processor_micros"),
+        (Metric::CompactListProcessorMillis, "compact_list_processor_millis"),
+        (Metric::CompactListElapsedMillis, "compact_list_elapsed_millis"),
+        (Metric::IndentedListProcessorMillis, "indented_list_processor_millis"),
+        (Metric::IndentedListElapsedMillis, "indented_list_elapsed_millis"),
+        (Metric::ResidentKibibytes, "resident_kibibytes"),
+        (Metric::PeakResidentKibibytes, "peak_resident_kibibytes"),
+        (Metric::PeakIndentedKibibytes, "peak_indented_kibibytes"),
+        (Metric::EndpointOutsideBytes, "worker_outside_bytes"),
+        (Metric::EndpointInsideBytes, "worker_inside_bytes"),
+        (Metric::EndpointAnsweredBytes, "worker_answered_bytes"),
+        (Metric::TenantBytes, "tenant_bytes"),
+        (Metric::OpenRequestBytes, "open_request_bytes"),
+    ];
+    for (metric, name) in names {
+        assert_eq!(serde_json::to_value(metric).expect("a name"), name);
+    }
+    assert_eq!(serde_json::to_value(Axis::Endpoints).expect("a name"), "workers");
+    assert_eq!(serde_json::to_value(Axis::Tenants).expect("a name"), "tenants");
+}
