--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -214,7 +214,7 @@
             for action in self.actions.drain(..) {
                 match action {
                     Action::StartAttempt { request_id, endpoint, .. } => {
-                        self.attempts_in_flight.push(AttemptInFlight { request_id, endpoint })
+                        self.attempts_in_flight.push(AttemptInFlight { request_id, endpoint });
                     }
                     Action::SetTimer { token, .. } => self.timers.push_back(token),
                     Action::AddToCounter { counter, amount, .. } => calls.push_back((counter, amount)),
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -142,7 +142,7 @@
         loop {
             match (self.next_event("a watch")?, written) {
                 (DiscoveryEvent::Answer { version: answered, at }, _) if answered >= version => {
-                    written = Some(at)
+                    written = Some(at);
                 }
                 (DiscoveryEvent::Call { from, at }, Some(started)) => {
                     if from.is_none_or(|from| from < version) {
--- a/src/node/runtime/open_request.rs
+++ b/src/node/runtime/open_request.rs
@@ -191,7 +191,8 @@
     /// The numbers of the attempts that no endpoint can have begun to work on.
     pub fn unsent_attempts(&self) -> Vec<u32> {
         let numbered = (0..).zip(&self.attempts);
-        let is_unsent = |attempt: &Option<InFlightAttempt>| attempt.as_ref().is_some_and(|a| a.is_unsent());
+        let is_unsent =
+            |attempt: &Option<InFlightAttempt>| attempt.as_ref().is_some_and(InFlightAttempt::is_unsent);
         numbered.filter(|(_, attempt)| is_unsent(attempt)).map(|(number, _)| number).collect()
     }
 }
--- a/src/policy/requests/lifecycle.rs
+++ b/src/policy/requests/lifecycle.rs
@@ -50,15 +50,16 @@
             return;
         }
         let is_full = self.requests.len() >= context.settings.max_open_requests as usize;
-        self.requests.insert(request.id.clone(), RequestState::new(request.clone(), context.now));
-        let admission = if !is_servable(&request, context) {
+        let id = request.id.clone();
+        let state = self.requests.entry(id.clone()).or_insert(RequestState::new(request, context.now));
+        let admission = if !is_servable(&state.request, context) {
             Admission::Reject { retry_after: 0.0 }
         } else if is_full {
             Admission::Reject { retry_after: context.settings.max_retry_after }
         } else {
-            self.admission.admit(&request, backends, context)
+            self.admission.admit(&state.request, backends, context)
         };
-        self.carry_out(&request.id, admission, backends, context);
+        self.carry_out(&id, admission, backends, context);
     }
 
     fn carry_out(
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -179,7 +179,7 @@
 fn invalid_configuration_prints_one_line_and_fails() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
-    let broken = |key: &str, value: serde_json::Value| {
+    let broken = |key: &str, value: Value| {
         let mut config = builder.config();
         *config.pointer_mut(key).expect("a key") = value;
         config.to_string()
--- a/tests/counter_call_rate.rs
+++ b/tests/counter_call_rate.rs
@@ -50,10 +50,10 @@
     for status in [Status::Error, Status::Reset] {
         let mut harness = GatewayHarness::new(settings());
         let first = calls_in_a_second(&mut harness, "a", |harness, name| {
-            drop(harness.counter_replied(name, status, 0.0))
+            drop(harness.counter_replied(name, status, 0.0));
         });
         let second = calls_in_a_second(&mut harness, "b", |harness, name| {
-            drop(harness.counter_replied(name, status, 0.0))
+            drop(harness.counter_replied(name, status, 0.0));
         });
         assert!(first > 40 && second * 4 > first * 3, "{first}, then {second} calls");
     }
--- a/tests/fleet_load.rs
+++ b/tests/fleet_load.rs
@@ -233,7 +233,7 @@
                     queue.push_back(QueuedCall { made_at: now, gateway: i, counter });
                 }
                 Action::StartAttempt { request_id, endpoint, .. } => {
-                    drop(gateways[i].attempt_ended(&request_id, 0, &endpoint, Status::Ok))
+                    drop(gateways[i].attempt_ended(&request_id, 0, &endpoint, Status::Ok));
                 }
                 _ => {}
             }
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -44,7 +44,7 @@
         for action in actions {
             match action {
                 Action::StartAttempt { request_id, endpoint, .. } => {
-                    drop(harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok))
+                    drop(harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok));
                 }
                 // Fired early, but no work is left for the timer.
                 Action::SetTimer { token, .. } => drop(harness.handle(Event::Timer { token })),
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -370,7 +370,7 @@
                 self.deliver(Event::EndpointsUpdated { kind: ListKind::Full, endpoints });
             }
             984..986 => {
-                self.deliver(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() })
+                self.deliver(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
             }
             986..992 => {
                 let endpoint: EndpointId = format!("s{}", self.any_endpoint()).into();
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -201,7 +201,9 @@
     }
     while let Some(free) = left.iter().find(|(_, uses)| uses.is_empty()).map(|(name, _)| (*name).clone()) {
         left.remove(&free);
-        left.values_mut().for_each(|uses| uses.retain(|other| *other != free));
+        for uses in left.values_mut() {
+            uses.retain(|other| *other != free);
+        }
     }
     assert!(left.is_empty(), "in a circle, or behind one: {left:?}");
 }
--- a/tests/unit/subset.rs
+++ b/tests/unit/subset.rs
@@ -218,7 +218,9 @@
     let sent = tell(gateway, 1.0, request(request_id));
     let answers = answers(sent, Status::Ok);
     let served = !answers.is_empty();
-    answers.into_iter().for_each(|event| drop(tell(gateway, 1.0, event)));
+    for event in answers {
+        tell(gateway, 1.0, event);
+    }
     served
 }
 
