--- a/src/node/connection/clients/body_upload.rs
+++ b/src/node/connection/clients/body_upload.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::clients::{
-        handler::FinalAnswer,
+        handler::FinalResponse,
         socket::ClientSocket,
         state::{ConnectionEnd, Stage},
     },
@@ -31,7 +31,7 @@
     Complete,
     /// The final response came first.
     Answered {
-        response: FinalAnswer,
+        response: FinalResponse,
         /// Decodes the rest of the body, which nobody wants, if the client is going to send it.
         unread_body: Option<BodyDecoder>,
     },
@@ -42,7 +42,7 @@
     Sent,
     /// The attempt has ended, so the final response is on its way.
     AttemptEnded,
-    Answered(FinalAnswer),
+    Answered(FinalResponse),
 }
 
 impl BodyUpload {
@@ -54,7 +54,7 @@
         mut self,
         socket: &mut ClientSocket<'_>,
         expects_continue: bool,
-        receiver: &mut oneshot::Receiver<FinalAnswer>,
+        receiver: &mut oneshot::Receiver<FinalResponse>,
     ) -> Result<UploadEnd, ConnectionEnd> {
         if expects_continue && socket.buffer.is_empty() && self.pending.is_empty() {
             if let Ok(response) = receiver.try_recv() {
@@ -73,7 +73,7 @@
                     // The body needs no further reading, and the caller waits for the response.
                     SendEnd::AttemptEnded if is_complete => {}
                     SendEnd::AttemptEnded => {
-                        let response = receiver.await.unwrap_or(FinalAnswer::Failed);
+                        let response = receiver.await.unwrap_or(FinalResponse::Failed);
                         return Ok(UploadEnd::Answered { response, unread_body: Some(self.decoder) });
                     }
                     SendEnd::Answered(response) => {
@@ -93,7 +93,7 @@
             tokio::select! {
                 biased;
                 response = &mut *receiver => {
-                    let response = response.unwrap_or(FinalAnswer::Failed);
+                    let response = response.unwrap_or(FinalResponse::Failed);
                     return Ok(UploadEnd::Answered { response, unread_body: Some(self.decoder) });
                 }
                 read = socket.read(MAX_PIECE_BYTES) => read?,
@@ -113,7 +113,7 @@
         &self,
         piece: Piece,
         socket: &mut ClientSocket<'_>,
-        receiver: &mut oneshot::Receiver<FinalAnswer>,
+        receiver: &mut oneshot::Receiver<FinalResponse>,
     ) -> Result<SendEnd, ConnectionEnd> {
         socket.state.enter(Stage::Processing);
         let started_at = Instant::now();
@@ -121,7 +121,7 @@
         let sent = tokio::select! {
             biased;
             response = &mut *receiver => {
-                return Ok(SendEnd::Answered(response.unwrap_or(FinalAnswer::Failed)));
+                return Ok(SendEnd::Answered(response.unwrap_or(FinalResponse::Failed)));
             }
             () = socket.wait_for_disconnect() => return Err(ConnectionEnd::Silent),
             sent = self.sender.send(piece) => sent,
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -3,7 +3,7 @@
 use crate::node::{
     connection::clients::{
         body_upload::{BodyUpload, UploadEnd},
-        handler::{FinalAnswer, RequestHandler},
+        handler::{FinalResponse, RequestHandler},
         memory::MemoryPermit,
         request_reader::{ReceivedBody, ReceivedContent},
         response_writer::{self, Delivery},
@@ -14,7 +14,7 @@
         client_request::ClientRequest,
         client_response::ClientResponse,
         request_body::BodyDecoder,
-        stream::{Content, MAX_PIECE_BYTES},
+        stream::{MAX_PIECE_BYTES, RequestBody},
     },
 };
 use bytes::BytesMut;
@@ -60,9 +60,9 @@
         let handler = &*self.socket.context.handler;
         let mut upload = None;
         request.upstream.body = match content {
-            ReceivedContent::Complete(bytes) => Content::Whole(bytes),
+            ReceivedContent::Complete(bytes) => RequestBody::Buffered(bytes),
             ReceivedContent::Partial { received, decoder, length } => {
-                let (sender, content) = Content::stream(length);
+                let (sender, content) = RequestBody::streamed(length);
                 upload = Some(BodyUpload { sender, pending: received, decoder });
                 content
             }
@@ -91,11 +91,11 @@
         upload: BodyUpload,
         expects_continue: bool,
         open_request: &OpenRequest<'_>,
-        receiver: &mut oneshot::Receiver<FinalAnswer>,
-    ) -> Result<Option<FinalAnswer>, ConnectionEnd> {
+        receiver: &mut oneshot::Receiver<FinalResponse>,
+    ) -> Result<Option<FinalResponse>, ConnectionEnd> {
         match upload.run(self.socket, expects_continue, receiver).await? {
             UploadEnd::Complete => {
-                open_request.handler.received_whole(open_request.request_id);
+                open_request.handler.request_received(open_request.request_id);
                 Ok(None)
             }
             UploadEnd::Answered { response, unread_body } => {
@@ -109,11 +109,11 @@
     /// the socket, and bytes that were read with the buffer.
     async fn wait_for_response(
         &mut self,
-        receiver: &mut oneshot::Receiver<FinalAnswer>,
-    ) -> Result<FinalAnswer, ConnectionEnd> {
+        receiver: &mut oneshot::Receiver<FinalResponse>,
+    ) -> Result<FinalResponse, ConnectionEnd> {
         tokio::select! {
             biased;
-            response = receiver => Ok(response.unwrap_or(FinalAnswer::Failed)),
+            response = receiver => Ok(response.unwrap_or(FinalResponse::Failed)),
             () = self.socket.wait_for_disconnect() => Err(ConnectionEnd::Silent),
         }
     }
@@ -165,7 +165,7 @@
 impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.handler.left(self.request_id);
+            self.handler.client_disconnected(self.request_id);
         }
     }
 }
--- a/src/node/connection/clients/handler.rs
+++ b/src/node/connection/clients/handler.rs
@@ -3,7 +3,7 @@
 use crate::node::wire::{
     client_request::ClientRequest,
     client_response::{ClientResponse, ResponseBody},
-    stream::Pieces,
+    stream::PieceReceiver,
 };
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -12,17 +12,17 @@
 
 /// The one final response to a request.
 #[derive(Debug)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// Served, with a buffered body.
     Served(Bytes),
     /// Served, with a streamed body.
     Streamed {
         /// In bytes, if it is known.
         length: Option<u64>,
-        pieces: Pieces,
+        pieces: PieceReceiver,
     },
     /// Rejected before any endpoint may have worked on it; the client may retry.
-    Refused {
+    Rejected {
         /// Retry-After in seconds; 0 leaves the header out.
         retry_after: f64,
     },
@@ -30,29 +30,29 @@
     Failed,
 }
 
-impl FinalAnswer {
+impl FinalResponse {
     /// Its name in the log.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
             Self::Streamed { .. } => "streamed",
-            Self::Refused { .. } => "refused",
+            Self::Rejected { .. } => "rejected",
             Self::Failed => "failed",
         }
     }
 }
 
-impl From<FinalAnswer> for ClientResponse {
-    fn from(response: FinalAnswer) -> Self {
+impl From<FinalResponse> for ClientResponse {
+    fn from(response: FinalResponse) -> Self {
         match response {
-            FinalAnswer::Served(body) => Self::with_body(StatusCode::OK, body),
-            FinalAnswer::Streamed { length, pieces } => {
+            FinalResponse::Served(body) => Self::with_body(StatusCode::OK, body),
+            FinalResponse::Streamed { length, pieces } => {
                 Self { body: ResponseBody::Streamed { length, pieces }, ..Self::without_body(StatusCode::OK) }
             }
-            FinalAnswer::Refused { retry_after } => {
+            FinalResponse::Rejected { retry_after } => {
                 Self { retry_after, ..Self::without_body(StatusCode::TOO_MANY_REQUESTS) }
             }
-            FinalAnswer::Failed => Self::without_body(StatusCode::BAD_GATEWAY),
+            FinalResponse::Failed => Self::without_body(StatusCode::BAD_GATEWAY),
         }
     }
 }
@@ -60,9 +60,9 @@
 /// Serves clients' requests.
 pub trait RequestHandler {
     /// Takes a request; the receiver gets its final response. `None` if a request with the same transaction id is open.
-    fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)>;
+    fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)>;
     /// The last byte of a streamed request body has arrived: the request's deadline and its attempts' time-outs start.
-    fn received_whole(&self, request_id: &RequestId);
+    fn request_received(&self, request_id: &RequestId);
     /// The client has disconnected before the final response.
-    fn left(&self, request_id: &RequestId);
+    fn client_disconnected(&self, request_id: &RequestId);
 }
--- a/src/node/connection/clients/listener.rs
+++ b/src/node/connection/clients/listener.rs
@@ -55,14 +55,14 @@
     }
 
     /// Begins the shutdown: from now on each response closes its connection, and the health check fails.
-    pub fn stop(self: &Rc<Self>) {
+    pub fn begin_shutdown(self: &Rc<Self>) {
         self.context.is_stopping.set(true);
         self.serve_pending_socket();
     }
 
     /// Asks each connection to close: at once if it is idle, otherwise after the response to its open request. One
     /// whose request body is being streamed is left alone.
-    pub fn close(&self) {
+    pub fn close_connections(&self) {
         for connection in self.connections.borrow().values() {
             if connection.stage.get() != Stage::ReceivingBody {
                 connection.request_close();
@@ -76,16 +76,17 @@
     }
 
     /// The number of open connections.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.borrow().len()
     }
 
     /// Waits until a connection ends.
-    pub async fn one_ended(&self) {
+    pub async fn connection_ended(&self) {
         self.connection_ended.notified().await;
     }
 
-    /// Accepts connections until it is cancelled. [`Clients::stop`] then serves one that was accepted without capacity.
+    /// Accepts connections until it is cancelled. [`Clients::begin_shutdown`] then serves one that was accepted without
+    /// capacity.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         self.is_accepting.set(true);
         loop {
@@ -123,11 +124,11 @@
 
     async fn wait_for_connection_end(&self) {
         // Either way the caller looks again.
-        let _ = timeout(ACCEPT_BACKOFF, self.one_ended()).await;
+        let _ = timeout(ACCEPT_BACKOFF, self.connection_ended()).await;
     }
 
     fn is_full(&self) -> bool {
-        self.connections() >= self.max_connections / self.context.processes.count() as usize
+        self.connection_count() >= self.max_connections / self.context.processes.count() as usize
     }
 
     fn evict_one(&self) {
@@ -142,7 +143,7 @@
     }
 
     /// Ends connections that have exceeded a time limit, until it is cancelled.
-    pub async fn watch(self: Rc<Self>) {
+    pub async fn enforce_time_limits(self: Rc<Self>) {
         loop {
             sleep(timeouts::CHECK_INTERVAL).await;
             timeouts::enforce(&self.connections.borrow());
--- a/src/node/connection/clients/mod.rs
+++ b/src/node/connection/clients/mod.rs
@@ -22,5 +22,5 @@
 mod timeouts;
 
 pub use context::Context;
-pub use handler::{FinalAnswer, RequestHandler};
+pub use handler::{FinalResponse, RequestHandler};
 pub use listener::Clients;
--- a/src/node/connection/clients/response_writer.rs
+++ b/src/node/connection/clients/response_writer.rs
@@ -5,7 +5,7 @@
     metrics,
     wire::{
         client_response::{ClientResponse, ResponseBody},
-        stream::{Piece, Pieces, STREAM_MEMORY_BYTES},
+        stream::{Piece, PieceReceiver, STREAM_MEMORY_BYTES},
     },
 };
 use hyper::StatusCode;
@@ -112,7 +112,7 @@
 }
 
 impl ResponseStream<'_, '_> {
-    async fn forward(mut self, mut pieces: Pieces) -> io::Result<StreamEnd> {
+    async fn forward(mut self, mut pieces: PieceReceiver) -> io::Result<StreamEnd> {
         let mut has_started = false;
         loop {
             self.socket.state.enter(Stage::Processing);
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -102,7 +102,7 @@
 
     /// Applies a full endpoint list, or the entries of one that have changed. Endpoints that a full list does not name,
     /// or that are gone, are forgotten and their idle connections closed.
-    pub fn listed(&self, is_full: bool, list: &[Listed]) {
+    pub fn update(&self, is_full: bool, list: &[Listed]) {
         let mut endpoints = self.endpoints.borrow_mut();
         let mut idle = self.idle.borrow_mut();
         let mut previous = if is_full { std::mem::take(&mut *endpoints) } else { FnvHashMap::default() };
@@ -153,7 +153,7 @@
 
     /// Operators have put an endpoint into maintenance or taken it out, and may restart it: its connections are of no
     /// further use.
-    pub fn in_maintenance(&self, id: &EndpointId) {
+    pub fn retire_connections(&self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(id) {
             endpoint.incarnation = self.new_incarnation();
             self.idle.borrow_mut().remove(id);
@@ -229,7 +229,7 @@
     }
 
     /// Shares the budget with the other processes of this gateway.
-    pub fn share(&self, process_count: usize) {
+    pub fn set_process_count(&self, process_count: usize) {
         let max_connections = (self.max_connections / process_count).max(1);
         self.process_max_connections.set(max_connections);
         while self.open_connections.get() > max_connections && self.close_longest_idle() {}
--- a/src/node/connection/write_progress.rs
+++ b/src/node/connection/write_progress.rs
@@ -169,11 +169,3 @@
         self.0.borrow().as_ref().is_some_and(|progress| progress.has_response_started())
     }
 }
-
-/// The former name of [`WriteProgressHandle`].
-pub type Trace = WriteProgressHandle;
-
-/// The former name of [`WriteProgressHandle::may_have_run`].
-pub fn may_have_run(progress: &WriteProgressHandle) -> bool {
-    progress.may_have_run()
-}
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -2,10 +2,10 @@
 
 use crate::node::{
     connection::{
-        clients::FinalAnswer,
+        clients::FinalResponse,
         endpoint_attempt::AttemptEnd,
         endpoint_pool::{EndpointPool, Target},
-        write_progress::{Trace, may_have_run},
+        write_progress::WriteProgressHandle,
     },
     runtime::{
         clock::Clock,
@@ -16,7 +16,7 @@
     },
     wire::{
         client_request::UpstreamRequest,
-        stream::{self, Content, Piece},
+        stream::{self, Piece, RequestBody},
     },
 };
 use oliverack::{EndpointId, Event, LoadReport, RequestId, Seconds, Status, Time};
@@ -83,14 +83,14 @@
     ) {
         let AttemptOrder { request_id, endpoint, dedup_until, .. } = order;
         // A streamed body is sent once at most, however long it takes.
-        if let (Some(until), Content::Whole(_)) = (dedup_until, &request.upstream().body) {
+        if let (Some(until), RequestBody::Buffered(_)) = (dedup_until, &request.upstream().body) {
             request.set_dedup_deadline(until);
             self.timers.set(until, TimerPurpose::DedupEnd(request_id.clone()));
         }
         let number = request.next_attempt_number();
         let upstream = request.upstream().clone();
         debug!(request = ?upstream.transaction_id, attempt = number, endpoint = %endpoint, timeout, "attempt started");
-        let write_progress = Trace::default();
+        let write_progress = WriteProgressHandle::default();
         let task = self.spawn(request_id.clone(), number, target, upstream, timeout, write_progress.clone());
         let timeout_timer = request
             .is_complete()
@@ -113,7 +113,7 @@
         target: Target,
         upstream: Rc<UpstreamRequest>,
         timeout: Seconds,
-        write_progress: Trace,
+        write_progress: WriteProgressHandle,
     ) -> AbortHandle {
         let attempts = self.clone();
         let task = tokio::task::spawn_local(async move {
@@ -142,8 +142,8 @@
     ) -> Option<mpsc::Sender<Piece>> {
         let mut request = self.table.get_mut(request_id)?;
         request.attempt_mut(number)?;
-        let (sender, pieces) = stream::pipe();
-        let outcome = request.deliver(FinalAnswer::Streamed { length, pieces });
+        let (sender, pieces) = stream::channel();
+        let outcome = request.deliver(FinalResponse::Streamed { length, pieces });
         if outcome == DeliveryOutcome::NotOwed {
             return None;
         }
@@ -168,7 +168,7 @@
             self.timers.cancel(timer);
         }
         if end.status == Status::Ok {
-            request.deliver(FinalAnswer::Served(end.body));
+            request.deliver(FinalResponse::Served(end.body));
         }
         let is_finished = !request.is_waiting();
         drop(request);
@@ -193,7 +193,7 @@
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         let Some(attempt) = request.attempt_mut(number) else { return };
         attempt.task.abort();
-        let status = if may_have_run(&attempt.write_progress) { status } else { Status::NotSent };
+        let status = if attempt.write_progress.may_have_run() { status } else { Status::NotSent };
         drop(request);
         self.end(request_id, number, AttemptEnd::without_response(status));
     }
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -171,7 +171,7 @@
 
     /// The pool learns the endpoints' addresses, which are this gateway's own; the policy learns the rest.
     fn update_endpoints(&self, kind: ListKind, endpoints: Vec<Listed>) {
-        self.endpoints.listed(kind != ListKind::Changes, &endpoints);
+        self.endpoints.update(kind != ListKind::Changes, &endpoints);
         let endpoints = endpoints.into_iter().map(|listed| listed.endpoint).collect();
         self.policy.post(Event::EndpointsUpdated { kind, endpoints });
     }
@@ -234,7 +234,7 @@
         let index = self.processes.place();
         let count = self.processes.count();
         info!(index, processes = count, "replicas changed");
-        self.endpoints.share(count as usize);
+        self.endpoints.set_process_count(count as usize);
         self.policy.post(Event::ReplicasChanged { index, count });
     }
 }
--- a/src/node/runtime/maintenance.rs
+++ b/src/node/runtime/maintenance.rs
@@ -68,7 +68,7 @@
         } else {
             info!(endpoint = %endpoint, "endpoint taken out of maintenance");
         }
-        self.endpoints.in_maintenance(endpoint);
+        self.endpoints.retire_connections(endpoint);
         self.policy.post(Event::MaintenanceChanged { endpoint: endpoint.clone(), in_maintenance });
     }
 }
--- a/src/node/runtime/open_request.rs
+++ b/src/node/runtime/open_request.rs
@@ -1,10 +1,7 @@
 //! One open request and its attempts.
 
 use crate::node::{
-    connection::{
-        clients::FinalAnswer,
-        write_progress::{Trace, may_have_run},
-    },
+    connection::{clients::FinalResponse, write_progress::WriteProgressHandle},
     runtime::timers::TimerKey,
     wire::client_request::UpstreamRequest,
 };
@@ -24,7 +21,7 @@
     /// When the first bytes of a streamed response arrived.
     pub response_started_at: Option<Time>,
     /// How much of its request has been written.
-    pub write_progress: Trace,
+    pub write_progress: WriteProgressHandle,
     /// The task that carries it out. Aborting the task closes the attempt's connection.
     pub task: AbortHandle,
     /// Fires at the timeout. Not set before the request is complete and after the response has started.
@@ -34,7 +31,7 @@
 impl InFlightAttempt {
     /// Whether the endpoint certainly has not begun to work on it.
     fn is_unsent(&self) -> bool {
-        self.response_started_at.is_none() && !may_have_run(&self.write_progress)
+        self.response_started_at.is_none() && !self.write_progress.may_have_run()
     }
 }
 
@@ -52,7 +49,7 @@
 /// A request that is owed its final response, or that still has attempts in flight.
 pub struct OpenRequest {
     /// Takes the final response; `None` once that was given, or is owed to nobody.
-    response: Option<oneshot::Sender<FinalAnswer>>,
+    response: Option<oneshot::Sender<FinalResponse>>,
     /// What its attempts send.
     upstream: Rc<UpstreamRequest>,
     /// How long the client waits, from the request's last byte on.
@@ -70,7 +67,7 @@
 impl OpenRequest {
     /// A request that has just been accepted.
     pub fn new(
-        response: oneshot::Sender<FinalAnswer>,
+        response: oneshot::Sender<FinalResponse>,
         upstream: Rc<UpstreamRequest>,
         time_limit: Seconds,
     ) -> Self {
@@ -138,7 +135,7 @@
     }
 
     /// Gives the final response, unless there was one before.
-    pub fn deliver(&mut self, response: FinalAnswer) -> DeliveryOutcome {
+    pub fn deliver(&mut self, response: FinalResponse) -> DeliveryOutcome {
         let Some(sender) = self.response.take() else { return DeliveryOutcome::NotOwed };
         debug!(request = ?self.upstream.transaction_id, response = response.name(), "final response");
         match sender.send(response) {
--- a/src/node/runtime/requests.rs
+++ b/src/node/runtime/requests.rs
@@ -1,7 +1,7 @@
 //! Accepts clients' requests and gives each its one final response.
 
 use crate::node::{
-    connection::clients::{FinalAnswer, RequestHandler},
+    connection::clients::{FinalResponse, RequestHandler},
     runtime::{
         attempts::Attempts,
         clock::Clock,
@@ -10,7 +10,7 @@
         request_table::RequestTable,
         timers::{TimerPurpose, Timers},
     },
-    wire::{client_request::ClientRequest, stream::Content},
+    wire::{client_request::ClientRequest, stream::RequestBody},
 };
 use oliverack::{Event, Request, RequestId, Seconds};
 use std::rc::Rc;
@@ -49,12 +49,12 @@
 
     /// Gives the final response: rejected.
     pub fn reject(&self, request_id: &RequestId, retry_after: Seconds) {
-        self.respond(request_id, FinalAnswer::Refused { retry_after });
+        self.respond(request_id, FinalResponse::Rejected { retry_after });
     }
 
     /// Gives the final response: failed.
     pub fn fail(&self, request_id: &RequestId) {
-        self.respond(request_id, FinalAnswer::Failed);
+        self.respond(request_id, FinalResponse::Failed);
     }
 
     /// Fails every open request, as the process is about to be killed.
@@ -77,7 +77,7 @@
         self.policy.post(Event::ClientDisconnected { request_id });
     }
 
-    fn respond(&self, request_id: &RequestId, response: FinalAnswer) {
+    fn respond(&self, request_id: &RequestId, response: FinalResponse) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         let outcome = request.deliver(response);
         drop(request);
@@ -88,7 +88,7 @@
 }
 
 impl RequestHandler for Rc<Requests> {
-    fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)> {
+    fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)> {
         let request_id = self.table.reserve_id(&request.upstream.transaction_id)?;
         debug!(request = ?request.upstream.transaction_id, customer = request.customer, class = request.class, "request accepted");
         let deadline = self.clock.now() + request.remaining;
@@ -96,8 +96,8 @@
         let upstream = Rc::new(request.upstream);
         let open = OpenRequest::new(response, upstream.clone(), request.remaining);
         self.table.insert(request_id.clone(), open);
-        if matches!(upstream.body, Content::Whole(_)) {
-            self.received_whole(&request_id);
+        if matches!(upstream.body, RequestBody::Buffered(_)) {
+            self.request_received(&request_id);
         }
         self.policy.post(Event::Request(Request {
             id: request_id.clone(),
@@ -113,7 +113,7 @@
         Some((request_id, receiver))
     }
 
-    fn received_whole(&self, request_id: &RequestId) {
+    fn request_received(&self, request_id: &RequestId) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         if request.is_complete() {
             return;
@@ -131,7 +131,7 @@
         }
     }
 
-    fn left(&self, request_id: &RequestId) {
+    fn client_disconnected(&self, request_id: &RequestId) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         let was_waiting = request.abandon();
         drop(request);
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -86,7 +86,7 @@
     /// closes its connection.
     pub fn begin(driver: Rc<Driver>, clients: Rc<Clients>, kill_after: Duration) -> Self {
         let start = Instant::now();
-        clients.stop();
+        clients.begin_shutdown();
         let has_successor = driver.processes().is_followed();
         let schedule = Schedule::new(start, kill_after, has_successor);
         Self { driver, clients, has_successor, schedule }
@@ -126,7 +126,7 @@
     }
 
     async fn answer_in_flight(&self) -> Phase {
-        self.clients.close();
+        self.clients.close_connections();
         if self.all_connections_closed_by(self.schedule.responses_until).await {
             Phase::Ended
         } else {
@@ -143,8 +143,8 @@
     /// Waits until no connection is open; whether that happened by the deadline.
     async fn all_connections_closed_by(&self, deadline: Instant) -> bool {
         let all_closed = async {
-            while self.clients.connections() > 0 {
-                self.clients.one_ended().await;
+            while self.clients.connection_count() > 0 {
+                self.clients.connection_ended().await;
             }
         };
         timeout_at(deadline, all_closed).await.is_ok()
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -52,7 +52,7 @@
             timers: spawn_local(driver.clone().run_timers()),
             reload: spawn_local(reload_on_hangup(hangup, discovery_address, driver.clone())),
             idle_connections: spawn_local(close_idle_connections(driver.clone())),
-            client_time_limits: spawn_local(node.clients.clone().watch()),
+            client_time_limits: spawn_local(node.clients.clone().enforce_time_limits()),
             operators_and_siblings,
         };
         info!(gateway = %node.config.name, address = %node.address, "listening");
--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -2,7 +2,7 @@
 
 use crate::node::wire::{
     request_head::Head,
-    stream::{Content, OutgoingBody},
+    stream::{OutgoingBody, RequestBody},
 };
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri, header, header::HeaderValue};
@@ -50,7 +50,7 @@
     /// The client's content type.
     pub content_type: Option<HeaderValue>,
     /// The client's body.
-    pub body: Content,
+    pub body: RequestBody,
 }
 
 impl UpstreamRequest {
@@ -128,7 +128,7 @@
                 idempotency_key: headers.get("idempotency-key").cloned(),
                 content_type: headers.get(header::CONTENT_TYPE).cloned(),
                 method: head.method.clone(),
-                body: Content::Whole(Bytes::new()),
+                body: RequestBody::Buffered(Bytes::new()),
             },
         })
     }
--- a/src/node/wire/client_response.rs
+++ b/src/node/wire/client_response.rs
@@ -1,6 +1,6 @@
 //! Responses to clients, and how they are written.
 
-use crate::node::{metrics, wire::stream::Pieces};
+use crate::node::{metrics, wire::stream::PieceReceiver};
 use bytes::Bytes;
 use hyper::StatusCode;
 use std::io::Write;
@@ -17,7 +17,7 @@
     Streamed {
         /// In bytes, if it is known.
         length: Option<u64>,
-        pieces: Pieces,
+        pieces: PieceReceiver,
     },
 }
 
--- a/src/node/wire/stream.rs
+++ b/src/node/wire/stream.rs
@@ -25,10 +25,10 @@
 }
 
 /// The receiving end of a streamed body.
-pub type Pieces = mpsc::Receiver<Piece>;
+pub type PieceReceiver = mpsc::Receiver<Piece>;
 
 /// A channel that holds one piece.
-pub fn pipe() -> (mpsc::Sender<Piece>, Pieces) {
+pub fn channel() -> (mpsc::Sender<Piece>, PieceReceiver) {
     mpsc::channel(1)
 }
 
@@ -39,34 +39,36 @@
 
 /// A request's body.
 #[derive(Debug)]
-pub enum Content {
-    Whole(Bytes),
+pub enum RequestBody {
+    Buffered(Bytes),
     /// Too large to be buffered. It can be sent only once: the upload is `None` after an attempt has taken it.
-    Stream(RefCell<Option<Upload>>),
+    Streamed(RefCell<Option<Upload>>),
 }
 
-impl Content {
+impl RequestBody {
     /// A streamed body and the sender of its pieces; `length` is in bytes, if it is known.
-    pub fn stream(length: Option<usize>) -> (mpsc::Sender<Piece>, Self) {
-        let (sender, pieces) = pipe();
+    pub fn streamed(length: Option<usize>) -> (mpsc::Sender<Piece>, Self) {
+        let (sender, pieces) = channel();
         let remaining = length.map(|length| length as u64);
         let upload = Upload { pieces, remaining, is_finished: Rc::default() };
-        (sender, Self::Stream(RefCell::new(Some(upload))))
+        (sender, Self::Streamed(RefCell::new(Some(upload))))
     }
 
     /// The body for one attempt; `None` if it is streamed and an earlier attempt has taken it.
     pub fn take(&self) -> Option<OutgoingBody> {
         match self {
-            Self::Whole(bytes) => Some(OutgoingBody::Buffered(Some(bytes.clone()).filter(|b| !b.is_empty()))),
-            Self::Stream(upload) => upload.take().map(OutgoingBody::Streamed),
+            Self::Buffered(bytes) => {
+                Some(OutgoingBody::Buffered(Some(bytes.clone()).filter(|b| !b.is_empty())))
+            }
+            Self::Streamed(upload) => upload.take().map(OutgoingBody::Streamed),
         }
     }
 
     /// Whether an attempt can still send it.
     pub fn is_available(&self) -> bool {
         match self {
-            Self::Whole(_) => true,
-            Self::Stream(upload) => upload.borrow().is_some(),
+            Self::Buffered(_) => true,
+            Self::Streamed(upload) => upload.borrow().is_some(),
         }
     }
 }
@@ -74,7 +76,7 @@
 /// A streamed body as one attempt sends it.
 #[derive(Debug)]
 pub struct Upload {
-    pieces: Pieces,
+    pieces: PieceReceiver,
     /// Bytes to come, if the length is known.
     remaining: Option<u64>,
     is_finished: Rc<Cell<bool>>,
--- a/tests/unit/open_request.rs
+++ b/tests/unit/open_request.rs
@@ -1,7 +1,7 @@
 //! One open request: its time limits, its one final response, and its attempts.
 
 use super::*;
-use crate::node::wire::stream::Content;
+use crate::node::wire::stream::RequestBody;
 use bytes::Bytes;
 use hyper::{Method, Uri, header::HeaderValue};
 
@@ -14,11 +14,11 @@
         transaction_id: HeaderValue::from_static("t-1"),
         idempotency_key: None,
         content_type: None,
-        body: Content::Whole(Bytes::new()),
+        body: RequestBody::Buffered(Bytes::new()),
     })
 }
 
-fn open_request() -> (OpenRequest, oneshot::Receiver<FinalAnswer>) {
+fn open_request() -> (OpenRequest, oneshot::Receiver<FinalResponse>) {
     let (sender, receiver) = oneshot::channel();
     (OpenRequest::new(sender, upstream(), TIME_LIMIT), receiver)
 }
@@ -30,7 +30,7 @@
         sent_at: 10.0,
         timeout: 0.5,
         response_started_at,
-        write_progress: Trace::default(),
+        write_progress: WriteProgressHandle::default(),
         task: runtime.spawn(async {}).abort_handle(),
         timeout_timer: None,
     }
@@ -55,21 +55,21 @@
 fn only_the_first_response_is_delivered() {
     let (mut request, mut receiver) = open_request();
     assert!(request.is_waiting() && !request.is_finished());
-    assert_eq!(request.deliver(FinalAnswer::Served(Bytes::new())), DeliveryOutcome::Delivered);
-    assert_eq!(request.deliver(FinalAnswer::Failed), DeliveryOutcome::NotOwed);
+    assert_eq!(request.deliver(FinalResponse::Served(Bytes::new())), DeliveryOutcome::Delivered);
+    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::NotOwed);
     assert!(!request.is_waiting() && request.is_finished());
-    assert!(matches!(receiver.try_recv(), Ok(FinalAnswer::Served(_))));
+    assert!(matches!(receiver.try_recv(), Ok(FinalResponse::Served(_))));
 }
 
 #[test]
 fn response_to_a_client_that_is_gone_is_not_delivered() {
     let (mut request, receiver) = open_request();
     drop(receiver);
-    assert_eq!(request.deliver(FinalAnswer::Failed), DeliveryOutcome::ClientGone);
+    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::ClientGone);
     let (mut request, _receiver) = open_request();
     assert!(request.abandon());
     assert!(!request.abandon());
-    assert_eq!(request.deliver(FinalAnswer::Failed), DeliveryOutcome::NotOwed);
+    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::NotOwed);
 }
 
 #[test]
@@ -79,7 +79,7 @@
     request.set_dedup_deadline(50.0);
     assert!(request.may_send(49.5));
     assert!(!request.may_send(50.0));
-    request.deliver(FinalAnswer::Failed);
+    request.deliver(FinalResponse::Failed);
     assert!(!request.may_send(49.5));
 }
 
@@ -94,7 +94,7 @@
     assert_eq!(request.unsent_attempts(), [0]);
     let in_flight: Vec<u32> = request.attempts_mut().map(|(number, _)| number).collect();
     assert_eq!(in_flight, [0, 2]);
-    request.deliver(FinalAnswer::Failed);
+    request.deliver(FinalResponse::Failed);
     assert!(request.take_attempt(0).is_some() && request.take_attempt(0).is_none());
     assert!(request.take_attempt(1).is_none() && request.attempt_mut(3).is_none());
     assert!(!request.is_finished());
--- a/tests/unit/request_table.rs
+++ b/tests/unit/request_table.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::node::{
-    connection::clients::FinalAnswer,
-    wire::{client_request::UpstreamRequest, stream::Content},
+    connection::clients::FinalResponse,
+    wire::{client_request::UpstreamRequest, stream::RequestBody},
 };
 use bytes::Bytes;
 use hyper::{Method, Uri};
@@ -14,7 +14,7 @@
 fn open(
     table: &RequestTable,
     transaction_id: &'static str,
-) -> Option<(RequestId, oneshot::Receiver<FinalAnswer>)> {
+) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)> {
     let transaction_id = HeaderValue::from_static(transaction_id);
     let id = table.reserve_id(&transaction_id)?;
     let upstream = UpstreamRequest {
@@ -23,7 +23,7 @@
         transaction_id,
         idempotency_key: None,
         content_type: None,
-        body: Content::Whole(Bytes::new()),
+        body: RequestBody::Buffered(Bytes::new()),
     };
     let (sender, receiver) = oneshot::channel();
     table.insert(id.clone(), OpenRequest::new(sender, Rc::new(upstream), 1.0));
@@ -49,7 +49,7 @@
     let (id, _receiver) = open(&table, "t-1").expect("a free transaction id");
     assert!(table.remove_finished(&id).is_none());
     assert_eq!((table.ids(), table.waiting_count()), (vec![id.clone()], 1));
-    table.get_mut(&id).expect("open").deliver(FinalAnswer::Failed);
+    table.get_mut(&id).expect("open").deliver(FinalResponse::Failed);
     assert_eq!((table.ids(), table.waiting_count()), (vec![id.clone()], 0));
     assert!(table.is_some_and(&id, OpenRequest::is_finished));
     assert!(table.remove_finished(&id).is_some());
