--- a/src/node/assembly.rs
+++ b/src/node/assembly.rs
@@ -71,7 +71,7 @@
         Box::new(driver.requests().clone()),
         config.options.clone(),
         metrics.clone(),
-        driver.processes().clone(),
+        driver.replica_counts().clone(),
         config.memory_bytes / BODY_MEMORY_DIVISOR,
     )
 }
--- a/src/node/config/document.rs
+++ b/src/node/config/document.rs
@@ -1,6 +1,6 @@
 //! The configuration file as it is written.
 
-use crate::node::wire::endpoint_list::List;
+use crate::node::wire::endpoint_list::EndpointList;
 use oliverack::SettingsDocument;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -34,7 +34,7 @@
     pub operator: Option<SocketAddr>,
     /// The endpoint list as last cached; it may be out of date.
     #[serde(borrow)]
-    pub known: List<'a>,
+    pub known: EndpointList<'a>,
     /// The settings object.
     pub settings: SettingsDocument,
 }
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -6,7 +6,7 @@
 pub use document::ConfigDocument;
 pub use error::ConfigError;
 
-use crate::node::wire::endpoint_list::Listed;
+use crate::node::wire::endpoint_list::ListedEndpoint;
 use oliverack::Options;
 use std::{
     env::{self, VarError},
@@ -62,7 +62,7 @@
     /// The descriptor of the clients' listening socket, if the platform holds it.
     pub accept_fd: Option<RawFd>,
     /// The endpoint list as last cached.
-    pub cached_endpoints: Vec<Listed>,
+    pub cached_endpoints: Vec<ListedEndpoint>,
     /// The version of that list.
     pub cached_version: u64,
     /// The settings of the policy, and what stands beside them in the settings object.
--- a/src/node/connection/clients/context.rs
+++ b/src/node/connection/clients/context.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::clients::{handler::RequestHandler, memory::BodyMemory},
-    hot_restart::replica_counts::Processes,
+    hot_restart::replica_counts::ReplicaCounts,
     metrics::Metrics,
 };
 use hyper::StatusCode;
@@ -18,7 +18,7 @@
     /// Counts the requests.
     pub metrics: Rc<Metrics>,
     /// The processes that share the connection budget.
-    pub processes: Rc<Processes>,
+    pub replica_counts: Rc<ReplicaCounts>,
     /// Memory for bodies and streams.
     pub memory: BodyMemory,
     /// A shutdown has begun: each response closes its connection.
@@ -31,11 +31,11 @@
         handler: Box<dyn RequestHandler>,
         options: Options,
         metrics: Rc<Metrics>,
-        processes: Rc<Processes>,
+        replica_counts: Rc<ReplicaCounts>,
         body_memory: usize,
     ) -> Self {
-        let memory = BodyMemory::new(body_memory, processes.clone());
-        Self { handler, options, metrics, processes, memory, is_stopping: Cell::new(false) }
+        let memory = BodyMemory::new(body_memory, replica_counts.clone());
+        Self { handler, options, metrics, replica_counts, memory, is_stopping: Cell::new(false) }
     }
 
     /// The status of the health check for load balancers in front of the gateway.
--- a/src/node/connection/clients/listener.rs
+++ b/src/node/connection/clients/listener.rs
@@ -89,7 +89,7 @@
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         self.is_accepting.set(true);
         loop {
-            if self.is_full() && self.context.processes.is_followed() {
+            if self.is_full() && self.context.replica_counts.has_successor() {
                 // The successor process accepts what this one leaves in the backlog.
                 self.wait_for_connection_end().await;
                 continue;
@@ -127,7 +127,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.connections() >= self.max_connections / self.context.processes.count() as usize
+        self.connections() >= self.max_connections / self.context.replica_counts.count() as usize
     }
 
     fn evict_one(&self) {
--- a/src/node/connection/clients/memory.rs
+++ b/src/node/connection/clients/memory.rs
@@ -1,6 +1,6 @@
 //! The memory that bodies and streams may hold, reserved by permits.
 
-use crate::node::{hot_restart::replica_counts::Processes, wire::limits::MAX_BUFFERED_BODY_BYTES};
+use crate::node::{hot_restart::replica_counts::ReplicaCounts, wire::limits::MAX_BUFFERED_BODY_BYTES};
 use std::{cell::Cell, rc::Rc};
 
 /// Most bytes that are buffered for one request while memory is ample. A slow client takes seconds to send them, and
@@ -11,18 +11,18 @@
 pub struct BodyMemory {
     capacity: usize,
     reserved: Cell<usize>,
-    processes: Rc<Processes>,
+    replica_counts: Rc<ReplicaCounts>,
 }
 
 impl BodyMemory {
     /// A capacity in bytes, for all processes together.
-    pub fn new(capacity: usize, processes: Rc<Processes>) -> Self {
-        Self { capacity, reserved: Cell::new(0), processes }
+    pub fn new(capacity: usize, replica_counts: Rc<ReplicaCounts>) -> Self {
+        Self { capacity, reserved: Cell::new(0), replica_counts }
     }
 
     /// The part of this process.
     fn process_capacity(&self) -> usize {
-        self.capacity / self.processes.count() as usize
+        self.capacity / self.replica_counts.count() as usize
     }
 
     /// Whether this many more bytes leave at least half of this process's part free.
--- a/src/node/connection/discovery/follower.rs
+++ b/src/node/connection/discovery/follower.rs
@@ -6,7 +6,7 @@
         http_client::HttpClient,
         write_progress::WriteProgressHandle,
     },
-    wire::endpoint_list::{List, Listed},
+    wire::endpoint_list::{EndpointList, ListedEndpoint},
 };
 use bytes::Bytes;
 use oliverack::ListKind;
@@ -27,27 +27,27 @@
 const MOVED_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Takes the lists.
-pub trait ListSink {
+pub trait EndpointListSink {
     /// A complete list, or changes to the last one.
-    fn list(&self, kind: ListKind, endpoints: Vec<Listed>);
+    fn endpoints_updated(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>);
     /// A poll that the policy requested brought no list.
-    fn unlisted(&self);
+    fn poll_failed(&self);
 }
 
 /// How discovery is followed.
 pub struct Discovery {
     /// Calls have a price: after a failure the next one is made when the policy requests it.
-    pub must_ask: bool,
+    pub is_polled: bool,
     /// The version of the list that is known at the start.
     pub version: u64,
     /// Length of the longest list that is read.
-    pub list_bound: usize,
+    pub max_list_bytes: usize,
     /// Names of the zones, by number.
     pub zones: Vec<String>,
     /// The policy requests a poll.
-    pub asked: Rc<Notify>,
+    pub poll_requested: Rc<Notify>,
     /// Takes the lists.
-    pub sink: Rc<dyn ListSink>,
+    pub sink: Rc<dyn EndpointListSink>,
 }
 
 /// Follows discovery for the rest of the process's life, at the address that `addresses` holds at the time.
@@ -88,7 +88,7 @@
 impl Follower {
     fn new(addresses: watch::Receiver<SocketAddr>, discovery: Discovery) -> Self {
         let address = *addresses.borrow();
-        let is_polled = discovery.must_ask;
+        let is_polled = discovery.is_polled;
         Self {
             state: if is_polled { FollowerState::AwaitingPollRequest } else { FollowerState::Watching },
             // A complete list costs a polled service far more than changes do. Elsewhere it is the safer start.
@@ -125,14 +125,14 @@
         self.connection = None;
         self.version = None;
         self.next_backoff = MIN_BACKOFF;
-        if self.discovery.must_ask && self.state == FollowerState::Watching {
+        if self.discovery.is_polled && self.state == FollowerState::Watching {
             self.report_failed_poll();
         }
     }
 
     async fn await_poll_request(&mut self) {
         tokio::select! {
-            () = self.discovery.asked.notified() => self.state = FollowerState::Watching,
+            () = self.discovery.poll_requested.notified() => self.state = FollowerState::Watching,
             Ok(()) = self.addresses.changed() => {}
         }
     }
@@ -149,7 +149,7 @@
     async fn watch(&mut self) {
         let Some(answer) = self.call().await else { return };
         let parsed = match &answer {
-            Ok(text) => serde_json::from_slice::<List>(text).map_err(|_| DiscoveryError::Unreadable),
+            Ok(text) => serde_json::from_slice::<EndpointList>(text).map_err(|_| DiscoveryError::Unreadable),
             Err(error) => Err(*error),
         };
         match parsed {
@@ -161,7 +161,7 @@
     /// Makes one call; `None` if discovery moved before it was answered.
     async fn call(&mut self) -> Option<Result<Bytes, DiscoveryError>> {
         let progress = WriteProgressHandle::default();
-        let max_list_bytes = self.discovery.list_bound;
+        let max_list_bytes = self.discovery.max_list_bytes;
         let call = ListCall { address: self.address, version: self.version, max_list_bytes };
         let mut answer = pin!(call.make(&mut self.connection, &progress));
         // The branch that is not taken loses nothing: the call goes on below, and a move stays in `addresses`.
@@ -181,7 +181,7 @@
     }
 
     /// Takes in a list. One that does not follow from the known list is dropped, and the complete list is asked for.
-    fn take_in(&mut self, list: &List) {
+    fn take_in(&mut self, list: &EndpointList) {
         let has_recovered = self.last_error.take().is_some();
         if has_recovered {
             info!("discovery answers again");
@@ -197,7 +197,7 @@
         let endpoints = list.endpoints(&self.discovery.zones);
         if list.full || has_recovered || !endpoints.is_empty() {
             let kind = if list.full { ListKind::Full } else { ListKind::Changes };
-            self.discovery.sink.list(kind, endpoints);
+            self.discovery.sink.endpoints_updated(kind, endpoints);
         }
     }
 
@@ -210,7 +210,7 @@
         self.connection = None;
         // A polled service that rejects calls as it is busy says nothing about the version.
         let is_rejection = matches!(error, DiscoveryError::Status(_));
-        if error == DiscoveryError::Unreadable || is_rejection && !self.discovery.must_ask {
+        if error == DiscoveryError::Unreadable || is_rejection && !self.discovery.is_polled {
             self.version = None;
         }
         let delay = self.next_backoff;
@@ -220,7 +220,7 @@
 
     /// Makes the next call after a delay or, where discovery is polled, when the policy requests it.
     fn retry_after(&mut self, delay: Duration) {
-        if self.discovery.must_ask {
+        if self.discovery.is_polled {
             self.report_failed_poll();
         } else {
             self.state = FollowerState::BackingOff { delay };
@@ -228,7 +228,7 @@
     }
 
     fn report_failed_poll(&mut self) {
-        self.discovery.sink.unlisted();
+        self.discovery.sink.poll_failed();
         self.state = FollowerState::AwaitingPollRequest;
     }
 }
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::{http_client::HttpClient, idle_limit::IdleLimit},
-    wire::endpoint_list::Listed,
+    wire::endpoint_list::ListedEndpoint,
 };
 use fnv::FnvHashMap;
 use oliverack::{EndpointId, Lifecycle, Status};
@@ -102,7 +102,7 @@
 
     /// Applies a full endpoint list, or the entries of one that have changed. Endpoints that a full list does not name,
     /// or that are gone, are forgotten and their idle connections closed.
-    pub fn listed(&self, is_full: bool, list: &[Listed]) {
+    pub fn listed(&self, is_full: bool, list: &[ListedEndpoint]) {
         let mut endpoints = self.endpoints.borrow_mut();
         let mut idle = self.idle.borrow_mut();
         let mut previous = if is_full { std::mem::take(&mut *endpoints) } else { FnvHashMap::default() };
@@ -131,7 +131,7 @@
     }
 
     /// The endpoint according to its entry; `None` if it is gone or has no address.
-    fn apply_entry(&self, entry: &Listed, known: Option<&KnownEndpoint>) -> Option<KnownEndpoint> {
+    fn apply_entry(&self, entry: &ListedEndpoint, known: Option<&KnownEndpoint>) -> Option<KnownEndpoint> {
         let address = entry.addr.or(known.map(|known| known.address))?;
         if entry.endpoint.lifecycle == Lifecycle::Gone {
             return None;
--- a/src/node/descriptors.rs
+++ b/src/node/descriptors.rs
@@ -26,7 +26,8 @@
 impl DescriptorBudget {
     /// Divides the descriptors of a configuration, which has been checked to allow enough.
     pub fn new(config: &Config) -> Self {
-        let operators = config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + replica_table::SOCKETS);
+        let operators =
+            config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + replica_table::MAX_DESCRIPTORS);
         let shared = config.max_descriptors - PROCESS_DESCRIPTORS - COUNTER_DESCRIPTORS - operators;
         let endpoints = shared * ENDPOINT_TWENTIETHS / 20;
         Self { clients: shared - endpoints, endpoints }
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -18,8 +18,8 @@
     Reload,
     /// Closes idle connections to endpoints.
     IdleConnections,
-    /// Serves operator calls and sibling processes.
-    OperatorsAndSiblings,
+    /// Serves operator calls and replica processes.
+    OperatorsAndReplicas,
 }
 
 impl fmt::Display for EssentialTask {
@@ -30,7 +30,7 @@
             Self::ClientTimeLimits => "client time limits",
             Self::Reload => "reload",
             Self::IdleConnections => "idle connections",
-            Self::OperatorsAndSiblings => "operators and siblings",
+            Self::OperatorsAndReplicas => "operators and replicas",
         })
     }
 }
--- a/src/node/hot_restart/peer_connection.rs
+++ b/src/node/hot_restart/peer_connection.rs
@@ -3,7 +3,7 @@
 use crate::node::hot_restart::{
     framing::{MessageError, MessageReader, MessageWriter},
     message::Message,
-    replica_table::{PeerRole, Siblings},
+    replica_table::{PeerRole, ReplicaTable},
 };
 use oliverack::{EndpointId, HandoverSnapshot};
 use std::rc::Rc;
@@ -12,19 +12,19 @@
 use tracing::warn;
 
 /// What peer processes read and change in this process.
-pub trait SiblingHandler {
+pub trait ReplicaHandler {
     /// Takes over what a predecessor has learned.
-    fn inherit(&self, snapshot: HandoverSnapshot);
+    fn receive_snapshot(&self, snapshot: HandoverSnapshot);
     /// What a successor takes over.
-    fn memory(&self) -> HandoverSnapshot;
+    fn snapshot(&self) -> HandoverSnapshot;
     /// Operators have put an endpoint into maintenance or taken it out, by a call to a peer.
     fn set_maintenance(&self, endpoint: &EndpointId, in_maintenance: bool);
     /// A peer has been added or removed.
-    fn processes_changed(&self);
+    fn replicas_changed(&self);
 }
 
 /// The shared handler of all peers.
-pub type Handler = Rc<dyn SiblingHandler>;
+pub type SharedHandler = Rc<dyn ReplicaHandler>;
 
 /// Why a connection to a peer ended.
 #[derive(Debug, Error)]
@@ -50,15 +50,15 @@
 /// Keeps a peer in the table for as long as the connection to it is open. `first_message` is written before all
 /// others.
 pub fn join(
-    table: &Rc<Siblings>,
-    handler: &Handler,
+    table: &Rc<ReplicaTable>,
+    handler: &SharedHandler,
     role: PeerRole,
     mut reader: MessageReader,
     mut writer: MessageWriter,
     first_message: Option<Message>,
 ) {
     let (peer_id, mut outbox) = table.add(role);
-    handler.processes_changed();
+    handler.replicas_changed();
     let table = table.clone();
     let handler = handler.clone();
     spawn_local(async move {
@@ -67,7 +67,7 @@
             error = send_messages(&mut writer, first_message, &mut outbox) => error,
         };
         table.remove(peer_id);
-        handler.processes_changed();
+        handler.replicas_changed();
         if error.is_protocol_violation() {
             warn!(reason = %error, "connection to a replica process closed");
         }
@@ -75,7 +75,7 @@
 }
 
 /// Carries out what the peer asks for; returns why that ended.
-async fn receive_messages(reader: &mut MessageReader, handler: &Handler) -> ConnectionError {
+async fn receive_messages(reader: &mut MessageReader, handler: &SharedHandler) -> ConnectionError {
     loop {
         match reader.read().await {
             Ok(Message::MaintenanceChanged { endpoint, in_maintenance }) => {
--- a/src/node/hot_restart/replica_counts.rs
+++ b/src/node/hot_restart/replica_counts.rs
@@ -4,12 +4,12 @@
 
 /// How many peer processes there are.
 #[derive(Debug, Default)]
-pub struct Processes {
+pub struct ReplicaCounts {
     predecessors: Cell<u32>,
     successors: Cell<u32>,
 }
 
-impl Processes {
+impl ReplicaCounts {
     /// Replaces both counts.
     pub fn set(&self, predecessors: u32, successors: u32) {
         self.predecessors.set(predecessors);
@@ -17,7 +17,7 @@
     }
 
     /// The position of this process among all of them, in the order of their starts.
-    pub fn place(&self) -> u32 {
+    pub fn index(&self) -> u32 {
         self.predecessors.get()
     }
 
@@ -27,7 +27,7 @@
     }
 
     /// Whether a successor accepts clients, too.
-    pub fn is_followed(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.successors.get() > 0
     }
 }
--- a/src/node/hot_restart/replica_table.rs
+++ b/src/node/hot_restart/replica_table.rs
@@ -1,6 +1,6 @@
 //! The live peer processes of this process.
 
-use crate::node::hot_restart::{message::Message, replica_counts::Processes};
+use crate::node::hot_restart::{message::Message, replica_counts::ReplicaCounts};
 use oliverack::EndpointId;
 use std::{
     cell::{Cell, RefCell},
@@ -12,7 +12,7 @@
 /// Peer processes at once; a hot restart needs one.
 pub const MAX_PEERS: usize = 4;
 /// Descriptors that hot restart needs: one for each peer, the listener, and a connection just accepted.
-pub const SOCKETS: usize = MAX_PEERS + 2;
+pub const MAX_DESCRIPTORS: usize = MAX_PEERS + 2;
 /// Messages that may wait to be written to a peer; a peer that lets more wait is disconnected.
 const OUTBOX_CAPACITY: usize = 64;
 
@@ -35,18 +35,18 @@
 }
 
 /// See the [module](self).
-pub struct Siblings {
+pub struct ReplicaTable {
     /// Only processes of the gateway of this name are peers.
     gateway_name: String,
     max_message_bytes: u64,
     peers: RefCell<BTreeMap<PeerId, Peer>>,
     next_id: Cell<u64>,
-    counts: Rc<Processes>,
+    counts: Rc<ReplicaCounts>,
 }
 
-impl Siblings {
+impl ReplicaTable {
     /// An empty table. Messages of up to `max_message_bytes` are read; `counts` follows the table.
-    pub fn new(gateway_name: &str, max_message_bytes: usize, counts: Rc<Processes>) -> Rc<Self> {
+    pub fn new(gateway_name: &str, max_message_bytes: usize, counts: Rc<ReplicaCounts>) -> Rc<Self> {
         Rc::new(Self {
             gateway_name: gateway_name.to_owned(),
             max_message_bytes: max_message_bytes as u64,
@@ -88,7 +88,7 @@
     }
 
     /// Notifies all peers that operators have put an endpoint into maintenance or taken it out.
-    pub fn tell(&self, endpoint: &EndpointId, in_maintenance: bool) {
+    pub fn notify_maintenance(&self, endpoint: &EndpointId, in_maintenance: bool) {
         let message = || Message::MaintenanceChanged { endpoint: endpoint.clone(), in_maintenance };
         // A peer whose outbox is full is removed; the end of its connection tells both sides.
         self.peers.borrow_mut().retain(|_, peer| peer.outbox.try_send(message()).is_ok());
--- a/src/node/hot_restart/successor.rs
+++ b/src/node/hot_restart/successor.rs
@@ -4,8 +4,8 @@
     framing::split,
     handshake::{HANDSHAKE_TIMEOUT, HandshakeError},
     message::{FORMAT_VERSION, Message},
-    peer_connection::{Handler, join},
-    replica_table::{PeerRole, Siblings},
+    peer_connection::{SharedHandler, join},
+    replica_table::{PeerRole, ReplicaTable},
     shared_folder::SharedFolder,
 };
 use std::{fs, io, path::PathBuf, process, rc::Rc, time::Duration};
@@ -19,12 +19,12 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// The socket on which successors connect; its file is removed with it.
-pub struct SiblingListener {
+pub struct SuccessorListener {
     socket: UnixListener,
     path: PathBuf,
 }
 
-impl SiblingListener {
+impl SuccessorListener {
     /// Listens on the socket of this process in the shared folder.
     ///
     /// # Errors
@@ -38,7 +38,7 @@
     }
 }
 
-impl Drop for SiblingListener {
+impl Drop for SuccessorListener {
     fn drop(&mut self) {
         // A file that can't be removed is removed by the next process, which finds that nobody listens.
         let _ = fs::remove_file(&self.path);
@@ -46,7 +46,7 @@
 }
 
 /// Accepts successors for the rest of the process's life.
-pub async fn welcome(table: Rc<Siblings>, handler: Handler, listener: SiblingListener) {
+pub async fn accept_successors(table: Rc<ReplicaTable>, handler: SharedHandler, listener: SuccessorListener) {
     loop {
         let Ok((socket, _)) = listener.socket.accept().await else {
             sleep(ACCEPT_BACKOFF).await;
@@ -62,12 +62,16 @@
 }
 
 /// Performs the handshake with a process that has connected, and adds it as a peer.
-async fn accept(table: &Rc<Siblings>, handler: &Handler, socket: UnixStream) -> Result<(), HandshakeError> {
+async fn accept(
+    table: &Rc<ReplicaTable>,
+    handler: &SharedHandler,
+    socket: UnixStream,
+) -> Result<(), HandshakeError> {
     let (mut reader, writer) = split(socket, table.max_message_bytes());
     let received = timeout(HANDSHAKE_TIMEOUT, reader.read()).await.map_err(|_| HandshakeError::Timeout)?;
     check_hello(&received?, table.gateway_name())?;
     // Changes from here on wait in the peer's outbox, behind the snapshot.
-    let snapshot = Message::Snapshot(handler.memory());
+    let snapshot = Message::Snapshot(handler.snapshot());
     join(table, handler, PeerRole::Successor, reader, writer, Some(snapshot));
     Ok(())
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The gateway on real sockets, in layers of which each uses only those before it:
 //!
 //! 1. `config`, `config_check`, `metrics` and `wire`: values and formats, without sockets.
-//! 2. `hot_restart`: what processes of one gateway tell each other, and leave to the next one.
+//! 2. `hot_restart`: the peer processes of a hot restart, their messages and the files that they share.
 //! 3. `connection`: clients, endpoints, the counter, discovery and operators.
 //! 4. `runtime`: the driver of the policy, with the clock, timers, open requests and attempts.
 //! 5. `assembly`, `descriptors`, `error`, `listener`, `operator_calls`, `reload`, `shutdown`, `start` and `tasks`:
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -1,12 +1,12 @@
 //! Composes the parts of the runtime and passes on between them: actions, due timers, endpoint lists, and what
-//! sibling processes say. It decides nothing.
+//! replica processes say. It decides nothing.
 
 use crate::node::{
     config::Config,
-    connection::{discovery::follower::ListSink, endpoint_pool::EndpointPool},
+    connection::{discovery::follower::EndpointListSink, endpoint_pool::EndpointPool},
     hot_restart::{
-        maintenance_file::MaintenanceFile, peer_connection::SiblingHandler, replica_counts::Processes,
-        replica_table::Siblings,
+        maintenance_file::MaintenanceFile, peer_connection::ReplicaHandler, replica_counts::ReplicaCounts,
+        replica_table::ReplicaTable,
     },
     metrics::Metrics,
     runtime::{
@@ -19,7 +19,7 @@
         requests::Requests,
         timers::{TimerPurpose, Timers},
     },
-    wire::endpoint_list::Listed,
+    wire::endpoint_list::ListedEndpoint,
 };
 use oliverack::{
     Action, EndpointCounts, EndpointId, Event, Gateway, HandoverSnapshot, ListKind, SettingsError, Status,
@@ -43,8 +43,8 @@
     maintenance: Maintenance,
     endpoints: Rc<EndpointPool>,
     poll_requested: Rc<Notify>,
-    siblings: Rc<Siblings>,
-    processes: Rc<Processes>,
+    replicas: Rc<ReplicaTable>,
+    replica_counts: Rc<ReplicaCounts>,
 }
 
 impl Driver {
@@ -54,7 +54,7 @@
     /// The settings are not usable.
     pub fn new(
         config: &Config,
-        cached_endpoints: Vec<Listed>,
+        cached_endpoints: Vec<ListedEndpoint>,
         endpoint_budget: usize,
         metrics: &Metrics,
     ) -> Result<Rc<Self>, SettingsError> {
@@ -64,8 +64,8 @@
         let timers = Rc::new(Timers::default());
         let table = Rc::new(RequestTable::default());
         let endpoints = endpoint_pool(config, endpoint_budget, metrics);
-        let processes = Rc::new(Processes::default());
-        let siblings = Siblings::new(&config.name, config.max_list_bytes(), processes.clone());
+        let replica_counts = Rc::new(ReplicaCounts::default());
+        let replicas = ReplicaTable::new(&config.name, config.max_list_bytes(), replica_counts.clone());
         let file = config.operator.and_then(|_| MaintenanceFile::new(&config.name));
         let driver = Rc::new_cyclic(|driver: &Weak<Self>| {
             let policy = PolicyLoop::new(gateway, clock.clone(), driver.clone());
@@ -79,7 +79,7 @@
             let requests =
                 Requests::new(policy.clone(), clock.clone(), timers.clone(), table, attempts.clone());
             let counter_calls = CounterCalls::new(config.counter, settings, policy.clone(), timers.clone());
-            let maintenance = Maintenance::new(policy.clone(), endpoints.clone(), siblings.clone(), file);
+            let maintenance = Maintenance::new(policy.clone(), endpoints.clone(), replicas.clone(), file);
             let poll_requested = Rc::default();
             Self {
                 clock,
@@ -91,8 +91,8 @@
                 maintenance,
                 endpoints,
                 poll_requested,
-                siblings,
-                processes,
+                replicas,
+                replica_counts,
             }
         });
         driver.update_endpoints(ListKind::Stale, cached_endpoints);
@@ -115,13 +115,13 @@
     }
 
     /// The other processes of this gateway.
-    pub fn siblings(&self) -> &Rc<Siblings> {
-        &self.siblings
+    pub fn replicas(&self) -> &Rc<ReplicaTable> {
+        &self.replicas
     }
 
     /// How many processes serve this gateway.
-    pub fn processes(&self) -> &Rc<Processes> {
-        &self.processes
+    pub fn replica_counts(&self) -> &Rc<ReplicaCounts> {
+        &self.replica_counts
     }
 
     /// Notified when the policy wants discovery to be polled.
@@ -170,7 +170,7 @@
     }
 
     /// The pool learns the endpoints' addresses, which are this gateway's own; the policy learns the rest.
-    fn update_endpoints(&self, kind: ListKind, endpoints: Vec<Listed>) {
+    fn update_endpoints(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         self.endpoints.listed(kind != ListKind::Changes, &endpoints);
         let endpoints = endpoints.into_iter().map(|listed| listed.endpoint).collect();
         self.policy.post(Event::EndpointsUpdated { kind, endpoints });
@@ -207,22 +207,22 @@
     }
 }
 
-impl ListSink for Driver {
-    fn list(&self, kind: ListKind, endpoints: Vec<Listed>) {
+impl EndpointListSink for Driver {
+    fn endpoints_updated(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         self.update_endpoints(kind, endpoints);
     }
 
-    fn unlisted(&self) {
+    fn poll_failed(&self) {
         self.policy.post(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
     }
 }
 
-impl SiblingHandler for Driver {
-    fn inherit(&self, memory: HandoverSnapshot) {
-        self.policy.post(Event::SnapshotReceived(memory));
+impl ReplicaHandler for Driver {
+    fn receive_snapshot(&self, snapshot: HandoverSnapshot) {
+        self.policy.post(Event::SnapshotReceived(snapshot));
     }
 
-    fn memory(&self) -> HandoverSnapshot {
+    fn snapshot(&self) -> HandoverSnapshot {
         self.policy.snapshot()
     }
 
@@ -230,9 +230,9 @@
         self.maintenance.set(endpoint, in_maintenance);
     }
 
-    fn processes_changed(&self) {
-        let index = self.processes.place();
-        let count = self.processes.count();
+    fn replicas_changed(&self) {
+        let index = self.replica_counts.index();
+        let count = self.replica_counts.count();
         info!(index, processes = count, "replicas changed");
         self.endpoints.share(count as usize);
         self.policy.post(Event::ReplicasChanged { index, count });
--- a/src/node/runtime/maintenance.rs
+++ b/src/node/runtime/maintenance.rs
@@ -2,18 +2,18 @@
 
 use crate::node::{
     connection::{endpoint_pool::EndpointPool, operators::MaintenanceError},
-    hot_restart::{maintenance_file::MaintenanceFile, replica_table::Siblings},
+    hot_restart::{maintenance_file::MaintenanceFile, replica_table::ReplicaTable},
     runtime::policy_loop::PolicyLoop,
 };
 use oliverack::{EndpointId, Event};
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Applies what operators say about maintenance here, at the sibling processes and in the file.
+/// Applies what operators say about maintenance here, at the replica processes and in the file.
 pub struct Maintenance {
     policy: Rc<PolicyLoop>,
     endpoints: Rc<EndpointPool>,
-    siblings: Rc<Siblings>,
+    replicas: Rc<ReplicaTable>,
     /// `None` if there are no operator calls, or no folder for the file.
     file: Option<MaintenanceFile>,
 }
@@ -23,10 +23,10 @@
     pub fn new(
         policy: Rc<PolicyLoop>,
         endpoints: Rc<EndpointPool>,
-        siblings: Rc<Siblings>,
+        replicas: Rc<ReplicaTable>,
         file: Option<MaintenanceFile>,
     ) -> Self {
-        Self { policy, endpoints, siblings, file }
+        Self { policy, endpoints, replicas, file }
     }
 
     /// Restores the endpoints in maintenance that the last process has stored.
@@ -54,14 +54,14 @@
         if !self.policy.knows_endpoint(&endpoint) {
             return Err(MaintenanceError::UnknownEndpoint);
         }
-        self.siblings.tell(&endpoint, in_maintenance);
+        self.replicas.notify_maintenance(&endpoint, in_maintenance);
         self.set(&endpoint, in_maintenance);
         let Some(file) = &self.file else { return Ok(()) };
         let endpoints = self.policy.endpoints_in_maintenance();
         file.store(endpoints.iter()).map_err(MaintenanceError::NotKept)
     }
 
-    /// Puts an endpoint into maintenance or takes it out, on the word of an operator or a sibling process.
+    /// Puts an endpoint into maintenance or takes it out, on the word of an operator or a replica process.
     pub fn set(&self, endpoint: &EndpointId, in_maintenance: bool) {
         if in_maintenance {
             info!(endpoint = %endpoint, "endpoint put into maintenance");
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -87,7 +87,7 @@
     pub fn begin(driver: Rc<Driver>, clients: Rc<Clients>, kill_after: Duration) -> Self {
         let start = Instant::now();
         clients.stop();
-        let has_successor = driver.processes().is_followed();
+        let has_successor = driver.replica_counts().has_successor();
         let schedule = Schedule::new(start, kill_after, has_successor);
         Self { driver, clients, has_successor, schedule }
     }
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -33,17 +33,17 @@
     reload: JoinHandle<()>,
     idle_connections: JoinHandle<()>,
     client_time_limits: JoinHandle<()>,
-    /// The servers of operators and of sibling processes; empty where there are no operator calls.
-    operators_and_siblings: JoinSet<()>,
+    /// The servers of operators and of replica processes; empty where there are no operator calls.
+    operators_and_replicas: JoinSet<()>,
 }
 
 impl Tasks {
     /// Takes over from the predecessor, if there is one, and starts the tasks.
     pub async fn spawn(node: &mut Node, hangup: Signal) -> Self {
         let driver = &node.driver;
-        let mut operators_and_siblings = JoinSet::new();
+        let mut operators_and_replicas = JoinSet::new();
         if node.operator_listener.is_some() {
-            join_siblings(driver, &mut operators_and_siblings).await;
+            join_replicas(driver, &mut operators_and_replicas).await;
         }
         driver.counter_calls().connect();
         let (discovery_address, discovery_addresses) = watch::channel(node.config.discovery);
@@ -53,11 +53,11 @@
             reload: spawn_local(reload_on_hangup(hangup, discovery_address, driver.clone())),
             idle_connections: spawn_local(close_idle_connections(driver.clone())),
             client_time_limits: spawn_local(node.clients.clone().watch()),
-            operators_and_siblings,
+            operators_and_replicas,
         };
         info!(gateway = %node.config.name, address = %node.address, "listening");
         if let Some(listener) = node.operator_listener.take() {
-            serve_operators(node, listener, &mut tasks.operators_and_siblings);
+            serve_operators(node, listener, &mut tasks.operators_and_replicas);
         }
         tasks
     }
@@ -70,21 +70,21 @@
             _ = &mut self.client_time_limits => EssentialTask::ClientTimeLimits,
             _ = &mut self.reload => EssentialTask::Reload,
             _ = &mut self.idle_connections => EssentialTask::IdleConnections,
-            Some(_) = self.operators_and_siblings.join_next() => EssentialTask::OperatorsAndSiblings,
+            Some(_) = self.operators_and_replicas.join_next() => EssentialTask::OperatorsAndReplicas,
         }
     }
 }
 
 /// Takes over what a predecessor hands over, or else what the last process has stored, and listens for
 /// successors.
-async fn join_siblings(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
-    let handler: peer_connection::Handler = driver.clone();
-    let (has_predecessor, listener) = predecessor::meet(driver.siblings(), &handler).await;
-    if !has_predecessor {
+async fn join_replicas(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
+    let handler: peer_connection::SharedHandler = driver.clone();
+    let takeover = predecessor::meet_predecessors(driver.replicas(), &handler).await;
+    if !takeover.has_predecessor {
         driver.maintenance().restore();
     }
-    if let Some(listener) = listener {
-        tasks.spawn_local(successor::welcome(driver.siblings().clone(), handler, listener));
+    if let Some(listener) = takeover.successor_listener {
+        tasks.spawn_local(successor::accept_successors(driver.replicas().clone(), handler, listener));
     }
 }
 
@@ -94,11 +94,11 @@
     addresses: watch::Receiver<SocketAddr>,
 ) -> JoinHandle<()> {
     let discovery = Discovery {
-        must_ask: config.options.settings.discovery_is_polled,
+        is_polled: config.options.settings.discovery_is_polled,
         version: config.cached_version,
-        list_bound: config.max_list_bytes(),
+        max_list_bytes: config.max_list_bytes(),
         zones: config.options.zones.clone(),
-        asked: driver.poll_requested().clone(),
+        poll_requested: driver.poll_requested().clone(),
         sink: driver.clone(),
     };
     spawn_local(follower::follow(addresses, discovery))
--- a/src/node/wire/endpoint_list.rs
+++ b/src/node/wire/endpoint_list.rs
@@ -14,7 +14,8 @@
 
 /// An endpoint list, complete or with changes only.
 #[derive(Debug, Deserialize, JsonSchema)]
-pub struct List<'a> {
+#[schemars(rename = "List")]
+pub struct EndpointList<'a> {
     /// Grows with each change.
     pub version: u64,
     /// It names all endpoints, not only the changed ones.
@@ -49,25 +50,25 @@
 
 /// An endpoint in the policy's terms, with the address at which this gateway reaches it.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// What the policy knows of it.
     pub endpoint: Endpoint,
     /// `None` if the list has no usable address.
     pub addr: Option<SocketAddr>,
 }
 
-impl List<'_> {
+impl EndpointList<'_> {
     /// The endpoints whose state is known. `zones` are the names of the zones by number.
-    pub fn endpoints(&self, zones: &[String]) -> Vec<Listed> {
+    pub fn endpoints(&self, zones: &[String]) -> Vec<ListedEndpoint> {
         let mut endpoints = Vec::with_capacity(self.endpoints.len());
-        endpoints.extend(self.endpoints.iter().filter_map(|entry| entry.listed(zones)));
+        endpoints.extend(self.endpoints.iter().filter_map(|entry| entry.to_listed_endpoint(zones)));
         endpoints
     }
 }
 
 impl Entry<'_> {
     /// `None` if its state is unknown.
-    fn listed(&self, zones: &[String]) -> Option<Listed> {
+    fn to_listed_endpoint(&self, zones: &[String]) -> Option<ListedEndpoint> {
         let lifecycle = match &*self.state {
             "SERVING" => Lifecycle::Running,
             "DRAINING" => Lifecycle::Draining,
@@ -81,7 +82,7 @@
             started: self.started_ms / 1000.0,
             lifecycle,
         };
-        Some(Listed { endpoint, addr: self.addr.parse().ok() })
+        Some(ListedEndpoint { endpoint, addr: self.addr.parse().ok() })
     }
 }
 
