--- a/src/node/connection/clients/socket.rs
+++ b/src/node/connection/clients/socket.rs
@@ -145,8 +145,8 @@
             && self.context.memory.is_ample_for(MAX_PIECE_BYTES)
     }
 
-    /// Ends the sending side and reads for a moment, so that the last response arrives. The time limit of the stage ends
-    /// the wait for a client that does not close.
+    /// Ends the sending side and reads for a moment, so that the last response arrives. The time limit of the stage
+    /// ends the wait for a client that does not close.
     pub async fn linger(&mut self) {
         self.state.enter(Stage::Closing);
         if self.tcp.shutdown().await.is_err() {
--- a/src/node/connection/clients/state.rs
+++ b/src/node/connection/clients/state.rs
@@ -10,8 +10,8 @@
 };
 use tokio::{sync::Notify, task::AbortHandle};
 
-/// Longest time for a complete request, from the connection or the request's first byte, with an allowance for its body;
-/// also the longest time without a byte of it. A client may take 2 s for a head, and one that sends nothing is owed an
+/// Longest time for a complete request, from the connection or the request's first byte, with an allowance for its
+/// body; also the longest time without a byte of it. A client may take 2 s for a head, and one that sends nothing is owed an
 /// error or a close within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Slowest rate at which a request may arrive without running out of time; slow clients send 64 kB a second.
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -16,7 +16,7 @@
 /// Shortest time between a response and the next request on its connection. An endpoint may send a response twice, some
 /// milliseconds apart; one that arrives after the next request was sent would be taken for that request's response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// How far below the endpoints' own idle time-out the gateway closes: a request that crosses an endpoint's close is lost.
+/// How far below the endpoints' own idle time-out the gateway closes: a request that crosses a close is lost.
 const IDLE_LIMIT_MARGIN: Duration = Duration::from_secs(2);
 
 /// A connection's place in the budget, given back when the connection closes.
--- a/src/node/connection/http_client.rs
+++ b/src/node/connection/http_client.rs
@@ -85,15 +85,15 @@
         self.progress.clone()
     }
 
-    /// Whether the idle connection can carry a request. Input that arrived without a request would be taken for the next
-    /// response, so a connection with such input can't.
+    /// Whether the idle connection can carry a request. Input that arrived without a request would be taken for the
+    /// next response, so a connection with such input can't.
     pub fn is_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         !has_input(&self.socket) && self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready()
     }
 
-    /// Sends a request and reads the response. A body beyond `limits` goes to the stream that `open_stream` returns, and
-    /// the response is returned with an empty body once the stream has ended.
+    /// Sends a request and reads the response. A body beyond `limits` goes to the stream that `open_stream` returns;
+    /// the response is then returned with an empty body, once the stream has ended.
     ///
     /// # Errors
     /// The connection broke, or brought no valid response.
