--- a/src/node/hot_restart/framing.rs
+++ b/src/node/hot_restart/framing.rs
@@ -83,3 +83,7 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/hot_restart_framing.rs"]
+mod tests;
--- a/src/node/hot_restart/replica_table.rs
+++ b/src/node/hot_restart/replica_table.rs
@@ -101,3 +101,7 @@
         self.counts.set(predecessors, peers.len() as u32 - predecessors);
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/replica_table.rs"]
+mod tests;
--- a/src/node/hot_restart/successor.rs
+++ b/src/node/hot_restart/successor.rs
@@ -89,3 +89,7 @@
     }
     Ok(())
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/hot_restart_successor.rs"]
+mod tests;
