--- a/src/node/hot_restart/handshake.rs
+++ b/src/node/hot_restart/handshake.rs
@@ -10,7 +10,7 @@
 /// Why a process was not accepted as a peer.
 #[derive(Debug, Error)]
 pub enum HandshakeError {
-    /// The peer's first message could not be read, or the own one not be written.
+    /// The peer's first message could not be read, or this process's own could not be written.
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The peer's first message has not come within [`HANDSHAKE_TIMEOUT`].
