--- a/src/node/connection/clients/connection.rs
+++ b/src/node/connection/clients/connection.rs
@@ -35,7 +35,7 @@
     }
 
     /// Serves the connection until it ends.
-    pub async fn run(mut self) {
+    pub async fn run(&mut self) {
         let end = self.serve_requests().await;
         self.socket.release_buffer();
         if let ConnectionEnd::WithStatus(status) = end {
@@ -64,14 +64,18 @@
     async fn serve_next(&mut self) -> Result<(), ConnectionEnd> {
         let head = request_reader::read_head(&mut self.socket).await?;
         let request = self.parse(&head);
-        match request_reader::read_body(&mut self.socket, &head).await {
-            Ok(body) => self.answer(request, body, &head).await,
+        let body = match request_reader::read_body(&mut self.socket, &head).await {
+            Ok(body) => body,
             Err(end) => {
                 if let Ok(request) = &request {
                     self.count_unread(request, &end);
                 }
-                Err(end)
+                return Err(end);
             }
+        };
+        match request {
+            Ok(request) => self.serve_request(request, body, &head).await,
+            Err(status) => self.answer_unhandled(status, body, &head).await,
         }
     }
 
@@ -90,18 +94,6 @@
         }
     }
 
-    async fn answer(
-        &mut self,
-        request: Result<ClientRequest, StatusCode>,
-        body: ReceivedBody<'c>,
-        head: &Head,
-    ) -> Result<(), ConnectionEnd> {
-        match request {
-            Ok(request) => self.serve_request(request, body, head).await,
-            Err(status) => self.answer_unhandled(status, body, head).await,
-        }
-    }
-
     async fn serve_request(
         &mut self,
         request: ClientRequest,
@@ -110,7 +102,12 @@
     ) -> Result<(), ConnectionEnd> {
         let mut exchange = Exchange::new(&mut self.socket, body.memory);
         let in_flight = self.context.metrics.request_started(request.class);
-        let response = exchange.serve(request, body.content, head.expects_continue).await?;
+        let response = match exchange.submit(request, body.content) {
+            Some(mut accepted) => {
+                exchange.wait_for_response(&mut accepted, head.expects_continue).await?.into()
+            }
+            None => ClientResponse::without_body(StatusCode::CONFLICT),
+        };
         let keep_alive = may_keep_alive(self.context, &exchange, &response, head);
         let delivery = exchange.respond(response, keep_alive, head.minor_version).await?;
         in_flight.end(delivery.outcome());
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -18,7 +18,6 @@
     },
 };
 use bytes::BytesMut;
-use hyper::StatusCode;
 use oliverack::RequestId;
 use tokio::sync::oneshot;
 
@@ -47,42 +46,49 @@
         self.unread_body.is_some()
     }
 
-    /// Hands the request to the handler and waits for the final response, streaming a large body meanwhile.
-    ///
-    /// # Errors
-    /// The client has disconnected, or its body is malformed or too slow. The handler is notified.
-    pub async fn serve(
+    /// Hands the request to the handler. `None` if a request with the same transaction id is open.
+    pub fn submit(
         &mut self,
         mut request: ClientRequest,
         content: ReceivedContent,
-        expects_continue: bool,
-    ) -> Result<ClientResponse, ConnectionEnd> {
+    ) -> Option<AcceptedRequest<'c>> {
         let handler = &*self.socket.context.handler;
         let mut upload = None;
         request.upstream.body = match content {
             ReceivedContent::Complete(bytes) => RequestBody::Buffered(bytes),
             ReceivedContent::Partial { received, decoder, length } => {
-                let (sender, content) = RequestBody::streamed(length);
+                let (sender, body) = RequestBody::streamed(length);
                 upload = Some(BodyUpload { sender, pending: received, decoder });
-                content
+                body
             }
         };
-        let Some((request_id, mut receiver)) = handler.accept(request) else {
+        let Some((id, receiver)) = handler.accept(request) else {
             self.unread_body = upload.map(|upload| upload.decoder);
-            return Ok(ClientResponse::without_body(StatusCode::CONFLICT));
+            return None;
         };
-        let mut open_request = OpenRequest { handler, request_id: &request_id, is_answered: false };
-        let early_response = match upload {
-            Some(upload) => self.run_upload(upload, expects_continue, &open_request, &mut receiver).await?,
+        Some(AcceptedRequest { handler, id, receiver, upload, is_answered: false })
+    }
+
+    /// Waits for the final response, streaming a large body meanwhile.
+    ///
+    /// # Errors
+    /// The client has disconnected, or its body is malformed or too slow.
+    pub async fn wait_for_response(
+        &mut self,
+        request: &mut AcceptedRequest<'_>,
+        expects_continue: bool,
+    ) -> Result<FinalResponse, ConnectionEnd> {
+        let early_response = match request.upload.take() {
+            Some(upload) => self.run_upload(upload, expects_continue, request).await?,
             None => None,
         };
         self.socket.state.enter(Stage::Processing);
         let response = match early_response {
             Some(response) => response,
-            None => self.wait_for_response(&mut receiver).await?,
+            None => self.receive_response(&mut request.receiver).await?,
         };
-        open_request.is_answered = true;
-        Ok(response.into())
+        request.is_answered = true;
+        Ok(response)
     }
 
     /// Streams the body; returns the final response if that came before the body's end.
@@ -90,12 +96,11 @@
         &mut self,
         upload: BodyUpload,
         expects_continue: bool,
-        open_request: &OpenRequest<'_>,
-        receiver: &mut oneshot::Receiver<FinalResponse>,
+        request: &mut AcceptedRequest<'_>,
     ) -> Result<Option<FinalResponse>, ConnectionEnd> {
-        match upload.run(self.socket, expects_continue, receiver).await? {
+        match upload.run(self.socket, expects_continue, &mut request.receiver).await? {
             UploadEnd::Complete => {
-                open_request.handler.request_received(open_request.request_id);
+                request.handler.request_received(&request.id);
                 Ok(None)
             }
             UploadEnd::Answered { response, unread_body } => {
@@ -107,7 +112,7 @@
 
     /// Waits for the final response. The select loses nothing: the response stays with the receiver, a disconnect with
     /// the socket, and bytes that were read with the buffer.
-    async fn wait_for_response(
+    async fn receive_response(
         &mut self,
         receiver: &mut oneshot::Receiver<FinalResponse>,
     ) -> Result<FinalResponse, ConnectionEnd> {
@@ -156,16 +161,19 @@
 
 /// A request that the handler has accepted. Dropped before the final response, it notifies the handler that the client
 /// has disconnected.
-struct OpenRequest<'a> {
-    handler: &'a dyn RequestHandler,
-    request_id: &'a RequestId,
+pub struct AcceptedRequest<'c> {
+    handler: &'c dyn RequestHandler,
+    id: RequestId,
+    receiver: oneshot::Receiver<FinalResponse>,
+    /// The body, if it has to be streamed and that has not begun.
+    upload: Option<BodyUpload>,
     is_answered: bool,
 }
 
-impl Drop for OpenRequest<'_> {
+impl Drop for AcceptedRequest<'_> {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.handler.client_disconnected(self.request_id);
+            self.handler.client_disconnected(&self.id);
         }
     }
 }
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -58,7 +58,7 @@
 }
 
 /// An attempt that is under way.
-struct Attempt<'a, S, O> {
+struct EndpointAttempt<'a, S, O> {
     pool: &'a EndpointPool,
     target: &'a Target,
     upstream: &'a UpstreamRequest,
@@ -85,7 +85,7 @@
             return AttemptEnd::without_response(Status::NotSent);
         }
         let attempt =
-            Attempt { pool: self, target, upstream, wait_seconds, progress, may_start, open_stream };
+            EndpointAttempt { pool: self, target, upstream, wait_seconds, progress, may_start, open_stream };
         match attempt.run().await {
             Ok(response) => AttemptEnd::from_response(response),
             Err(status) => AttemptEnd::without_response(status),
@@ -93,7 +93,7 @@
     }
 }
 
-impl<S, O> Attempt<'_, S, O>
+impl<S, O> EndpointAttempt<'_, S, O>
 where
     S: Fn() -> bool,
     O: Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -71,14 +71,14 @@
 }
 
 /// A call according to its path.
-enum Call<'a> {
+enum OperatorCall<'a> {
     HealthCheck,
     Metrics,
     StartMaintenance { endpoint_id: &'a str },
     EndMaintenance { endpoint_id: &'a str },
 }
 
-impl<'a> Call<'a> {
+impl<'a> OperatorCall<'a> {
     /// `None` if there is no such call.
     fn parse(path: &'a str) -> Option<Self> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
@@ -131,17 +131,17 @@
     }
 
     fn respond(&self, request: &Request<Incoming>) -> OperatorResponse {
-        let Some(call) = Call::parse(request.uri().path()) else {
+        let Some(call) = OperatorCall::parse(request.uri().path()) else {
             return text_response(StatusCode::NOT_FOUND, "no such call\n");
         };
         if *request.method() != call.method() {
             return method_not_allowed(&call.method());
         }
         match call {
-            Call::HealthCheck => self.check_health(),
-            Call::Metrics => text_response(StatusCode::OK, self.operations.render_metrics()),
-            Call::StartMaintenance { endpoint_id } => self.set_maintenance(endpoint_id, true),
-            Call::EndMaintenance { endpoint_id } => self.set_maintenance(endpoint_id, false),
+            OperatorCall::HealthCheck => self.check_health(),
+            OperatorCall::Metrics => text_response(StatusCode::OK, self.operations.render_metrics()),
+            OperatorCall::StartMaintenance { endpoint_id } => self.set_maintenance(endpoint_id, true),
+            OperatorCall::EndMaintenance { endpoint_id } => self.set_maintenance(endpoint_id, false),
         }
     }
 
