--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::{
-        endpoint_pool::{EndpointPool, PooledConnection, Target},
+        endpoint_pool::{EndpointPool, Target},
         http_client::ExchangeError,
         response_body::BufferLimits,
         write_progress::WriteProgressHandle,
@@ -113,7 +113,9 @@
             connection.client.progress().count_sent_in(&self.pool.dispatches);
             let idle = connection.idle_since.elapsed();
             let request = self.build_request()?;
-            let error = match self.exchange(&mut connection, request).await {
+            let open_stream = |parts: &Parts, length| self.open_stream_if_wanted(parts, length);
+            let exchange = connection.client.exchange(request, BUFFER_LIMITS, &open_stream);
+            let error = match exchange.await {
                 Ok(response) => {
                     if connection.is_reused {
                         self.pool.idle_limit.note_success(idle);
@@ -149,16 +151,9 @@
         self.upstream.to_endpoint(self.wait_seconds).ok_or(Status::ConnectFailed)
     }
 
-    async fn exchange(
-        &self,
-        connection: &mut PooledConnection,
-        request: Request<OutgoingBody>,
-    ) -> Result<Response<Bytes>, ExchangeError> {
-        // Only a served response has a body that matters.
-        let open_stream = |parts: &Parts, length: Option<u64>| {
-            let fits = length.is_none_or(|length| length <= MAX_BODY_BYTES as u64);
-            if parts.status == StatusCode::OK && fits { (self.open_stream)(length) } else { None }
-        };
-        connection.client.exchange(request, BUFFER_LIMITS, &open_stream).await
+    /// Opens the stream for a served response that is not too long; no other has a body that matters.
+    fn open_stream_if_wanted(&self, parts: &Parts, length: Option<u64>) -> Option<mpsc::Sender<Piece>> {
+        let fits = length.is_none_or(|length| length <= MAX_BODY_BYTES as u64);
+        if parts.status == StatusCode::OK && fits { (self.open_stream)(length) } else { None }
     }
 }
--- a/src/node/connection/http_client.rs
+++ b/src/node/connection/http_client.rs
@@ -107,7 +107,7 @@
         self.progress.start_request(body_length, request.body().finished_flag());
         let response = self.sender.try_send_request(request);
         let has_head = Cell::new(false);
-        let response = async {
+        let response = pin!(async {
             let response = response.await.map_err(|mut error| match error.take_message() {
                 Some(_) => Interruption::RequestReturned,
                 None => Interruption::Broken,
@@ -117,7 +117,7 @@
             let body = read_body(&parts, body, limits, open_stream).await;
             let body = body.map_err(|_| Interruption::Broken)?;
             Ok(Response::from_parts(parts, body))
-        };
+        });
         let result = drive(&mut self.driver, &self.progress, &has_head, response).await;
         result.map_err(|interruption| self.classify(&interruption))
     }
@@ -140,9 +140,8 @@
     driver: &mut Pin<Box<Connection<TokioIo<CountedSocket>, OutgoingBody>>>,
     progress: &WriteProgress,
     has_head: &Cell<bool>,
-    response: impl Future<Output = Result<Response<Bytes>, Interruption>>,
+    mut response: Pin<&mut impl Future<Output = Result<Response<Bytes>, Interruption>>>,
 ) -> Result<Response<Bytes>, Interruption> {
-    let mut response = pin!(response);
     let mut is_closed = false;
     let mut head_timer: Option<Pin<Box<Sleep>>> = None;
     poll_fn(|cx| {
--- a/src/node/connection/response_body.rs
+++ b/src/node/connection/response_body.rs
@@ -76,7 +76,7 @@
         Buffered::Partial(bytes) => bytes,
     };
     let sender = open_stream(parts, length).ok_or(ResponseBodyError::NotStreamed)?;
-    stream_body(body, buffered, &sender).await?;
+    stream_body(&mut body, buffered, &sender).await?;
     Ok(Bytes::new())
 }
 
@@ -123,7 +123,7 @@
 
 /// Sends what is buffered and the rest of the body, then the end mark.
 async fn stream_body(
-    mut body: Incoming,
+    body: &mut Incoming,
     buffered: Bytes,
     sender: &mpsc::Sender<Piece>,
 ) -> Result<(), ResponseBodyError> {
