--- a/src/node/connection/clients/socket.rs
+++ b/src/node/connection/clients/socket.rs
@@ -48,6 +48,7 @@
 }
 
 impl<'c> ClientSocket<'c> {
+    /// A socket that has just been accepted.
     pub fn new(context: &'c Context, tcp: TcpStream, state: &'c ConnectionState) -> Self {
         let read_ahead_memory = context.memory.empty_permit();
         Self { context, tcp, state, buffer: BytesMut::new(), read_ahead_memory }
--- a/src/node/wire/request_body.rs
+++ b/src/node/wire/request_body.rs
@@ -65,6 +65,7 @@
 }
 
 impl BodyDecoder {
+    /// A decoder for the body that follows a head with this framing.
     pub fn new(framing: Framing) -> Self {
         match framing {
             Framing::Length(length) => Self::Length { remaining: length },
