--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -71,7 +71,7 @@
     /// Seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// A TOML file with further [[faults]], to play the same fleet with one thing after another going wrong.
+    /// A TOML file with further `[[faults]]`, to play the same fleet with one thing after another going wrong.
     #[arg(long)]
     pub faults: Option<PathBuf>,
     /// Write all results to this file, one JSON record a line.
