--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -20,7 +20,7 @@
 pub use message::{Message, read_message};
 pub use node::{LaunchOptions, Node, spawn_program};
 pub use node_builder::NodeBuilder;
-pub use ports::{ReservedPort, SaturatedListener, wait_for_pending_connections};
+pub use ports::{ReservedPort, SaturatedListener, pending_in, wait_for_pending_connections};
 pub use temp_dir::TempDir;
 
 use std::time::Duration;
--- a/tests/fakes/ports.rs
+++ b/tests/fakes/ports.rs
@@ -3,6 +3,7 @@
 use super::{EndpointBehaviour, FakeEndpoint, WAIT_LIMIT};
 use socket2::{Domain, Socket, Type};
 use std::{
+    collections::BTreeSet,
     net::{SocketAddr, TcpListener, TcpStream},
     sync::Arc,
     thread,
@@ -32,12 +33,21 @@
 
 /// Number of connections to `addr` that the system has not yet established.
 fn pending_connections(addr: SocketAddr) -> usize {
-    // Remote address, then the state SYN_SENT.
-    let remote = format!("0100007F:{:04X} 02", addr.port());
     let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of sockets");
-    let is_pending =
-        |line: &&str| line.split_once(": ").is_some_and(|(_, rest)| rest[14..].starts_with(&remote));
-    sockets.lines().filter(is_pending).count()
+    pending_in(&sockets, addr.port())
+}
+
+/// Number of sockets in the system's table that are still connecting to a loopback port. The table changes while it is
+/// read and may then list a socket twice, so sockets are told apart by their local addresses.
+pub fn pending_in(sockets: &str, port: u16) -> usize {
+    // Remote address, then the state SYN_SENT.
+    let remote = format!("0100007F:{port:04X} 02");
+    let local_address = |line: &str| {
+        let (_, fields) = line.split_once(": ")?;
+        let (local, rest) = fields.split_once(' ')?;
+        rest.starts_with(&remote).then(|| local.to_owned())
+    };
+    sockets.lines().filter_map(local_address).collect::<BTreeSet<String>>().len()
 }
 
 /// Waits until exactly `count` connections to `addr` are pending.
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -4,7 +4,7 @@
 mod fakes;
 use fakes::{
     Client, EndpointBehaviour, FakeDiscovery, FakeEndpoint, Gate, Node, NodeBuilder, SaturatedListener,
-    TestRequest, endpoint_entry, read_message,
+    TestRequest, endpoint_entry, pending_in, read_message,
 };
 use serde_json::json;
 use socket2::SockRef;
@@ -311,3 +311,15 @@
         assert!(gap >= Duration::from_millis(10), "again after {gap:?}");
     }
 }
+
+#[test]
+fn socket_listed_twice_counts_as_one_pending_connection() {
+    // One socket twice, as the system once listed it, another one, and one that is established.
+    let sockets = "  sl  local_address rem_address   st tx_queue rx_queue\n\
+        28266: 0100007F:E7FC 0100007F:A4D3 02 00000001:00000000 01:00000049 00000000     0        0 1264468 2\n\
+        32159: 0100007F:E7FC 0100007F:A4D3 02 00000001:00000000 01:00000048 00000000     0        0 1264468 2\n\
+        32160: 0100007F:E7FE 0100007F:A4D3 02 00000001:00000000 01:00000048 00000000     0        0 1264469 2\n\
+        32161: 0100007F:E800 0100007F:A4D3 01 00000000:00000000 00:00000000 00000000     0        0 1264470 1\n";
+    assert_eq!(pending_in(sockets, 0xA4D3), 2);
+    assert_eq!(pending_in(sockets, 0xA4D4), 0);
+}
