--- a/src/interface/snapshot.rs
+++ b/src/interface/snapshot.rs
@@ -35,7 +35,7 @@
     pub mean: Seconds,
     /// A running estimate of the median.
     pub median: Seconds,
-    /// The lowest median of late, as in an idle fleet.
+    /// The lowest recent median, as in an idle fleet.
     pub idle: Seconds,
 }
 
@@ -66,7 +66,7 @@
     /// When it last responded; 0 if it has not.
     #[serde(rename = "heard")]
     pub last_response_at: Time,
-    /// It is ejected until then.
+    /// When its current or last ejection ends; 0 before the first one.
     #[serde(rename = "out_until")]
     pub ejected_until: Time,
     /// How long its next ejection lasts.
--- a/src/node/assembly.rs
+++ b/src/node/assembly.rs
@@ -12,7 +12,7 @@
 use std::{net::SocketAddr, rc::Rc};
 use tokio::net::TcpListener;
 
-/// Request and response bodies in transit may take this fraction of the memory: one part in so many.
+/// Request and response bodies in transit may take one part of the memory in this many.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
 /// The process as it is built from its configuration.
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -32,9 +32,9 @@
 const MIN_MEMORY_MB: usize = 16;
 /// Memory that the policy keeps for one customer: some 300 bytes, and its part of the table.
 const CUSTOMER_BYTES: usize = 512;
-/// Customers may take this fraction of the memory: one part in so many.
+/// Customers may take one part of the memory in this many.
 const CUSTOMER_MEMORY_DIVISOR: usize = 4;
-/// The text of an endpoint list may take this fraction of the memory: one part in so many. That is some 420
+/// The text of an endpoint list may take one part of the memory in this many. That is some 420
 /// bytes for each of 10,000 endpoints at 32 MB, and an indented entry has some 300. The entries take less than
 /// half as much while the list is read, and the endpoint tables that result take no more than the text.
 /// Requests and customers may take half of the memory.
@@ -143,7 +143,7 @@
 
 fn check_times(options: &Options) -> Result<(), ConfigError> {
     let times = [
-        ("settings.Limits.ConnIdle", options.conn_idle),
+        ("settings.Limits.ConnIdle", options.endpoint_idle_timeout),
         ("settings.Limits.ConnectTimeout", options.connect_timeout),
     ];
     for (path, seconds) in times {
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -168,7 +168,7 @@
     }
 
     /// Closes idle connections that are dead or have been idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain_mut(|connection| self.is_usable(connection));
             !connections.is_empty()
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -136,7 +136,7 @@
 
     /// Closes connections to endpoints that have been idle for too long.
     pub fn close_idle_connections(&self) {
-        self.endpoints.sweep();
+        self.endpoints.close_expired();
     }
 
     /// Fires timers as they are due. Never returns.
@@ -181,7 +181,7 @@
 fn endpoint_pool(config: &Config, budget: usize, metrics: &Metrics) -> Rc<EndpointPool> {
     Rc::new(EndpointPool::new(
         budget,
-        Duration::from_secs_f64(config.options.conn_idle),
+        Duration::from_secs_f64(config.options.endpoint_idle_timeout),
         Duration::from_secs_f64(config.options.connect_timeout),
         metrics.dispatches.clone(),
     ))
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -78,7 +78,7 @@
 async fn shut_down(node: Node) {
     let gateway = node.config.name;
     info!(gateway = %gateway, waiting = node.driver.requests().waiting_count(), "stopping");
-    let kill_after = time_to_kill(node.config.options.deadline);
+    let kill_after = time_to_kill(node.config.options.longest_deadline);
     Shutdown::begin(node.driver, node.clients, kill_after).complete(node.listener).await;
     info!(gateway = %gateway, "stopped");
 }
--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -15,12 +15,12 @@
     },
 };
 
-/// What pays for a request.
+/// What a request is charged to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Source {
     /// Units on lease, which are in the count.
     Lease,
-    /// The even share; the counter has still to be told.
+    /// The even share; the counter has yet to be notified.
     EvenShare,
 }
 
--- a/src/policy/routing/health.rs
+++ b/src/policy/routing/health.rs
@@ -34,7 +34,7 @@
     pub may_have_restarted: bool,
     /// Since when no connection could be opened; 0 if it responded last.
     pub unreachable_since: Time,
-    /// It is ejected until then.
+    /// When its current or last ejection ends; 0 before the first one.
     pub ejected_until: Time,
     /// How long its next ejection lasts; 0 before the first one.
     pub ejection_time: Seconds,
--- a/src/primitives/latency_estimate.rs
+++ b/src/primitives/latency_estimate.rs
@@ -15,7 +15,7 @@
     pub mean: Seconds,
     /// The median, which single slow or lost responses do not move.
     pub median: Seconds,
-    /// The lowest median of late, which is forgotten slowly.
+    /// The lowest recent median, which is forgotten slowly.
     pub idle: DecayingSum,
 }
 
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -30,9 +30,9 @@
     /// Names of the zones, by index.
     pub zones: Vec<String>,
     /// Endpoints close a connection that has been idle for so long.
-    pub conn_idle: Seconds,
+    pub endpoint_idle_timeout: Seconds,
     /// The longest time that any client waits for a response.
-    pub deadline: Seconds,
+    pub longest_deadline: Seconds,
     /// A connection that takes longer to open has failed.
     pub connect_timeout: Seconds,
 }
@@ -81,12 +81,12 @@
         settings.plans = plans.iter().map(plan).collect();
         let deadlines = classes.iter().map(|class| class.deadline.unwrap_or(DEFAULT_DEADLINE));
         Self {
-            deadline: deadlines.fold(0.0, f64::max),
+            longest_deadline: deadlines.fold(0.0, f64::max),
             settings,
             classes: classes.into_iter().map(|class| class.name.unwrap_or_default()).collect(),
             plans: plans.into_iter().map(|plan| plan.name.unwrap_or_default()).collect(),
             zones: document.zones.unwrap_or_default(),
-            conn_idle: limits.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            endpoint_idle_timeout: limits.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
             connect_timeout: limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
         }
     }
--- a/tests/unit/config.rs
+++ b/tests/unit/config.rs
@@ -111,5 +111,8 @@
     assert_eq!(options.settings.plans, [small]);
     assert_eq!(options.classes, ["lookup", "submit", "order"]);
     assert_eq!((options.plans, options.zones), (vec!["small".to_owned()], vec!["a".into(), "b".into()]));
-    assert_eq!((options.conn_idle, options.connect_timeout, options.deadline), (9.0, 0.3, 4.0));
+    assert_eq!(
+        (options.endpoint_idle_timeout, options.connect_timeout, options.longest_deadline),
+        (9.0, 0.3, 4.0)
+    );
 }
