--- a/src/node/connection/discovery/follower.rs
+++ b/src/node/connection/discovery/follower.rs
@@ -188,15 +188,15 @@
         }
         self.next_backoff = MIN_BACKOFF;
         let follows_known_list = self.version.is_some_and(|version| list.version >= version);
-        if !list.full && !follows_known_list {
+        if !list.is_full && !follows_known_list {
             self.version = None;
             self.retry_after(MIN_BACKOFF);
             return;
         }
         self.version = Some(list.version);
         let endpoints = list.endpoints(&self.discovery.zones);
-        if list.full || has_recovered || !endpoints.is_empty() {
-            let kind = if list.full { ListKind::Full } else { ListKind::Changes };
+        if list.is_full || has_recovered || !endpoints.is_empty() {
+            let kind = if list.is_full { ListKind::Full } else { ListKind::Changes };
             self.discovery.sink.endpoints_updated(kind, endpoints);
         }
     }
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -132,7 +132,7 @@
 
     /// The endpoint according to its entry; `None` if it is gone or has no address.
     fn apply_entry(&self, entry: &ListedEndpoint, known: Option<&KnownEndpoint>) -> Option<KnownEndpoint> {
-        let address = entry.addr.or(known.map(|known| known.address))?;
+        let address = entry.address.or(known.map(|known| known.address))?;
         if entry.endpoint.lifecycle == Lifecycle::Gone {
             return None;
         }
--- a/src/node/wire/endpoint_list.rs
+++ b/src/node/wire/endpoint_list.rs
@@ -19,7 +19,8 @@
     /// Grows with each change.
     pub version: u64,
     /// It names all endpoints, not only the changed ones.
-    pub full: bool,
+    #[serde(rename = "full")]
+    pub is_full: bool,
     /// The endpoints.
     #[serde(borrow, rename = "servers")]
     endpoints: Vec<Entry<'a>>,
@@ -54,7 +55,7 @@
     /// What the policy knows of it.
     pub endpoint: Endpoint,
     /// `None` if the list has no usable address.
-    pub addr: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
 }
 
 impl EndpointList<'_> {
@@ -82,7 +83,7 @@
             started: self.started_ms / 1000.0,
             lifecycle,
         };
-        Some(ListedEndpoint { endpoint, addr: self.addr.parse().ok() })
+        Some(ListedEndpoint { endpoint, address: self.addr.parse().ok() })
     }
 }
 
--- a/tests/unit/config.rs
+++ b/tests/unit/config.rs
@@ -63,7 +63,7 @@
     let endpoint = &listed.endpoint;
     assert_eq!((&*endpoint.id, endpoint.zone, endpoint.cell), ("s-00000001", 1, 4));
     assert_eq!((endpoint.started, endpoint.lifecycle), (12.5, Lifecycle::Running));
-    assert_eq!(listed.addr.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9100"));
+    assert_eq!(listed.address.map(|address| address.to_string()).as_deref(), Some("127.0.0.1:9100"));
 }
 
 #[test]
