--- a/src/node/assembly.rs
+++ b/src/node/assembly.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     config::Config,
-    connection::clients::{Clients, Context},
+    connection::clients::{ClientListener, ConnectionContext},
     descriptors::DescriptorBudget,
     error::NodeError,
     listener::inherit_listener,
@@ -22,7 +22,7 @@
     /// The driver of the policy.
     pub driver: Rc<Driver>,
     /// The connections of clients.
-    pub clients: Rc<Clients>,
+    pub clients: Rc<ClientListener>,
     /// What operators read.
     pub metrics: Rc<Metrics>,
     /// Where clients connect.
@@ -48,7 +48,7 @@
         let cached_endpoints = std::mem::take(&mut config.cached_endpoints);
         let driver = Driver::new(&config, cached_endpoints, budget.endpoints, &metrics)
             .map_err(NodeError::Settings)?;
-        let clients = Clients::new(clients_context(&config, &driver, &metrics), budget.clients);
+        let clients = ClientListener::new(clients_context(&config, &driver, &metrics), budget.clients);
         Ok(Self { config, driver, clients, metrics, listener, address, operator_listener })
     }
 }
@@ -66,8 +66,8 @@
     TcpListener::bind(address).await.map(Some).map_err(NodeError::OperatorListen)
 }
 
-fn clients_context(config: &Config, driver: &Rc<Driver>, metrics: &Rc<Metrics>) -> Context {
-    Context::new(
+fn clients_context(config: &Config, driver: &Rc<Driver>, metrics: &Rc<Metrics>) -> ConnectionContext {
+    ConnectionContext::new(
         Box::new(driver.requests().clone()),
         config.options.clone(),
         metrics.clone(),
--- a/src/node/connection/clients/connection.rs
+++ b/src/node/connection/clients/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::clients::{
-        context::Context,
+        context::ConnectionContext,
         exchange::Exchange,
         request_reader::{self, ReceivedBody},
         response_writer::Delivery,
@@ -13,7 +13,7 @@
     wire::{
         client_request::{ClientRequest, InvalidRequest},
         client_response::ClientResponse,
-        request_head::Head,
+        request_head::RequestHead,
     },
 };
 use hyper::StatusCode;
@@ -24,13 +24,13 @@
 
 /// A client's connection.
 pub struct ClientConnection<'c> {
-    context: &'c Context,
+    context: &'c ConnectionContext,
     socket: ClientSocket<'c>,
 }
 
 impl<'c> ClientConnection<'c> {
     /// A connection that has just been accepted.
-    pub fn new(context: &'c Context, tcp: TcpStream, state: &'c ConnectionState) -> Self {
+    pub fn new(context: &'c ConnectionContext, tcp: TcpStream, state: &'c ConnectionState) -> Self {
         Self { context, socket: ClientSocket::new(context, tcp, state) }
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// The request, or the status that answers it without the handler.
-    fn parse(&self, head: &Head) -> Result<ClientRequest, StatusCode> {
+    fn parse(&self, head: &RequestHead) -> Result<ClientRequest, StatusCode> {
         if head.uri.path() == HEALTH_CHECK_PATH {
             return Err(self.context.health_status());
         }
@@ -98,7 +98,7 @@
         &mut self,
         request: ClientRequest,
         body: ReceivedBody<'c>,
-        head: &Head,
+        head: &RequestHead,
     ) -> Result<(), ConnectionEnd> {
         let mut exchange = Exchange::new(&mut self.socket, body.memory);
         let in_flight = self.context.metrics.request_started(request.class);
@@ -118,7 +118,7 @@
         &mut self,
         status: StatusCode,
         body: ReceivedBody<'c>,
-        head: &Head,
+        head: &RequestHead,
     ) -> Result<(), ConnectionEnd> {
         let mut exchange = Exchange::unhandled(&mut self.socket, body);
         let response = ClientResponse::without_body(status);
@@ -130,10 +130,10 @@
 
 /// Whether the connection may carry another request after this response.
 fn may_keep_alive(
-    context: &Context,
+    context: &ConnectionContext,
     exchange: &Exchange<'_, '_>,
     response: &ClientResponse,
-    head: &Head,
+    head: &RequestHead,
 ) -> bool {
     head.allows_keep_alive
         && response.is_self_delimiting(head.minor_version)
--- a/src/node/connection/clients/context.rs
+++ b/src/node/connection/clients/context.rs
@@ -10,7 +10,7 @@
 use std::{cell::Cell, rc::Rc};
 
 /// See the [module](self).
-pub struct Context {
+pub struct ConnectionContext {
     /// Serves the requests.
     pub handler: Box<dyn RequestHandler>,
     /// The classes and plans that requests may name.
@@ -25,7 +25,7 @@
     pub is_stopping: Cell<bool>,
 }
 
-impl Context {
+impl ConnectionContext {
     /// Bodies of all clients together hold at most `body_memory` bytes.
     pub fn new(
         handler: Box<dyn RequestHandler>,
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -100,7 +100,7 @@
     ) -> Result<Option<FinalResponse>, ConnectionEnd> {
         match upload.run(self.socket, expects_continue, &mut request.receiver).await? {
             UploadEnd::Complete => {
-                request.handler.request_received(&request.id);
+                request.handler.request_body_received(&request.id);
                 Ok(None)
             }
             UploadEnd::Answered { response, unread_body } => {
--- a/src/node/connection/clients/handler.rs
+++ b/src/node/connection/clients/handler.rs
@@ -62,7 +62,7 @@
     /// Takes a request; the receiver gets its final response. `None` if a request with the same transaction id is open.
     fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)>;
     /// The last byte of a streamed request body has arrived: the request's deadline and its attempts' time-outs start.
-    fn request_received(&self, request_id: &RequestId);
+    fn request_body_received(&self, request_id: &RequestId);
     /// The client has disconnected before the final response.
     fn client_disconnected(&self, request_id: &RequestId);
 }
--- a/src/node/connection/clients/listener.rs
+++ b/src/node/connection/clients/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::node::connection::clients::{
     connection::ClientConnection,
-    context::Context,
+    context::ConnectionContext,
     eviction,
     state::{ConnectionState, ConnectionTable, Stage},
     timeouts,
@@ -24,8 +24,8 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// All connections of clients.
-pub struct Clients {
-    context: Context,
+pub struct ClientListener {
+    context: ConnectionContext,
     connections: RefCell<ConnectionTable>,
     next_connection_id: Cell<u64>,
     /// Most connections of all processes of this gateway together.
@@ -39,9 +39,9 @@
     is_accept_failure_logged: Cell<bool>,
 }
 
-impl Clients {
+impl ClientListener {
     /// Serves at most `max_connections` at once.
-    pub fn new(context: Context, max_connections: usize) -> Rc<Self> {
+    pub fn new(context: ConnectionContext, max_connections: usize) -> Rc<Self> {
         Rc::new(Self {
             context,
             connections: RefCell::default(),
@@ -85,7 +85,7 @@
         self.connection_ended.notified().await;
     }
 
-    /// Accepts connections until it is cancelled. [`Clients::begin_shutdown`] then serves one that was accepted without
+    /// Accepts connections until it is cancelled. [`ClientListener::begin_shutdown`] then serves one that was accepted without
     /// capacity.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         self.is_accepting.set(true);
@@ -174,7 +174,7 @@
 
 /// A connection's place in the table, and so in the budget. It is given back even if the task never ran.
 struct Registration {
-    clients: Rc<Clients>,
+    clients: Rc<ClientListener>,
     id: u64,
 }
 
--- a/src/node/connection/clients/mod.rs
+++ b/src/node/connection/clients/mod.rs
@@ -21,6 +21,6 @@
 mod state;
 mod timeouts;
 
-pub use context::Context;
+pub use context::ConnectionContext;
 pub use handler::{FinalResponse, RequestHandler};
-pub use listener::Clients;
+pub use listener::ClientListener;
--- a/src/node/connection/clients/request_reader.rs
+++ b/src/node/connection/clients/request_reader.rs
@@ -9,7 +9,7 @@
     wire::{
         limits::MAX_BUFFERED_BODY_BYTES,
         request_body::{BodyDecoder, Framing},
-        request_head::{self, Head},
+        request_head::{self, RequestHead},
         stream::{MAX_PIECE_BYTES, STREAM_MEMORY_BYTES},
     },
 };
@@ -51,14 +51,14 @@
 }
 
 /// Reads a request's head.
-pub async fn read_head(socket: &mut ClientSocket<'_>) -> Result<Head, ConnectionEnd> {
+pub async fn read_head(socket: &mut ClientSocket<'_>) -> Result<RequestHead, ConnectionEnd> {
     let mut scanned = 0;
     loop {
         if !socket.buffer.is_empty() {
             if socket.state.stage.get() == Stage::Idle {
                 socket.state.enter(Stage::ReadingRequest);
             }
-            if let Some(head) = request_head::take(&mut socket.buffer, &mut scanned)? {
+            if let Some(head) = request_head::take_head(&mut socket.buffer, &mut scanned)? {
                 return Ok(head);
             }
         }
@@ -69,7 +69,7 @@
 /// Reads a complete body, or as much as shows that it is too large to be buffered.
 pub async fn read_body<'c>(
     socket: &mut ClientSocket<'c>,
-    head: &Head,
+    head: &RequestHead,
 ) -> Result<ReceivedBody<'c>, ConnectionEnd> {
     let body_memory = &socket.context.memory;
     let length = head.framing.length();
--- a/src/node/connection/clients/socket.rs
+++ b/src/node/connection/clients/socket.rs
@@ -3,7 +3,7 @@
 use crate::node::{
     connection::{
         clients::{
-            context::Context,
+            context::ConnectionContext,
             memory::{MAX_AMPLE_BUFFER_BYTES, MemoryPermit},
             state::{ConnectionEnd, ConnectionState, Stage},
         },
@@ -28,7 +28,7 @@
 
 /// See the [module](self).
 pub struct ClientSocket<'c> {
-    pub context: &'c Context,
+    pub context: &'c ConnectionContext,
     pub tcp: TcpStream,
     pub state: &'c ConnectionState,
     /// Bytes that were read and not yet consumed.
@@ -49,7 +49,7 @@
 
 impl<'c> ClientSocket<'c> {
     /// A socket that has just been accepted.
-    pub fn new(context: &'c Context, tcp: TcpStream, state: &'c ConnectionState) -> Self {
+    pub fn new(context: &'c ConnectionContext, tcp: TcpStream, state: &'c ConnectionState) -> Self {
         let read_ahead_memory = context.memory.empty_permit();
         Self { context, tcp, state, buffer: BytesMut::new(), read_ahead_memory }
     }
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -148,7 +148,7 @@
             return Err(Status::NotSent);
         }
         // A streamed body that an earlier connection has taken can't be sent on another one.
-        self.upstream.to_endpoint(self.wait_seconds).ok_or(Status::ConnectFailed)
+        self.upstream.build_attempt_request(self.wait_seconds).ok_or(Status::ConnectFailed)
     }
 
     /// Opens the stream for a served response that is not too long; no other has a body that matters.
--- a/src/node/operator_calls.rs
+++ b/src/node/operator_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::{
-        clients::Clients,
+        clients::ClientListener,
         operators::{MaintenanceError, Operations},
     },
     metrics::Metrics,
@@ -15,7 +15,7 @@
     /// Holds the state of the endpoints.
     pub driver: Rc<Driver>,
     /// Tells whether clients are accepted.
-    pub clients: Rc<Clients>,
+    pub clients: Rc<ClientListener>,
     /// What operators read.
     pub metrics: Rc<Metrics>,
     /// Names of the request classes, by index.
--- a/src/node/runtime/requests.rs
+++ b/src/node/runtime/requests.rs
@@ -91,13 +91,13 @@
     fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)> {
         let request_id = self.table.reserve_id(&request.upstream.transaction_id)?;
         debug!(request = ?request.upstream.transaction_id, customer = request.customer, class = request.class, "request accepted");
-        let deadline = self.clock.now() + request.remaining;
+        let deadline = self.clock.now() + request.remaining_seconds;
         let (response, receiver) = oneshot::channel();
         let upstream = Rc::new(request.upstream);
-        let open = OpenRequest::new(response, upstream.clone(), request.remaining);
+        let open = OpenRequest::new(response, upstream.clone(), request.remaining_seconds);
         self.table.insert(request_id.clone(), open);
         if matches!(upstream.body, RequestBody::Buffered(_)) {
-            self.request_received(&request_id);
+            self.request_body_received(&request_id);
         }
         self.policy.post(Event::Request(Request {
             id: request_id.clone(),
@@ -113,7 +113,7 @@
         Some((request_id, receiver))
     }
 
-    fn request_received(&self, request_id: &RequestId) {
+    fn request_body_received(&self, request_id: &RequestId) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         if request.is_complete() {
             return;
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -4,7 +4,7 @@
 //! Where a successor takes new clients, the listener is closed at once, and open connections are served for
 //! longer: their clients lose nothing by a close only while they have no request in flight.
 
-use crate::node::{connection::clients::Clients, runtime::driver::Driver};
+use crate::node::{connection::clients::ClientListener, runtime::driver::Driver};
 use std::{rc::Rc, time::Duration};
 use tokio::{
     net::TcpListener,
@@ -76,7 +76,7 @@
 /// The shutdown of one process.
 pub struct Shutdown {
     driver: Rc<Driver>,
-    clients: Rc<Clients>,
+    clients: Rc<ClientListener>,
     has_successor: bool,
     schedule: Schedule,
 }
@@ -84,7 +84,7 @@
 impl Shutdown {
     /// Begins the shutdown of a process that will be killed after `kill_after`: from now on each response
     /// closes its connection.
-    pub fn begin(driver: Rc<Driver>, clients: Rc<Clients>, kill_after: Duration) -> Self {
+    pub fn begin(driver: Rc<Driver>, clients: Rc<ClientListener>, kill_after: Duration) -> Self {
         let start = Instant::now();
         clients.begin_shutdown();
         let has_successor = driver.replica_counts().has_successor();
--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -1,7 +1,7 @@
 //! Parses clients' requests into the terms of the settings, and builds the requests to endpoints from them.
 
 use crate::node::wire::{
-    request_head::Head,
+    request_head::RequestHead,
     stream::{OutgoingBody, RequestBody},
 };
 use bytes::Bytes;
@@ -56,7 +56,7 @@
 impl UpstreamRequest {
     /// Builds the request for one attempt that the gateway waits `wait_seconds` for; `None` if a streamed body was
     /// already sent in an earlier attempt.
-    pub fn to_endpoint(&self, wait_seconds: f64) -> Option<Request<OutgoingBody>> {
+    pub fn build_attempt_request(&self, wait_seconds: f64) -> Option<Request<OutgoingBody>> {
         let mut request = Request::new(self.body.take()?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -92,7 +92,7 @@
     /// The index of the first of these gateways.
     pub first_gateway: u32,
     /// Seconds that the client waits for the response.
-    pub remaining: f64,
+    pub remaining_seconds: f64,
     /// The client marked it as a retry.
     pub is_retry: bool,
     /// What is forwarded to an endpoint. Its body is empty until the caller has read it.
@@ -104,12 +104,12 @@
     ///
     /// # Errors
     /// A header or the request line is invalid.
-    pub fn parse(head: &Head, options: &Options) -> Result<Self, InvalidRequest> {
+    pub fn parse(head: &RequestHead, options: &Options) -> Result<Self, InvalidRequest> {
         let headers = &head.headers;
         let class = parse_class(head, options)?;
         let plan = required(headers, "x-plan", |name| options.plans.iter().position(|plan| plan == name))?;
         let customer = required(headers, "x-customer", parse_customer)?;
-        let remaining = required(headers, "x-remaining", parse_remaining)?;
+        let remaining_seconds = required(headers, "x-remaining", parse_remaining)?;
         let quota = required(headers, "x-quota", |text| Quota::parse(text, options))?;
         let transaction_id = required(headers, "x-txn", parse_transaction_id)?;
         let path_and_query = head.uri.path_and_query().cloned().ok_or(InvalidRequest::Target)?;
@@ -120,7 +120,7 @@
             units: quota.units,
             customer_gateway_count: quota.customer_gateway_count,
             first_gateway: quota.first_gateway,
-            remaining,
+            remaining_seconds,
             is_retry: parse_retry_mark(headers)?,
             upstream: UpstreamRequest {
                 uri: path_and_query.into(),
@@ -154,7 +154,7 @@
 }
 
 /// The index of the class, which the path must repeat.
-fn parse_class(head: &Head, options: &Options) -> Result<usize, InvalidRequest> {
+fn parse_class(head: &RequestHead, options: &Options) -> Result<usize, InvalidRequest> {
     let name = required(&head.headers, "x-lane", Some)?;
     let class = options.classes.iter().position(|class| class == name);
     let class = class.ok_or(InvalidRequest::Header("x-lane"))?;
--- a/src/node/wire/request_head.rs
+++ b/src/node/wire/request_head.rs
@@ -53,7 +53,7 @@
 
 /// A request without its body.
 #[derive(Debug)]
-pub struct Head {
+pub struct RequestHead {
     pub method: Method,
     pub uri: Uri,
     /// All headers, duplicates included.
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// The head is malformed or too large.
-pub fn take(buffer: &mut BytesMut, scanned: &mut usize) -> Result<Option<Head>, HeadError> {
+pub fn take_head(buffer: &mut BytesMut, scanned: &mut usize) -> Result<Option<RequestHead>, HeadError> {
     let is_first_look = *scanned == 0;
     let may_be_complete = contains_empty_line(buffer, scanned.saturating_sub(3));
     *scanned = buffer.len();
@@ -99,7 +99,7 @@
 
 /// A head and its length in the buffer.
 struct ParsedHead {
-    head: Head,
+    head: RequestHead,
     length: usize,
 }
 
@@ -122,7 +122,7 @@
     let allows_keep_alive = !has_connection_option(&headers, "close")
         && (minor_version == 1 || has_connection_option(&headers, "keep-alive"));
     let expect = headers.get(header::EXPECT);
-    let head = Head {
+    let head = RequestHead {
         method: Method::from_bytes(method.as_bytes()).map_err(|_| HeadError::MalformedRequestLine)?,
         uri: Uri::try_from(path).map_err(|_| HeadError::MalformedRequestLine)?,
         framing: framing(&headers, minor_version)?,
--- a/tests/unit/request_head.rs
+++ b/tests/unit/request_head.rs
@@ -4,7 +4,7 @@
 use crate::node::wire::request_body::{BodyDecoder, BodyError};
 
 /// Decodes a request that arrives in parts of `part_length` bytes: its head and body, `None` if it is not complete.
-fn read(text: &str, part_length: usize) -> Result<Option<(Head, BytesMut)>, StatusCode> {
+fn read(text: &str, part_length: usize) -> Result<Option<(RequestHead, BytesMut)>, StatusCode> {
     let mut buffer = BytesMut::new();
     let mut scanned = 0;
     let mut open = None;
@@ -12,7 +12,7 @@
     for part in text.as_bytes().chunks(part_length) {
         buffer.extend_from_slice(part);
         if open.is_none() {
-            let head = take(&mut buffer, &mut scanned).map_err(HeadError::status)?;
+            let head = take_head(&mut buffer, &mut scanned).map_err(HeadError::status)?;
             open = head.map(|head| (BodyDecoder::new(head.framing), head));
         }
         if let Some((decoder, _)) = &mut open {
