--- a/src/node/config/document.rs
+++ b/src/node/config/document.rs
@@ -1,4 +1,4 @@
-//! The configuration file as it is written.
+//! The format of the configuration file.
 
 use crate::node::wire::endpoint_list::EndpointList;
 use oliverack::SettingsDocument;
@@ -6,12 +6,12 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// What the process may hold.
+/// Limits of the process.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub struct ProcessLimitsDocument {
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// Memory, in MB.
+    /// Maximum memory, in MB (2^20 bytes).
     pub memory_mb: usize,
 }
 
@@ -20,19 +20,19 @@
 pub struct ConfigDocument<'a> {
     /// The gateway's name, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers: up to 16 hexadecimal digits.
+    /// Seed of the random number generator: up to 16 hexadecimal digits.
     pub seed: String,
-    /// What the process may hold.
+    /// Limits of the process.
     pub limits: ProcessLimitsDocument,
-    /// Where the counter listens, if there is one.
+    /// Address of the counter; not set if there is none.
     pub counter: Option<SocketAddr>,
-    /// Where operators call, if they may.
+    /// Address on which operators connect. If it is missing, the environment variable NODE_OPERATOR may give it.
     pub operator: Option<SocketAddr>,
-    /// The endpoint list as last cached; it may be out of date.
+    /// The last cached endpoint list, which may be out of date.
     #[serde(borrow)]
     pub known: EndpointList<'a>,
     /// The settings object.
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told when it starts: the configuration file, and environment variables beside it.
+//! Reads and validates the configuration file, and the environment variables that complete it.
 
 mod document;
 mod error;
@@ -17,94 +17,95 @@
     str::FromStr,
 };
 
-/// Names the configuration file.
+/// Environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
-/// Where operators call, if the file does not say.
+/// Environment variable with the address on which operators connect; used if the file has none.
 const OPERATOR_VARIABLE: &str = "NODE_OPERATOR";
-/// The descriptor of the clients' listening socket, if the platform holds it.
+/// Environment variable with the descriptor of the clients' listening socket; set if the platform holds the socket.
 const ACCEPT_FD_VARIABLE: &str = "NODE_ACCEPT_FD";
 
-/// Longest time that a limit may name.
+/// Maximum value of a time limit, in seconds.
 const MAX_LIMIT_SECONDS: f64 = 3600.0;
-/// Fewest descriptors that leave some for clients and endpoints. Operator calls need more beside them.
-const MIN_SOCKETS: usize = 64;
-/// Least memory that leaves some beside the program itself, which takes about two.
+/// Minimum number of descriptors that leaves some for clients and endpoints. Operator calls need
+/// [`Config::OPERATOR_DESCRIPTORS`] more.
+const MIN_DESCRIPTORS: usize = 64;
+/// Minimum memory, in MB. The program itself takes about 2 MB.
 const MIN_MEMORY_MB: usize = 16;
-/// Memory that the policy keeps for one customer: some 300 bytes, and its part of the table.
+/// Memory that the policy keeps for one customer, in bytes: about 300 bytes of state, and a part of the table.
 const CUSTOMER_BYTES: usize = 512;
-/// Customers may take one part of the memory in this many.
+/// The memory of the process divided by this is the limit for the state of customers.
 const CUSTOMER_MEMORY_DIVISOR: usize = 4;
-/// The text of an endpoint list may take one part of the memory in this many. That is some 420
-/// bytes for each of 10,000 endpoints at 32 MB, and an indented entry has some 300. The entries take less than
-/// half as much while the list is read, and the endpoint tables that result take no more than the text.
-/// Requests and customers may take half of the memory.
+/// The memory of the process divided by this is the maximum length of an endpoint list's text. With 32 MB this is
+/// about 420 bytes for each of 10,000 endpoints; an indented entry has about 300 bytes. While the list is read, the
+/// parsed entries take less than half as much as the text, and the endpoint tables built from them take no more
+/// than the text. Requests and customers may take half of the memory.
 const LIST_MEMORY_DIVISOR: usize = 8;
 
-/// A configuration that can be used.
+/// A validated configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The gateway's name.
+    /// Name of the gateway, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// Memory that the process may hold, in bytes.
+    /// Maximum memory of the process, in bytes.
     pub memory_bytes: usize,
-    /// Where the counter listens, if there is one.
+    /// Address of the counter; `None` if there is none.
     pub counter: Option<SocketAddr>,
-    /// Where operators call, if they may.
+    /// Address on which operators connect; `None` if there are no operator calls.
     pub operator: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, if the platform holds it.
+    /// Descriptor of the clients' listening socket; `None` if the process opens the socket itself.
     pub accept_fd: Option<RawFd>,
-    /// The endpoint list as last cached.
+    /// The last cached endpoint list, which may be out of date.
     pub cached_endpoints: Vec<ListedEndpoint>,
-    /// The version of that list.
+    /// Version of the cached endpoint list.
     pub cached_version: u64,
-    /// The settings of the policy, and what stands beside them in the settings object.
+    /// The settings of the policy, and the other options of the settings object.
     pub options: Options,
 }
 
 impl Config {
-    /// Descriptors that operator calls may take.
-    pub const OPERATOR_SOCKETS: usize = 18;
+    /// Maximum number of descriptors that operator calls take.
+    pub const OPERATOR_DESCRIPTORS: usize = 18;
 
-    /// Reads the file that `NODE_CONFIG` names.
+    /// Loads the configuration file that the environment variable `NODE_CONFIG` names.
     ///
     /// # Errors
-    /// There is no such file, or it can't be used.
+    /// The variable is not set, or the file can't be read or is not a valid configuration.
     pub fn load() -> Result<Self, ConfigError> {
         let path = env::var_os(CONFIG_VARIABLE).map(PathBuf::from).ok_or(ConfigError::NoPath)?;
-        Self::read(&fs::read(path).map_err(ConfigError::Unreadable)?)
+        Self::parse(&fs::read(path).map_err(ConfigError::Unreadable)?)
     }
 
-    /// Reads a configuration. Unknown keys are ignored.
+    /// Parses and validates the text of a configuration file. Unknown keys are ignored.
     ///
     /// # Errors
-    /// It can't be used.
-    pub fn read(text: &[u8]) -> Result<Self, ConfigError> {
-        Self::read_reporting_unknown_keys(text, |_| {})
+    /// The text is not a valid configuration.
+    pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
+        Self::parse_reporting_unknown_keys(text, |_| {})
     }
 
-    /// Reads a configuration, and calls `on_unknown_key` for each key that is ignored.
+    /// Parses and validates the text of a configuration file, and calls `on_unknown_key` for each key that is ignored.
     ///
     /// # Errors
-    /// It can't be used.
-    pub fn read_reporting_unknown_keys(
+    /// The text is not a valid configuration.
+    pub fn parse_reporting_unknown_keys(
         text: &[u8],
         mut on_unknown_key: impl FnMut(serde_ignored::Path),
     ) -> Result<Self, ConfigError> {
-        let mut reader = serde_json::Deserializer::from_slice(text);
-        let reporting = serde_ignored::Deserializer::new(&mut reader, &mut on_unknown_key);
+        let mut deserializer = serde_json::Deserializer::from_slice(text);
+        let reporting = serde_ignored::Deserializer::new(&mut deserializer, &mut on_unknown_key);
         let document = serde_path_to_error::deserialize(reporting).map_err(|error| {
             let path = error.path().to_string();
             ConfigError::at_path(path, error.into_inner())
         })?;
-        reader.end().map_err(ConfigError::Malformed)?;
+        deserializer.end().map_err(ConfigError::Malformed)?;
         Self::validate(document)
     }
 
@@ -116,7 +117,7 @@
             None => parse_variable(OPERATOR_VARIABLE)?,
         };
         let max_descriptors = document.limits.sockets;
-        check_sockets(max_descriptors, operator.is_some())?;
+        check_descriptors(max_descriptors, operator.is_some())?;
         let memory_bytes = checked_memory_bytes(document.limits.memory_mb)?;
         options.settings.max_customers = memory_bytes / CUSTOMER_MEMORY_DIVISOR / CUSTOMER_BYTES;
         Ok(Self {
@@ -135,7 +136,7 @@
         })
     }
 
-    /// Longest text of an endpoint list.
+    /// Returns the maximum length of an endpoint list's text, in bytes.
     pub fn max_list_bytes(&self) -> usize {
         self.memory_bytes / LIST_MEMORY_DIVISOR
     }
@@ -155,11 +156,11 @@
     Ok(())
 }
 
-fn check_sockets(sockets: usize, has_operator_calls: bool) -> Result<(), ConfigError> {
-    let operator_sockets = if has_operator_calls { Config::OPERATOR_SOCKETS } else { 0 };
-    let min_sockets = MIN_SOCKETS + operator_sockets;
-    if sockets < min_sockets {
-        return Err(ConfigError::TooFewSockets { sockets, min_sockets });
+fn check_descriptors(descriptors: usize, has_operator_calls: bool) -> Result<(), ConfigError> {
+    let operator_descriptors = if has_operator_calls { Config::OPERATOR_DESCRIPTORS } else { 0 };
+    let min_descriptors = MIN_DESCRIPTORS + operator_descriptors;
+    if descriptors < min_descriptors {
+        return Err(ConfigError::TooFewDescriptors { descriptors, min_descriptors });
     }
     Ok(())
 }
@@ -171,7 +172,7 @@
     Ok(memory_mb.saturating_mul(1 << 20))
 }
 
-/// Parses an environment variable; `None` if it is unset or empty.
+/// Parses an environment variable. Returns `None` if it is unset or empty.
 fn parse_variable<T: FromStr>(name: &'static str) -> Result<Option<T>, ConfigError> {
     match env::var(name) {
         Err(VarError::NotPresent) => Ok(None),
--- a/src/node/config_check.rs
+++ b/src/node/config_check.rs
@@ -1,4 +1,4 @@
-//! Checks a configuration before it is used: what is wrong with it, and which of its keys are unknown.
+//! Checks a configuration without starting a gateway: reports its errors and its unknown keys.
 
 use crate::node::config::{Config, ConfigDocument, ConfigError};
 use oliverack::{Gateway, SettingsError};
@@ -6,7 +6,8 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Keys of the protocol that the gateway does not use. `[]` stands for any index of a list.
+/// Known keys that the gateway does not use, so that they are not reported as unknown. `[]` stands for any index of a
+/// list.
 const UNUSED_KEYS: [&str; 24] = [
     "known.servers[].kind",
     "known.servers[].weight",
@@ -34,18 +35,18 @@
     "settings.Weights",
 ];
 
-/// Why a configuration does not pass.
+/// Error found by a check.
 #[derive(Debug, Error)]
 pub enum CheckError {
-    /// It can't be used.
+    /// The configuration can't be read or is invalid.
     #[error(transparent)]
     Config(ConfigError),
-    /// No gateway can work with its settings.
+    /// The settings object has an invalid value.
     #[error("the configuration's {}: {}", settings_key(.0), .0)]
     Settings(SettingsError),
 }
 
-/// The key that a settings error is about.
+/// Returns the path of the key that a settings error is about.
 fn settings_key(error: &SettingsError) -> &'static str {
     match error {
         SettingsError::NoGateways => "settings.PeersTotal",
@@ -74,7 +75,7 @@
 /// Checks a configuration and returns the paths of its unknown keys.
 ///
 /// # Errors
-/// The gateway would not start with it.
+/// The gateway would not start with this configuration.
 pub fn check(text: &[u8]) -> Result<BTreeSet<String>, CheckError> {
     let mut unknown_keys = BTreeSet::new();
     let on_unknown_key = |path: Path| {
@@ -83,17 +84,17 @@
             unknown_keys.insert(key);
         }
     };
-    let config = Config::read_reporting_unknown_keys(text, on_unknown_key).map_err(CheckError::Config)?;
+    let config = Config::parse_reporting_unknown_keys(text, on_unknown_key).map_err(CheckError::Config)?;
     Gateway::new(config.options.settings, config.seed).map_err(CheckError::Settings)?;
     Ok(unknown_keys)
 }
 
-/// The JSON schema of the configuration file.
+/// Returns the JSON schema of the configuration file.
 pub fn schema() -> schemars::Schema {
     schemars::schema_for!(ConfigDocument)
 }
 
-/// The path of a key, such as `settings.Classes[].Worth`.
+/// Formats the path of a key, such as `settings.Classes[].Worth`.
 fn key_path(path: &Path) -> String {
     match path {
         Path::Root => String::new(),
--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -24,7 +24,7 @@
 };
 
 /// Most connections at once: the descriptors set aside, less the listener and one connection just accepted.
-const MAX_CONCURRENT_CALLS: usize = Config::OPERATOR_SOCKETS - 2;
+const MAX_CONCURRENT_CALLS: usize = Config::OPERATOR_DESCRIPTORS - 2;
 /// Longest time for a call, from the connection to the last byte of the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The oldest call may give way to a new one after this time.
--- a/src/node/descriptors.rs
+++ b/src/node/descriptors.rs
@@ -1,35 +1,36 @@
-//! Divides the file descriptors that the process may hold.
+//! Divides the file descriptors of the process between the connections of clients and to endpoints.
 
 use crate::node::{
     config::Config, connection::counter::client, hot_restart::replica_table, runtime::counters,
 };
 
-/// Descriptors beside those of the counter, of clients and of endpoints: the standard three, the runtime,
+/// Descriptors that are not for the counter, clients, endpoints or operators: the standard three, the runtime,
 /// signals, the listener, a client just accepted, discovery, and a configuration being read.
 const PROCESS_DESCRIPTORS: usize = 21;
-/// Descriptors of the connections to the counter, including those at earlier addresses.
+/// Maximum number of descriptors of connections to the counter, including those at earlier addresses.
 const COUNTER_DESCRIPTORS: usize = client::MAX_CONNECTIONS * (1 + counters::MAX_RETIRED_CLIENTS);
-/// The endpoints' part of the remaining descriptors, in twentieths. Clients with a request in flight hold a
-/// third of the descriptors at most, so the larger part may go to clients, including those that bring none,
-/// and endpoints get enough for an attempt for each request and some idle connections.
+/// Share of the remaining descriptors that goes to connections to endpoints, in twentieths. Clients with a request
+/// in flight hold at most a third of the descriptors. So the larger share can go to clients, including idle ones,
+/// while endpoints get enough for one attempt per request and some idle connections.
 const ENDPOINT_TWENTIETHS: usize = 7;
 
-/// How many connections may be open.
+/// Maximum numbers of open connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// From clients.
+    /// Maximum number of connections from clients.
     pub clients: usize,
-    /// To endpoints.
+    /// Maximum number of connections to endpoints.
     pub endpoints: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides the descriptors of a configuration, which has been checked to allow enough.
+    /// Divides the descriptors that a configuration allows. Validation ensures that they are enough.
     pub fn new(config: &Config) -> Self {
-        let operators =
-            config.operator.map_or(0, |_| Config::OPERATOR_SOCKETS + replica_table::MAX_DESCRIPTORS);
-        let shared = config.max_descriptors - PROCESS_DESCRIPTORS - COUNTER_DESCRIPTORS - operators;
-        let endpoints = shared * ENDPOINT_TWENTIETHS / 20;
-        Self { clients: shared - endpoints, endpoints }
+        let operator_descriptors =
+            config.operator.map_or(0, |_| Config::OPERATOR_DESCRIPTORS + replica_table::MAX_DESCRIPTORS);
+        let remaining =
+            config.max_descriptors - PROCESS_DESCRIPTORS - COUNTER_DESCRIPTORS - operator_descriptors;
+        let endpoints = remaining * ENDPOINT_TWENTIETHS / 20;
+        Self { clients: remaining - endpoints, endpoints }
     }
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -172,7 +172,7 @@
     assert_eq!(version.stdout, format!("oliverack {}\n", env!("CARGO_PKG_VERSION")).as_bytes());
     assert!(!run_program(&["chek"]).status.success());
     let stderr = String::from_utf8(run_program(&[]).stderr).expect("text");
-    assert_eq!(stderr, "oliverack: NODE_CONFIG names no file\n");
+    assert_eq!(stderr, "oliverack: NODE_CONFIG is not set: it must name the configuration file\n");
 }
 
 #[test]
--- a/tests/unit/config.rs
+++ b/tests/unit/config.rs
@@ -1,4 +1,4 @@
-//! One complete configuration file, as the platform writes it.
+//! Tests that a complete configuration file, as the platform writes it, is read into the right fields.
 
 use super::*;
 use oliverack::{Class, Effect, IdempotencyScope, Lifecycle, Plan};
@@ -44,13 +44,13 @@
     }
 }"#;
 
-fn read() -> Config {
-    Config::read(FILE.as_bytes()).expect("a complete file")
+fn parse_file() -> Config {
+    Config::parse(FILE.as_bytes()).expect("a complete file")
 }
 
 #[test]
-fn complete_file_gives_the_process_its_addresses_limits_and_list() {
-    let config = read();
+fn file_sets_addresses_limits_and_endpoint_list() {
+    let config = parse_file();
     assert_eq!(config.name, "n2");
     assert_eq!(config.listen.to_string(), "127.0.0.1:9000");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:9001");
@@ -59,7 +59,9 @@
     assert_eq!(config.seed, 0x00ff_00ff_00ff_00ff);
     assert_eq!((config.max_descriptors, config.memory_bytes), (512, 32 << 20));
     assert_eq!(config.cached_version, 17);
-    let [listed] = &config.cached_endpoints[..] else { panic!("one worker: {:?}", config.cached_endpoints) };
+    let [listed] = &config.cached_endpoints[..] else {
+        panic!("expected one endpoint: {:?}", config.cached_endpoints)
+    };
     let endpoint = &listed.endpoint;
     assert_eq!((&*endpoint.id, endpoint.zone, endpoint.cell), ("s-00000001", 1, 4));
     assert_eq!((endpoint.started, endpoint.lifecycle), (12.5, Lifecycle::Running));
@@ -67,8 +69,8 @@
 }
 
 #[test]
-fn complete_file_gives_the_policy_each_of_its_settings() {
-    let options = read().options;
+fn file_sets_policy_settings() {
+    let options = parse_file().options;
     let settings = &options.settings;
     assert_eq!((settings.gateway_index, settings.gateway_count, settings.zone), (2, 5, 1));
     assert_eq!((settings.has_counter, settings.counter_timeout), (true, 0.06));
@@ -86,8 +88,8 @@
 }
 
 #[test]
-fn complete_file_gives_the_policy_its_classes_and_plans() {
-    let options = read().options;
+fn file_sets_classes_and_plans() {
+    let options = parse_file().options;
     let mut lookup = Class::default();
     lookup.latency_objective = 0.4;
     lookup.late_weight_share = 0.25;
