--- a/src/node/hot_restart/framing.rs
+++ b/src/node/hot_restart/framing.rs
@@ -1,4 +1,4 @@
-//! Messages on a socket: one line of JSON each.
+//! Reads and writes messages on a socket: one line of JSON for each message.
 
 use crate::node::hot_restart::message::Message;
 use std::io;
@@ -11,37 +11,37 @@
     },
 };
 
-/// Why no message could be read or written.
+/// Error of reading or writing a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// The socket failed, or the peer has closed it.
+    /// The socket failed, or the peer closed the connection between two messages.
     #[error(transparent)]
     Socket(#[from] io::Error),
-    /// A line is not a message.
-    #[error("a malformed message: {0}")]
+    /// A line is not a valid message.
+    #[error("malformed message: {0}")]
     Malformed(serde_json::Error),
-    /// A line is longer than any message.
-    #[error("a message longer than {max_bytes} bytes")]
+    /// A line is longer than the limit.
+    #[error("message longer than {max_bytes} bytes")]
     TooLong {
-        /// Length of the longest message that is read.
+        /// Maximum length of a message, with its line end.
         max_bytes: u64,
     },
     /// The peer closed the connection within a line.
-    #[error("a message cut off after {bytes} bytes")]
+    #[error("message truncated after {bytes} bytes")]
     Truncated {
-        /// Length of the part that arrived.
+        /// Length of the part that was received.
         bytes: usize,
     },
 }
 
-/// Divides a connection into its two directions; messages of more than `max_bytes` are not read.
+/// Splits a connection into its two directions. Reading a message of more than `max_bytes` fails.
 pub fn split(socket: UnixStream, max_bytes: u64) -> (MessageReader, MessageWriter) {
     let (read_half, write_half) = socket.into_split();
     let reader = MessageReader { reader: BufReader::new(read_half), max_bytes };
     (reader, MessageWriter { writer: write_half })
 }
 
-/// The receiving direction of a connection.
+/// Receiving direction of a connection.
 pub struct MessageReader {
     reader: BufReader<OwnedReadHalf>,
     max_bytes: u64,
@@ -51,7 +51,7 @@
     /// Waits for the next message.
     ///
     /// # Errors
-    /// The connection has ended, or the next line is not a message.
+    /// The connection has ended, or the next line is not a valid message.
     pub async fn read(&mut self) -> Result<Message, MessageError> {
         let mut line = Vec::new();
         (&mut self.reader).take(self.max_bytes).read_until(b'\n', &mut line).await?;
@@ -66,7 +66,7 @@
     }
 }
 
-/// The sending direction of a connection.
+/// Sending direction of a connection.
 pub struct MessageWriter {
     writer: OwnedWriteHalf,
 }
--- a/src/node/hot_restart/handshake.rs
+++ b/src/node/hot_restart/handshake.rs
@@ -1,39 +1,39 @@
-//! What both sides of the handshake share.
+//! Timeout and errors of the handshake between a predecessor and a successor.
 
 use crate::node::hot_restart::{framing::MessageError, message::Message};
 use std::{io, time::Duration};
 use thiserror::Error;
 
-/// Longest wait for the peer's first message, so that a stuck process can't delay a new one.
+/// Maximum wait for the peer's first message. Limits how long a stuck process delays the start of a new one.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a process was not accepted as a peer.
+/// Error of a handshake, after which the process is not a peer.
 #[derive(Debug, Error)]
 pub enum HandshakeError {
     /// The peer's first message could not be read, or this process's own could not be written.
     #[error(transparent)]
     Message(#[from] MessageError),
-    /// The peer's first message has not come within [`HANDSHAKE_TIMEOUT`].
-    #[error("no message in time")]
+    /// The peer's first message was not received within [`HANDSHAKE_TIMEOUT`].
+    #[error("no message within {HANDSHAKE_TIMEOUT:?}")]
     Timeout,
-    /// The peer sent another message than the one that opens a handshake.
+    /// The peer's first message is not the one that the handshake expects.
     #[error("unexpected message {0}")]
     UnexpectedMessage(&'static str),
     /// The peer uses another version of the message format.
     #[error("unsupported format version {0}")]
     UnsupportedFormat(u32),
     /// The peer serves another gateway.
-    #[error("a process of another gateway: {0}")]
+    #[error("the process belongs to another gateway: {0}")]
     OtherGateway(String),
 }
 
 impl HandshakeError {
-    /// The message does not open a handshake.
+    /// Returns the error for a first message that the handshake does not expect.
     pub fn unexpected(message: &Message) -> Self {
         Self::UnexpectedMessage(message.kind())
     }
 
-    /// Nobody listens on the socket: the process that created it has ended.
+    /// Returns whether no process listens on the socket, because the one that created it has ended.
     pub fn is_connection_refused(&self) -> bool {
         matches!(
             self,
--- a/src/node/hot_restart/maintenance_file.rs
+++ b/src/node/hot_restart/maintenance_file.rs
@@ -1,6 +1,7 @@
-//! The file that keeps the endpoints in maintenance when no process of the gateway is left to hand them over.
+//! File with the endpoints in maintenance, for a process that starts when no other process of the gateway is left to
+//! hand them over.
 //!
-//! Programs of other versions read and write it, so its serialized names are fixed.
+//! Other versions of the program read and write the file, too, so its serialized names are fixed.
 
 use crate::node::hot_restart::shared_folder::SharedFolder;
 use oliverack::EndpointId;
@@ -13,12 +14,12 @@
 };
 use thiserror::Error;
 
-/// Length of the longest file that is read, far beyond what a list of endpoints needs.
+/// Maximum length of a file that is read; far more than a list of endpoints needs.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// Version of the file's format. A file of another version is not read.
+/// Version of the file's format. A file with another version is rejected.
 const FORMAT_VERSION: u32 = 1;
 
-/// The file's contents.
+/// Contents of the file.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredMaintenance {
@@ -30,30 +31,30 @@
     endpoints: BTreeSet<String>,
 }
 
-/// Why the file could not be read or written.
+/// Error of reading or writing the file.
 #[derive(Debug, Error)]
 pub enum MaintenanceFileError {
     /// The file can't be accessed.
-    #[error("the maintenance file: {0}")]
+    #[error("can't access the maintenance file: {0}")]
     File(io::Error),
-    /// The file is torn or has other contents.
+    /// The file is truncated, or has other contents.
     #[error("the maintenance file is malformed: {0}")]
     Malformed(serde_json::Error),
-    /// The file is longer than any that is written.
+    /// The file is longer than the limit.
     #[error("the maintenance file has {bytes} bytes, more than {MAX_FILE_BYTES}")]
     TooLong {
-        /// Length of the file.
+        /// Length of the file, in bytes.
         bytes: u64,
     },
     /// The file has another version of the format.
     #[error("the maintenance file has the unsupported format version {0}")]
     UnsupportedFormat(u32),
     /// The file belongs to another gateway.
-    #[error("the maintenance file is not this node's but that of {0}")]
+    #[error("the maintenance file belongs to another gateway: {0}")]
     OtherGateway(String),
 }
 
-/// See the [module](self).
+/// The maintenance file of one gateway.
 pub struct MaintenanceFile {
     gateway_name: String,
     path: PathBuf,
@@ -61,28 +62,28 @@
 }
 
 impl MaintenanceFile {
-    /// The file of a gateway; `None` without a shared folder.
+    /// Returns the file of a gateway; `None` without a shared folder.
     pub fn new(gateway_name: &str) -> Option<Self> {
-        let folder = SharedFolder::of(gateway_name)?;
-        Some(Self::inside(folder, gateway_name))
+        let folder = SharedFolder::from_env(gateway_name)?;
+        Some(Self::in_folder(folder, gateway_name))
     }
 
-    /// The file of a gateway in the given folder.
-    fn inside(folder: SharedFolder, gateway_name: &str) -> Self {
+    /// Returns the file of a gateway in the given folder.
+    fn in_folder(folder: SharedFolder, gateway_name: &str) -> Self {
         Self { gateway_name: gateway_name.to_owned(), path: folder.maintenance_file_path(), folder }
     }
 
-    /// The endpoints that were stored last; none without a file. If this program has stored no file, one that a
-    /// program of another name has stored is read.
+    /// Loads the endpoints that were stored last; none if there is no file. If a program of this name has stored no
+    /// file, loads one that a program of another name has stored.
     ///
     /// # Errors
-    /// This program's own file can't be read.
+    /// The file of this program can't be read or is invalid.
     pub fn load(&self) -> Result<Vec<EndpointId>, MaintenanceFileError> {
         match self.read(&self.path) {
             Err(MaintenanceFileError::File(e)) if e.kind() == io::ErrorKind::NotFound => {}
             result => return result,
         }
-        // Another gateway's file may match as well, so files that can't be read are skipped.
+        // The name of another gateway's file may match, too, so invalid files are skipped.
         let candidates = self.folder.maintenance_file_paths();
         Ok(candidates.iter().find_map(|path| self.read(path).ok()).unwrap_or_default())
     }
--- a/src/node/hot_restart/message.rs
+++ b/src/node/hot_restart/message.rs
@@ -1,6 +1,6 @@
-//! The messages that two processes of a gateway exchange.
+//! Messages that two processes of a gateway exchange.
 //!
-//! Processes of different versions exchange them, so their serialized names are fixed; the variants and fields map
+//! The processes may have different versions, so the serialized names are fixed. Attributes map
 //! them to the terms that the code uses.
 
 use oliverack::{EndpointId, HandoverSnapshot};
@@ -12,32 +12,32 @@
 /// A message between two processes of a gateway.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The first message of a successor.
+    /// First message of a successor.
     Hello {
-        /// The format version that the successor uses.
+        /// Version of the message format that the successor uses.
         #[serde(rename = "form")]
         format_version: u32,
-        /// The name of the successor's gateway.
+        /// Name of the successor's gateway.
         #[serde(rename = "node")]
         gateway_name: String,
     },
-    /// The first message of a predecessor.
+    /// First message of a predecessor: the state that the successor takes over.
     #[serde(rename = "Knows")]
     Snapshot(HandoverSnapshot),
-    /// Operators have put an endpoint into maintenance or taken it out.
+    /// An operator has put an endpoint into maintenance or taken it out.
     #[serde(rename = "ByHand")]
     MaintenanceChanged {
-        /// The endpoint.
+        /// Id of the endpoint.
         #[serde(rename = "server")]
         endpoint: EndpointId,
-        /// Whether it is in maintenance now.
+        /// True if the endpoint was put into maintenance, false if it was taken out.
         #[serde(rename = "out")]
         in_maintenance: bool,
     },
 }
 
 impl Message {
-    /// The serialized name of the kind of message.
+    /// Returns the serialized name of the message's variant.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Hello { .. } => "Hello",
--- a/src/node/hot_restart/mod.rs
+++ b/src/node/hot_restart/mod.rs
@@ -1,9 +1,8 @@
 //! Hot restart: a new process of a gateway takes over while the previous one still serves.
 //!
-//! Each process listens on a Unix socket of its own in a folder that the gateway's processes share. A new process
-//! connects to every socket that it finds there, so the successor always connects to the predecessor. The
-//! predecessor hands over a snapshot of what it has learned. The connection then stays open for as long as both
-//! processes live; its end means that the peer has ended.
+//! Each process listens on its own Unix socket in a folder that the gateway's processes share. A new process
+//! connects to every socket in the folder, so the successor always connects to the predecessor. The predecessor
+//! sends a snapshot of its state. The connection then stays open until one of the two processes ends.
 
 pub mod framing;
 pub mod handshake;
--- a/src/node/hot_restart/peer_connection.rs
+++ b/src/node/hot_restart/peer_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to a peer process, from the end of the handshake on.
+//! Exchanges messages with a peer process, from the end of the handshake until the connection ends.
 
 use crate::node::hot_restart::{
     framing::{MessageError, MessageReader, MessageWriter},
@@ -11,22 +11,22 @@
 use tokio::{sync::mpsc, task::spawn_local};
 use tracing::warn;
 
-/// What peer processes read and change in this process.
+/// State of this process that peer processes read and change.
 pub trait ReplicaHandler {
-    /// Takes over what a predecessor has learned.
+    /// Takes over the state of a predecessor.
     fn receive_snapshot(&self, snapshot: HandoverSnapshot);
-    /// What a successor takes over.
+    /// Returns the state that a successor takes over.
     fn snapshot(&self) -> HandoverSnapshot;
-    /// Operators have put an endpoint into maintenance or taken it out, by a call to a peer.
+    /// Puts an endpoint into maintenance or takes it out, as an operator has requested of a peer.
     fn set_maintenance(&self, endpoint: &EndpointId, in_maintenance: bool);
-    /// A peer has been added or removed.
+    /// Called when a peer has been added or removed.
     fn replicas_changed(&self);
 }
 
-/// The shared handler of all peers.
+/// Handler that all peers share.
 pub type SharedHandler = Rc<dyn ReplicaHandler>;
 
-/// Why a connection to a peer ended.
+/// Reason why a connection to a peer ended.
 #[derive(Debug, Error)]
 enum ConnectionError {
     /// A message could not be read or written.
@@ -35,21 +35,21 @@
     /// The peer sent a message that belongs to the handshake.
     #[error("unexpected message {0}")]
     UnexpectedMessage(&'static str),
-    /// The peer was removed from the table, as its outbox was full.
+    /// The peer was removed from the table because its outbox was full.
     #[error("the outbox is full")]
     OutboxFull,
 }
 
 impl ConnectionError {
-    /// Whether the peer broke the protocol; otherwise it has only ended or is stuck.
+    /// Returns whether the peer violated the protocol. Otherwise it has only ended or is stuck.
     fn is_protocol_violation(&self) -> bool {
         !matches!(self, Self::Message(MessageError::Socket(_)) | Self::OutboxFull)
     }
 }
 
-/// Keeps a peer in the table for as long as the connection to it is open. `first_message` is written before all
-/// others.
-pub fn join(
+/// Adds a peer to the table and spawns a task that exchanges messages with it. The task removes the peer when the
+/// connection ends. `first_message` is written before all others.
+pub fn add_peer(
     table: &Rc<ReplicaTable>,
     handler: &SharedHandler,
     role: PeerRole,
@@ -74,7 +74,7 @@
     });
 }
 
-/// Carries out what the peer asks for; returns why that ended.
+/// Handles the messages of the peer until the connection ends, and returns the reason.
 async fn receive_messages(reader: &mut MessageReader, handler: &SharedHandler) -> ConnectionError {
     loop {
         match reader.read().await {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Writes the first message and then those from the outbox; returns why that ended.
+/// Writes the first message and then those from the outbox until the connection ends, and returns the reason.
 async fn send_messages(
     writer: &mut MessageWriter,
     first_message: Option<Message>,
--- a/src/node/hot_restart/predecessor.rs
+++ b/src/node/hot_restart/predecessor.rs
@@ -1,10 +1,10 @@
-//! Meets the processes that already serve this gateway.
+//! Connects to the processes that already serve this gateway, and takes over their state.
 
 use crate::node::hot_restart::{
     framing::split,
     handshake::{HANDSHAKE_TIMEOUT, HandshakeError},
     message::{FORMAT_VERSION, Message},
-    peer_connection::{SharedHandler, join},
+    peer_connection::{SharedHandler, add_peer},
     replica_table::{MAX_PEERS, PeerRole, ReplicaTable},
     shared_folder::SharedFolder,
     successor::SuccessorListener,
@@ -13,40 +13,42 @@
 use tokio::{net::UnixStream, time::timeout};
 use tracing::warn;
 
-/// What this process has found out about its peers at its start.
+/// Result of connecting to the predecessors.
 #[derive(Default)]
 pub struct Takeover {
-    /// Whether a predecessor has handed over its snapshot.
+    /// True if at least one predecessor has sent its snapshot.
     pub has_predecessor: bool,
-    /// Where successors connect; `None` without a shared folder that takes a socket.
+    /// Listener for successors; `None` if there is no shared folder, or no socket can be bound in it.
     pub successor_listener: Option<SuccessorListener>,
 }
 
-/// Connects to the predecessors, takes over what they have learned, and listens for successors.
-pub async fn meet_predecessors(table: &Rc<ReplicaTable>, handler: &SharedHandler) -> Takeover {
-    let Some(folder) = SharedFolder::of(table.gateway_name()) else { return Takeover::default() };
+/// Connects to the predecessors, takes over their state, and binds the listener for successors.
+pub async fn connect_to_predecessors(table: &Rc<ReplicaTable>, handler: &SharedHandler) -> Takeover {
+    let Some(folder) = SharedFolder::from_env(table.gateway_name()) else { return Takeover::default() };
     let mut has_predecessor = false;
     for path in folder.socket_paths().iter().take(MAX_PEERS) {
         match connect(table, handler, path).await {
             Ok(()) => has_predecessor = true,
             Err(error) if error.is_connection_refused() => {
-                // A file that can't be removed is left to the next process.
+                // If the file can't be removed, the next process tries again.
                 let _ = fs::remove_file(path);
             }
-            Err(error) => warn!(path = %path.display(), reason = %error, "no predecessor listens there"),
+            Err(error) => {
+                warn!(path = %path.display(), reason = %error, "handshake with a predecessor failed")
+            }
         }
     }
     let successor_listener = match SuccessorListener::bind(&folder) {
         Ok(listener) => Some(listener),
         Err(error) => {
-            warn!(reason = %error, "no successor can connect to this process");
+            warn!(reason = %error, "successors can't connect to this process");
             None
         }
     };
     Takeover { has_predecessor, successor_listener }
 }
 
-/// Performs the handshake with the process that listens at `path`, and adds it as a peer.
+/// Performs the handshake with the process that listens at `path`, and adds the process as a peer.
 async fn connect(
     table: &Rc<ReplicaTable>,
     handler: &SharedHandler,
@@ -64,6 +66,6 @@
     let (reply, reader, writer) = finished?;
     let Message::Snapshot(snapshot) = reply else { return Err(HandshakeError::unexpected(&reply)) };
     handler.receive_snapshot(snapshot);
-    join(table, handler, PeerRole::Predecessor, reader, writer, None);
+    add_peer(table, handler, PeerRole::Predecessor, reader, writer, None);
     Ok(())
 }
--- a/src/node/hot_restart/replica_counts.rs
+++ b/src/node/hot_restart/replica_counts.rs
@@ -1,8 +1,8 @@
-//! How many processes serve this gateway side by side.
+//! Counts the processes that serve this gateway at the same time.
 
 use std::cell::Cell;
 
-/// How many peer processes there are.
+/// Numbers of predecessors and successors of this process.
 #[derive(Debug, Default)]
 pub struct ReplicaCounts {
     predecessors: Cell<u32>,
@@ -16,17 +16,17 @@
         self.successors.set(successors);
     }
 
-    /// The position of this process among all of them, in the order of their starts.
+    /// Returns the index of this process among all processes of the gateway, ordered by their starts.
     pub fn index(&self) -> u32 {
         self.predecessors.get()
     }
 
-    /// How many processes there are, this one included.
+    /// Returns the number of processes of the gateway, including this one.
     pub fn count(&self) -> u32 {
         1 + self.predecessors.get() + self.successors.get()
     }
 
-    /// Whether a successor accepts clients, too.
+    /// Returns whether a successor also accepts clients.
     pub fn has_successor(&self) -> bool {
         self.successors.get() > 0
     }
--- a/src/node/hot_restart/replica_table.rs
+++ b/src/node/hot_restart/replica_table.rs
@@ -1,4 +1,4 @@
-//! The live peer processes of this process.
+//! Table of the peer processes that are connected to this process.
 
 use crate::node::hot_restart::{message::Message, replica_counts::ReplicaCounts};
 use oliverack::EndpointId;
@@ -9,14 +9,15 @@
 };
 use tokio::sync::mpsc;
 
-/// Peer processes at once; a hot restart needs one.
+/// Maximum number of peer processes at a time; a hot restart needs one.
 pub const MAX_PEERS: usize = 4;
-/// Descriptors that hot restart needs: one for each peer, the listener, and a connection just accepted.
+/// Maximum number of descriptors that hot restart takes: one for each peer, the listener, and a connection just
+/// accepted.
 pub const MAX_DESCRIPTORS: usize = MAX_PEERS + 2;
-/// Messages that may wait to be written to a peer; a peer that lets more wait is disconnected.
+/// Maximum number of messages that wait to be written to a peer. A peer with more is disconnected.
 const OUTBOX_CAPACITY: usize = 64;
 
-/// Which of two processes started first.
+/// Role of a peer, by the order in which the two processes started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRole {
     /// The peer started before this process.
@@ -25,7 +26,7 @@
     Successor,
 }
 
-/// Identifies a peer; never used again for another one.
+/// Identifies a peer; never reused for another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerId(u64);
 
@@ -34,9 +35,9 @@
     outbox: mpsc::Sender<Message>,
 }
 
-/// See the [module](self).
+/// The peer processes of this process, and the gateway that they serve.
 pub struct ReplicaTable {
-    /// Only processes of the gateway of this name are peers.
+    /// Name of the gateway that all peers serve.
     gateway_name: String,
     max_message_bytes: u64,
     peers: RefCell<BTreeMap<PeerId, Peer>>,
@@ -45,7 +46,8 @@
 }
 
 impl ReplicaTable {
-    /// An empty table. Messages of up to `max_message_bytes` are read; `counts` follows the table.
+    /// Creates an empty table. Peers may send messages of up to `max_message_bytes`. `counts` is updated with the
+    /// table.
     pub fn new(gateway_name: &str, max_message_bytes: usize, counts: Rc<ReplicaCounts>) -> Rc<Self> {
         Rc::new(Self {
             gateway_name: gateway_name.to_owned(),
@@ -56,22 +58,22 @@
         })
     }
 
-    /// The name of the gateway that all processes of the table serve.
+    /// Returns the name of the gateway that this process and its peers serve.
     pub fn gateway_name(&self) -> &str {
         &self.gateway_name
     }
 
-    /// Length of the longest message that is read.
+    /// Returns the maximum length of a message from a peer.
     pub fn max_message_bytes(&self) -> u64 {
         self.max_message_bytes
     }
 
-    /// Whether no further peer is accepted.
+    /// Returns whether the table has the maximum number of peers.
     pub fn is_full(&self) -> bool {
         self.peers.borrow().len() >= MAX_PEERS
     }
 
-    /// Adds a peer. Returns the messages to write to it, which end when it is removed.
+    /// Adds a peer. Returns its id and the messages to write to it; they end when the peer is removed.
     pub fn add(&self, role: PeerRole) -> (PeerId, mpsc::Receiver<Message>) {
         let (outbox, messages) = mpsc::channel(OUTBOX_CAPACITY);
         let id = PeerId(self.next_id.get());
@@ -81,16 +83,17 @@
         (id, messages)
     }
 
-    /// Removes a peer, if it is still there.
+    /// Removes a peer. Does nothing if it is already removed.
     pub fn remove(&self, id: PeerId) {
         self.peers.borrow_mut().remove(&id);
         self.update_counts();
     }
 
-    /// Notifies all peers that operators have put an endpoint into maintenance or taken it out.
+    /// Notifies all peers that an operator has put an endpoint into maintenance or taken it out. Removes peers whose
+    /// outbox is full.
     pub fn notify_maintenance(&self, endpoint: &EndpointId, in_maintenance: bool) {
         let message = || Message::MaintenanceChanged { endpoint: endpoint.clone(), in_maintenance };
-        // A peer whose outbox is full is removed; the end of its connection tells both sides.
+        // Removing a peer ends its connection, by which both sides notice the removal.
         self.peers.borrow_mut().retain(|_, peer| peer.outbox.try_send(message()).is_ok());
         self.update_counts();
     }
--- a/src/node/hot_restart/successor.rs
+++ b/src/node/hot_restart/successor.rs
@@ -1,10 +1,10 @@
-//! Accepts the processes that start after this one.
+//! Accepts the connections of processes that start after this one, and sends them the state of this process.
 
 use crate::node::hot_restart::{
     framing::split,
     handshake::{HANDSHAKE_TIMEOUT, HandshakeError},
     message::{FORMAT_VERSION, Message},
-    peer_connection::{SharedHandler, join},
+    peer_connection::{SharedHandler, add_peer},
     replica_table::{PeerRole, ReplicaTable},
     shared_folder::SharedFolder,
 };
@@ -15,23 +15,23 @@
 };
 use tracing::warn;
 
-/// Pause after a connection could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The socket on which successors connect; its file is removed with it.
+/// Socket on which successors connect. Dropping it removes its file.
 pub struct SuccessorListener {
     socket: UnixListener,
     path: PathBuf,
 }
 
 impl SuccessorListener {
-    /// Listens on the socket of this process in the shared folder.
+    /// Binds the socket of this process in the shared folder.
     ///
     /// # Errors
-    /// The folder takes no socket.
+    /// The socket can't be created in the folder.
     pub fn bind(folder: &SharedFolder) -> io::Result<Self> {
         let path = folder.socket_path(process::id());
-        // An earlier process with the same process id may have left its socket.
+        // An earlier process with the same process id may have left its socket there.
         let _ = fs::remove_file(&path);
         let socket = UnixListener::bind(&path)?;
         Ok(Self { socket, path })
@@ -40,12 +40,12 @@
 
 impl Drop for SuccessorListener {
     fn drop(&mut self) {
-        // A file that can't be removed is removed by the next process, which finds that nobody listens.
+        // If this fails, the next process removes the file, as its connection is refused.
         let _ = fs::remove_file(&self.path);
     }
 }
 
-/// Accepts successors for the rest of the process's life.
+/// Accepts successors until the process ends. Closes connections that exceed the maximum number of peers.
 pub async fn accept_successors(table: Rc<ReplicaTable>, handler: SharedHandler, listener: SuccessorListener) {
     loop {
         let Ok((socket, _)) = listener.socket.accept().await else {
@@ -56,12 +56,12 @@
             continue;
         }
         if let Err(error) = accept(&table, &handler, socket).await {
-            warn!(reason = %error, "a caller is not a successor");
+            warn!(reason = %error, "handshake with a successor failed");
         }
     }
 }
 
-/// Performs the handshake with a process that has connected, and adds it as a peer.
+/// Performs the handshake with a process that has connected, and adds the process as a peer.
 async fn accept(
     table: &Rc<ReplicaTable>,
     handler: &SharedHandler,
@@ -70,13 +70,13 @@
     let (mut reader, writer) = split(socket, table.max_message_bytes());
     let received = timeout(HANDSHAKE_TIMEOUT, reader.read()).await.map_err(|_| HandshakeError::Timeout)?;
     check_hello(&received?, table.gateway_name())?;
-    // Changes from here on wait in the peer's outbox, behind the snapshot.
+    // Later changes wait in the peer's outbox and are written after the snapshot.
     let snapshot = Message::Snapshot(handler.snapshot());
-    join(table, handler, PeerRole::Successor, reader, writer, Some(snapshot));
+    add_peer(table, handler, PeerRole::Successor, reader, writer, Some(snapshot));
     Ok(())
 }
 
-/// Whether the first message is that of a successor of this gateway.
+/// Checks that a first message comes from a successor of this gateway with the same message format.
 fn check_hello(message: &Message, own_gateway_name: &str) -> Result<(), HandshakeError> {
     let Message::Hello { format_version, gateway_name } = message else {
         return Err(HandshakeError::unexpected(message));
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -79,7 +79,7 @@
 /// successors.
 async fn join_replicas(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
     let handler: peer_connection::SharedHandler = driver.clone();
-    let takeover = predecessor::meet_predecessors(driver.replicas(), &handler).await;
+    let takeover = predecessor::connect_to_predecessors(driver.replicas(), &handler).await;
     if !takeover.has_predecessor {
         driver.maintenance().restore();
     }
--- a/tests/unit/hot_restart_framing.rs
+++ b/tests/unit/hot_restart_framing.rs
@@ -1,11 +1,11 @@
-//! Messages on a socket, complete and broken.
+//! Tests of reading valid and invalid messages from a socket.
 
 use super::*;
 use tokio::{io::AsyncWriteExt, runtime};
 
 const MAX_BYTES: u64 = 64;
 
-/// What is read of a peer that writes these bytes and closes the connection.
+/// Reads a message from a peer that writes `written` and closes the connection.
 fn read_message(written: &str) -> Result<Message, MessageError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn line_that_is_no_message_is_malformed() {
+fn line_that_is_not_a_message_is_malformed() {
     for line in ["nonsense\n", "{}\n", "\n"] {
         let error = read_message(line).expect_err("no message");
         assert!(matches!(error, MessageError::Malformed(_)), "{line}: {error}");
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn line_cut_off_by_the_end_of_the_connection_is_truncated() {
+fn line_cut_off_by_closed_connection_is_truncated() {
     let error = read_message("{\"Hello\":").expect_err("no message");
     assert!(matches!(error, MessageError::Truncated { bytes: 9 }), "{error}");
 }
 
 #[test]
-fn line_beyond_the_bound_is_too_long() {
+fn line_beyond_limit_is_too_long() {
     let error = read_message(&format!("{}\n", "x".repeat(64))).expect_err("no message");
     assert!(matches!(error, MessageError::TooLong { max_bytes: MAX_BYTES }), "{error}");
 }
--- a/tests/unit/hot_restart_message.rs
+++ b/tests/unit/hot_restart_message.rs
@@ -1,19 +1,19 @@
-//! The form of the messages between processes: the bytes that earlier versions sent, read and written.
+//! Tests that messages between processes are read and written as the bytes of earlier versions.
 
 use super::*;
 use oliverack::EndpointSnapshot;
 
 const HELLO: &str = r#"{"Hello":{"form":1,"node":"n0"}}"#;
-const KNOWS: &str = concat!(
+const SNAPSHOT: &str = concat!(
     r#"{"Knows":{"servers":[{"id":"10.1.0.18:8443","cold_since":1764748800.25,"latency":0.0125,"#,
     r#""heard":1764748810.5,"out_until":1764748812.75,"out_for":2.0}],"left_out":["s-00000007"],"#,
     r#""carried":12.5,"times":[0.03,0.02,0.01],"call_rate":4.0}}"#
 );
-const BY_HAND: &str = r#"{"ByHand":{"server":"s-00000007","out":true}}"#;
+const MAINTENANCE_CHANGED: &str = r#"{"ByHand":{"server":"s-00000007","out":true}}"#;
 
-/// Every message with every field, beside the bytes that an earlier version sent for it.
+/// Returns each message with all its fields, and the bytes that earlier versions sent for it.
 fn messages() -> [(Message, &'static str); 3] {
-    let known = EndpointSnapshot {
+    let endpoint = EndpointSnapshot {
         id: "10.1.0.18:8443".into(),
         warming_up_since: 1_764_748_800.25,
         mean_latency: 0.0125,
@@ -22,7 +22,7 @@
         ejection_time: 2.0,
     };
     let snapshot = HandoverSnapshot {
-        endpoints: vec![known],
+        endpoints: vec![endpoint],
         in_maintenance: vec!["s-00000007".into()],
         peak_units_per_second: 12.5,
         response_times: [0.03, 0.02, 0.01].into(),
@@ -30,22 +30,25 @@
     };
     [
         (Message::Hello { format_version: FORMAT_VERSION, gateway_name: "n0".to_owned() }, HELLO),
-        (Message::Snapshot(snapshot), KNOWS),
-        (Message::MaintenanceChanged { endpoint: "s-00000007".into(), in_maintenance: true }, BY_HAND),
+        (Message::Snapshot(snapshot), SNAPSHOT),
+        (
+            Message::MaintenanceChanged { endpoint: "s-00000007".into(), in_maintenance: true },
+            MAINTENANCE_CHANGED,
+        ),
     ]
 }
 
 #[test]
-fn message_is_written_with_the_bytes_of_earlier_versions() {
+fn message_is_written_as_by_earlier_versions() {
     for (message, bytes) in messages() {
         assert_eq!(serde_json::to_string(&message).expect("a message"), bytes);
     }
 }
 
 #[test]
-fn bytes_of_an_earlier_version_are_read() {
+fn message_of_earlier_version_is_read() {
     for (message, bytes) in messages() {
-        let read: Message = serde_json::from_str(bytes).expect("a known form");
+        let read: Message = serde_json::from_str(bytes).expect("a valid message");
         assert_eq!(read, message);
     }
 }
--- a/tests/unit/hot_restart_successor.rs
+++ b/tests/unit/hot_restart_successor.rs
@@ -1,4 +1,4 @@
-//! The first message of a process that connects.
+//! Tests of the check of a successor's first message.
 
 use super::*;
 use oliverack::HandoverSnapshot;
@@ -8,12 +8,12 @@
 }
 
 #[test]
-fn hello_of_the_same_gateway_and_format_is_accepted() {
+fn hello_of_same_gateway_and_format_is_accepted() {
     assert!(check_hello(&hello(FORMAT_VERSION, "n0"), "n0").is_ok());
 }
 
 #[test]
-fn hello_of_another_format_or_gateway_is_rejected_with_its_value() {
+fn error_names_other_format_or_gateway() {
     let error = check_hello(&hello(2, "n0"), "n0").expect_err("another format");
     assert!(matches!(error, HandshakeError::UnsupportedFormat(2)), "{error}");
     let error = check_hello(&hello(FORMAT_VERSION, "n1"), "n0").expect_err("another gateway");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn message_of_another_kind_is_rejected() {
+fn other_first_message_is_rejected() {
     let change = Message::MaintenanceChanged { endpoint: "w0".into(), in_maintenance: true };
     let error = check_hello(&change, "n0").expect_err("no hello");
     assert!(matches!(error, HandshakeError::UnexpectedMessage("ByHand")), "{error}");
--- a/tests/unit/replica_table.rs
+++ b/tests/unit/replica_table.rs
@@ -1,4 +1,4 @@
-//! The table of live peer processes and the counts that follow it.
+//! Tests of the table of peer processes and of the counts that it updates.
 
 use super::*;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn counts_follow_the_peers_that_are_added_and_removed() {
+fn counts_follow_added_and_removed_peers() {
     let (table, counts) = table_with_counts();
     assert_eq!((counts.index(), counts.count(), counts.has_successor()), (0, 1, false));
     let (predecessor, _outbox) = table.add(PeerRole::Predecessor);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn table_is_full_at_its_bound() {
+fn table_is_full_at_max_peers() {
     let (table, _counts) = table_with_counts();
     let peers: Vec<_> = (0..MAX_PEERS).map(|_| table.add(PeerRole::Successor)).collect();
     assert!(table.is_full());
@@ -31,17 +31,17 @@
 }
 
 #[test]
-fn peer_with_full_outbox_is_removed_and_others_stay() {
+fn only_peer_with_full_outbox_is_removed() {
     let (table, counts) = table_with_counts();
-    let (_, mut stuck) = table.add(PeerRole::Successor);
-    let (_, mut reading) = table.add(PeerRole::Successor);
+    let (_, mut full_outbox) = table.add(PeerRole::Successor);
+    let (_, mut read_outbox) = table.add(PeerRole::Successor);
     for _ in 0..=OUTBOX_CAPACITY {
         table.notify_maintenance(&"w0".into(), true);
         let expected = Message::MaintenanceChanged { endpoint: "w0".into(), in_maintenance: true };
-        assert_eq!(reading.try_recv().expect("a message"), expected);
+        assert_eq!(read_outbox.try_recv().expect("a message"), expected);
     }
     assert_eq!(counts.count(), 2);
-    let received = std::iter::from_fn(|| stuck.try_recv().ok()).count();
+    let received = std::iter::from_fn(|| full_outbox.try_recv().ok()).count();
     assert_eq!(received, OUTBOX_CAPACITY);
-    assert!(stuck.is_closed(), "its connection ends");
+    assert!(full_outbox.is_closed(), "the outbox of a removed peer is still open");
 }
