--- a/src/bin/oliverack-sim/wire/row.rs
+++ b/src/bin/oliverack-sim/wire/row.rs
@@ -124,7 +124,7 @@
         let report = self.values.get(index);
         let value = |key: &str| report.and_then(|report| report.get(key)).and_then(Value::as_f64);
         let mut load = LoadReport::default();
-        load.inflight = value("busy_reqs");
+        load.in_flight = value("busy_reqs");
         load.utilization = value("cpu_share");
         load
     }
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -58,7 +58,7 @@
 #[non_exhaustive]
 pub struct LoadReport {
     /// Requests in flight.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Share of the processor in use, from 0 to 1.
     pub utilization: Option<f64>,
 }
--- a/src/interface/snapshot.rs
+++ b/src/interface/snapshot.rs
@@ -71,5 +71,5 @@
     pub ejected_until: Time,
     /// How long its next ejection lasts.
     #[serde(rename = "out_for")]
-    pub ejection_time: Seconds,
+    pub next_ejection_duration: Seconds,
 }
--- a/src/node/assembly.rs
+++ b/src/node/assembly.rs
@@ -43,7 +43,7 @@
         let address = listener.local_addr().map_err(NodeError::Listen)?;
         let operator_listener = open_operator_listener(&config).await?;
         let budget = DescriptorBudget::new(&config);
-        let metrics = Metrics::new(config.options.classes.len());
+        let metrics = Metrics::new(config.options.class_names.len());
         // Later lists replace it, so it is not kept.
         let cached_endpoints = std::mem::take(&mut config.cached_endpoints);
         let driver = Driver::new(&config, cached_endpoints, budget.endpoints, &metrics)
--- a/src/node/config/mod.rs
+++ b/src/node/config/mod.rs
@@ -130,7 +130,7 @@
             counter: document.counter,
             operator,
             accept_fd: parse_variable(ACCEPT_FD_VARIABLE)?,
-            cached_endpoints: document.known.endpoints(&options.zones),
+            cached_endpoints: document.known.endpoints(&options.zone_names),
             cached_version: document.known.version,
             options,
         })
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -97,7 +97,7 @@
         is_polled: config.options.settings.discovery_is_polled,
         version: config.cached_version,
         max_list_bytes: config.max_list_bytes(),
-        zones: config.options.zones.clone(),
+        zones: config.options.zone_names.clone(),
         poll_requested: driver.poll_requested().clone(),
         sink: driver.clone(),
     };
@@ -112,7 +112,7 @@
         driver: node.driver.clone(),
         clients: node.clients.clone(),
         metrics: node.metrics.clone(),
-        class_names: node.config.options.classes.clone(),
+        class_names: node.config.options.class_names.clone(),
     });
     tasks.spawn_local(Rc::new(Operators { operations }).serve(listener));
 }
--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -107,7 +107,8 @@
     pub fn parse(head: &RequestHead, options: &Options) -> Result<Self, InvalidRequest> {
         let headers = &head.headers;
         let class = parse_class(head, options)?;
-        let plan = required(headers, "x-plan", |name| options.plans.iter().position(|plan| plan == name))?;
+        let plan =
+            required(headers, "x-plan", |name| options.plan_names.iter().position(|plan| plan == name))?;
         let customer = required(headers, "x-customer", parse_customer)?;
         let remaining_seconds = required(headers, "x-remaining", parse_remaining)?;
         let quota = required(headers, "x-quota", |text| Quota::parse(text, options))?;
@@ -156,7 +157,7 @@
 /// The index of the class, which the path must repeat.
 fn parse_class(head: &RequestHead, options: &Options) -> Result<usize, InvalidRequest> {
     let name = required(&head.headers, "x-lane", Some)?;
-    let class = options.classes.iter().position(|class| class == name);
+    let class = options.class_names.iter().position(|class| class == name);
     let class = class.ok_or(InvalidRequest::Header("x-lane"))?;
     let is_path_of_class = head.uri.path().split('/').nth(1) == Some(name);
     if is_path_of_class && matches!(head.method, Method::GET | Method::POST) {
--- a/src/node/wire/load_report.rs
+++ b/src/node/wire/load_report.rs
@@ -11,7 +11,7 @@
     for (name, value) in text.split([',', ' ']).filter_map(|part| part.trim().split_once('=')) {
         let value = value.parse().ok().filter(|value: &f64| (0.0..=MAX_REPORTED_VALUE).contains(value));
         match name {
-            "inflight" | "busy_reqs" => load.inflight = value,
+            "inflight" | "busy_reqs" => load.in_flight = value,
             "util" | "cpu_share" => load.utilization = value,
             _ => {}
         }
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -35,7 +35,7 @@
     /// # Errors
     /// The settings are such that no gateway can work with them.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         Ok(Self {
             backends: Backends::new(settings.gateway_index),
             requests: RequestLifecycle::new(settings.gateway_count, settings.plans.len()),
--- a/src/policy/routing/endpoint_state.rs
+++ b/src/policy/routing/endpoint_state.rs
@@ -66,14 +66,15 @@
     /// What a successor process should know of it.
     pub fn snapshot(&self, id: &EndpointId) -> EndpointSnapshot {
         let health = self.health();
-        let ejection_time = if self.is_observed { health.ejection_time.max(MIN_EJECTION) } else { 0.0 };
+        let next_ejection_duration =
+            if self.is_observed { health.next_ejection_duration.max(MIN_EJECTION) } else { 0.0 };
         EndpointSnapshot {
             id: id.clone(),
             warming_up_since: self.warming_up_since,
             mean_latency: self.mean_latency,
             last_response_at: health.last_response_at,
             ejected_until: health.ejected_until,
-            ejection_time,
+            next_ejection_duration,
         }
     }
 
@@ -85,12 +86,12 @@
         }
         let mean_latency = snapshot.mean_latency.clamp(0.0, MAX_LATENCY);
         self.restart(snapshot.warming_up_since.min(now), allowance, mean_latency);
-        let was_ejected = snapshot.ejected_until != 0.0 || snapshot.ejection_time > MIN_EJECTION;
+        let was_ejected = snapshot.ejected_until != 0.0 || snapshot.next_ejection_duration > MIN_EJECTION;
         let is_tried = snapshot.last_response_at != 0.0 || was_ejected;
         if is_tried {
             let health = self.health_mut();
             health.last_response_at = snapshot.last_response_at.min(now);
-            health.ejection_time = snapshot.ejection_time.clamp(MIN_EJECTION, MAX_EJECTION);
+            health.next_ejection_duration = snapshot.next_ejection_duration.clamp(MIN_EJECTION, MAX_EJECTION);
             health.ejected_until = snapshot.ejected_until.min(now + MAX_EJECTION);
         }
         is_tried
--- a/src/policy/routing/health.rs
+++ b/src/policy/routing/health.rs
@@ -37,7 +37,7 @@
     /// When its current or last ejection ends; 0 before the first one.
     pub ejected_until: Time,
     /// How long its next ejection lasts; 0 before the first one.
-    pub ejection_time: Seconds,
+    pub next_ejection_duration: Seconds,
 }
 
 /// The health of an endpoint that nothing was sent to.
@@ -49,7 +49,7 @@
     may_have_restarted: false,
     unreachable_since: 0.0,
     ejected_until: 0.0,
-    ejection_time: 0.0,
+    next_ejection_duration: 0.0,
 };
 
 impl Health {
@@ -60,9 +60,9 @@
 
     /// Ejects the endpoint for a time that doubles with each ejection in a row.
     pub fn eject(&mut self, now: Time) {
-        let ejection_time = self.ejection_time.max(MIN_EJECTION);
-        self.ejected_until = now + ejection_time;
-        self.ejection_time = (ejection_time * 2.0).min(MAX_EJECTION);
+        let next_ejection_duration = self.next_ejection_duration.max(MIN_EJECTION);
+        self.ejected_until = now + next_ejection_duration;
+        self.next_ejection_duration = (next_ejection_duration * 2.0).min(MAX_EJECTION);
     }
 
     /// Records how an attempt ended. While the whole fleet times out, a timeout says nothing of the endpoint.
@@ -73,7 +73,7 @@
         match status {
             Status::Ok => {
                 self.consecutive_failures = 0;
-                self.ejection_time = MIN_EJECTION;
+                self.next_ejection_duration = MIN_EJECTION;
             }
             Status::Rejected => {}
             Status::ConnectFailed => {
--- a/src/policy/routing/router.rs
+++ b/src/policy/routing/router.rs
@@ -110,7 +110,7 @@
         peak_units_per_second: f64,
         context: &mut Context,
     ) {
-        for snapshot in endpoints.iter().filter(|snapshot| snapshot.ejection_time > 0.0) {
+        for snapshot in endpoints.iter().filter(|snapshot| snapshot.next_ejection_duration > 0.0) {
             let allowance = TokenBucket { level: context.rng.f64(), at: context.now };
             let place = self.endpoints.find_or_add(snapshot.id.clone());
             if self.endpoints[place].restore(snapshot, context.now, allowance) {
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -108,7 +108,8 @@
     #[serde(rename = "LateWorth")]
     pub late_weight_share: Option<f64>,
     /// The response is a stream.
-    pub streamed: Option<bool>,
+    #[serde(rename = "Streamed")]
+    pub is_streamed: Option<bool>,
 }
 
 /// A plan; its figures hold for each customer over all gateways together.
@@ -154,7 +155,7 @@
     pub max_units: Option<f64>,
     /// The true units of a request come with its response.
     #[serde(rename = "PostPaid")]
-    pub units_settle_later: Option<bool>,
+    pub units_settled_after_response: Option<bool>,
 }
 
 /// Limits of the deployment.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -47,12 +47,17 @@
     /// What happens when a request is sent more than once.
     pub effect: Effect,
     /// The response is a stream.
-    pub streamed: bool,
+    pub is_streamed: bool,
 }
 
 impl Default for Class {
     fn default() -> Self {
-        Self { latency_objective: 1.0, late_weight_share: 0.0, effect: Effect::Idempotent, streamed: false }
+        Self {
+            latency_objective: 1.0,
+            late_weight_share: 0.0,
+            effect: Effect::Idempotent,
+            is_streamed: false,
+        }
     }
 }
 
@@ -99,7 +104,7 @@
     /// Most units that one request takes.
     pub max_units: f64,
     /// The true units of a request come with its response; its own are an estimate.
-    pub units_settle_later: bool,
+    pub units_settled_after_response: bool,
     /// Endpoints may be sent health checks.
     pub health_checks_enabled: bool,
     /// Attempts may be cancelled.
@@ -143,7 +148,7 @@
             has_counter: false,
             counter_timeout: 0.05,
             max_units: 1.0,
-            units_settle_later: false,
+            units_settled_after_response: false,
             health_checks_enabled: false,
             cancellation_enabled: false,
             hedging_enabled: false,
@@ -168,16 +173,16 @@
     ///
     /// # Errors
     /// The gateway's index is out of range, or a figure is negative or not finite.
-    pub(crate) fn check(&self) -> Result<(), SettingsError> {
+    pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         if self.gateway_count == 0 {
             return Err(SettingsError::NoGateways);
         }
         if self.gateway_index >= self.gateway_count {
             return Err(SettingsError::GatewayIndexOutOfRange);
         }
-        let is_bad = |(_, value): &(&'static str, f64)| !value.is_finite() || *value < 0.0;
-        match self.figures().into_iter().find(is_bad) {
-            Some((name, _)) => Err(SettingsError::BadNumber(name)),
+        let is_invalid = |(_, value): &(&'static str, f64)| !value.is_finite() || *value < 0.0;
+        match self.figures().into_iter().find(is_invalid) {
+            Some((name, _)) => Err(SettingsError::InvalidNumber(name)),
             None => Ok(()),
         }
     }
@@ -225,5 +230,5 @@
     GatewayIndexOutOfRange,
     /// The named figure is negative, infinite or not a number.
     #[error("{0} is not a usable number")]
-    BadNumber(&'static str),
+    InvalidNumber(&'static str),
 }
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -24,11 +24,11 @@
     /// The settings of the policy, for [`crate::Gateway::new`].
     pub settings: Settings,
     /// Names of the request classes, by index.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// Names of the plans, by index.
-    pub plans: Vec<String>,
+    pub plan_names: Vec<String>,
     /// Names of the zones, by index.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// Endpoints close a connection that has been idle for so long.
     pub endpoint_idle_timeout: Seconds,
     /// The longest time that any client waits for a response.
@@ -83,9 +83,9 @@
         Self {
             longest_deadline: deadlines.fold(0.0, f64::max),
             settings,
-            classes: classes.into_iter().map(|class| class.name.unwrap_or_default()).collect(),
-            plans: plans.into_iter().map(|plan| plan.name.unwrap_or_default()).collect(),
-            zones: document.zones.unwrap_or_default(),
+            class_names: classes.into_iter().map(|class| class.name.unwrap_or_default()).collect(),
+            plan_names: plans.into_iter().map(|plan| plan.name.unwrap_or_default()).collect(),
+            zone_names: document.zones.unwrap_or_default(),
             endpoint_idle_timeout: limits.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
             connect_timeout: limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
         }
@@ -100,7 +100,7 @@
     settings.has_counter = domain.has_counter.unwrap_or(false);
     settings.counter_timeout = domain.counter_timeout.unwrap_or(settings.counter_timeout);
     settings.max_units = domain.max_units.unwrap_or(settings.max_units);
-    settings.units_settle_later = domain.units_settle_later.unwrap_or(false);
+    settings.units_settled_after_response = domain.units_settled_after_response.unwrap_or(false);
 }
 
 fn apply_limits(settings: &mut Settings, limits: &DeploymentLimitsDocument) {
@@ -137,7 +137,7 @@
         latency_objective: document.latency_objective.unwrap_or(Class::default().latency_objective),
         late_weight_share: document.late_weight_share.unwrap_or(0.0),
         effect,
-        streamed: document.streamed.unwrap_or(false),
+        is_streamed: document.is_streamed.unwrap_or(false),
     }
 }
 
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -99,7 +99,7 @@
             self.number(endpoint.mean_latency);
             self.number(endpoint.last_response_at);
             self.number(endpoint.ejected_until);
-            self.number(endpoint.ejection_time);
+            self.number(endpoint.next_ejection_duration);
         }
         self.integer(snapshot.in_maintenance.len() as u64);
         for endpoint in &snapshot.in_maintenance {
@@ -176,7 +176,7 @@
             settings.plans[2].over_quota_cost_share = 0.1;
         }
         DayKind::FullTable => settings.max_customers = 4,
-        DayKind::Settled => settings.units_settle_later = true,
+        DayKind::Settled => settings.units_settled_after_response = true,
     }
     settings.slow_start_window = 6.0;
     settings.slow_start_initial_share = 0.25;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -19,14 +19,17 @@
         refused_settings(|settings| settings.gateway_index = 2),
         SettingsError::GatewayIndexOutOfRange
     );
-    assert_eq!(refused_settings(|settings| settings.plans[0].rate = -1.0), SettingsError::BadNumber("rate"));
+    assert_eq!(
+        refused_settings(|settings| settings.plans[0].rate = -1.0),
+        SettingsError::InvalidNumber("rate")
+    );
     assert_eq!(
         refused_settings(|settings| settings.counter_timeout = f64::NAN),
-        SettingsError::BadNumber("counter_timeout")
+        SettingsError::InvalidNumber("counter_timeout")
     );
     assert_eq!(
         refused_settings(|settings| settings.classes[0].latency_objective = f64::INFINITY),
-        SettingsError::BadNumber("latency_objective")
+        SettingsError::InvalidNumber("latency_objective")
     );
 }
 
--- a/tests/unit/config.rs
+++ b/tests/unit/config.rs
@@ -74,7 +74,7 @@
     let settings = &options.settings;
     assert_eq!((settings.gateway_index, settings.gateway_count, settings.zone), (2, 5, 1));
     assert_eq!((settings.has_counter, settings.counter_timeout), (true, 0.06));
-    assert_eq!((settings.max_units, settings.units_settle_later), (3.0, true));
+    assert_eq!((settings.max_units, settings.units_settled_after_response), (3.0, true));
     assert_eq!(
         (settings.health_checks_enabled, settings.cancellation_enabled, settings.hedging_enabled),
         (true, true, true)
@@ -93,7 +93,7 @@
     let mut lookup = Class::default();
     lookup.latency_objective = 0.4;
     lookup.late_weight_share = 0.25;
-    lookup.streamed = true;
+    lookup.is_streamed = true;
     let mut submit = Class::default();
     submit.latency_objective = 0.8;
     submit.effect = Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: 1.5 };
@@ -111,8 +111,11 @@
     small.ceiling_rate = 4.0;
     small.ceiling_burst = 12.0;
     assert_eq!(options.settings.plans, [small]);
-    assert_eq!(options.classes, ["lookup", "submit", "order"]);
-    assert_eq!((options.plans, options.zones), (vec!["small".to_owned()], vec!["a".into(), "b".into()]));
+    assert_eq!(options.class_names, ["lookup", "submit", "order"]);
+    assert_eq!(
+        (options.plan_names, options.zone_names),
+        (vec!["small".to_owned()], vec!["a".into(), "b".into()])
+    );
     assert_eq!(
         (options.endpoint_idle_timeout, options.connect_timeout, options.longest_deadline),
         (9.0, 0.3, 4.0)
--- a/tests/unit/hot_restart_message.rs
+++ b/tests/unit/hot_restart_message.rs
@@ -19,7 +19,7 @@
         mean_latency: 0.0125,
         last_response_at: 1_764_748_810.5,
         ejected_until: 1_764_748_812.75,
-        ejection_time: 2.0,
+        next_ejection_duration: 2.0,
     };
     let snapshot = HandoverSnapshot {
         endpoints: vec![endpoint],
--- a/tests/unit/load_report.rs
+++ b/tests/unit/load_report.rs
@@ -6,9 +6,9 @@
 #[test]
 fn report_under_either_name_parses_and_invalid_values_are_ignored() {
     let load = parse("TEXT inflight=7, queue=2, util=0.61");
-    assert_eq!((load.inflight, load.utilization), (Some(7.0), Some(0.61)));
+    assert_eq!((load.in_flight, load.utilization), (Some(7.0), Some(0.61)));
     let load = parse("busy_reqs=3,cpu_share=NaN");
-    assert_eq!((load.inflight, load.utilization), (Some(3.0), None));
+    assert_eq!((load.in_flight, load.utilization), (Some(3.0), None));
     let wild = "inflight=-1, util=1e300";
     assert_eq!(parse(wild), LoadReport::default());
     assert_eq!(parse("util=much = more"), LoadReport::default());
