--- a/src/policy/admission/ceiling.rs
+++ b/src/policy/admission/ceiling.rs
@@ -19,15 +19,15 @@
 impl CeilingShare {
     /// A share of which nothing has been granted before `since`.
     pub fn empty_since(since: Time) -> Self {
-        Self(TokenBucket { level: 0.0, at: since })
+        Self(TokenBucket { level: 0.0, updated_at: since })
     }
 
     /// Adds what was granted since `since`, or since the last refill if that was later, and returns the new
     /// level.
     pub fn refill(&mut self, now: Time, since: Time, share: &StaggeredShare) -> f64 {
-        let since = self.0.at.max(since);
+        let since = self.0.updated_at.max(since);
         let level = self.0.level.max(0.0) + share.granted_between(since, now);
-        self.0 = TokenBucket { level: level.min(share.max_level(now)), at: now };
+        self.0 = TokenBucket { level: level.min(share.max_saved_units(now)), updated_at: now };
         self.0.level
     }
 
--- a/src/policy/admission/customer_table.rs
+++ b/src/policy/admission/customer_table.rs
@@ -113,10 +113,10 @@
         let gateway_count = request.customer_gateway_count.clamp(1, total_gateways);
         let even_share = if self.restored_at == 0.0 {
             let burst = plan.burst / context.replicas.holder_count(gateway_count);
-            TokenBucket { level: burst.max(request.units), at: now }
+            TokenBucket { level: burst.max(request.units), updated_at: now }
         } else {
             // The predecessor may have spent all that was granted before.
-            TokenBucket { level: 0.0, at: self.restored_at }
+            TokenBucket { level: 0.0, updated_at: self.restored_at }
         };
         // A restarted gateway does not know what it spent of a ceiling, so it starts with what was granted
         // since.
--- a/src/policy/admission/leased_quota.rs
+++ b/src/policy/admission/leased_quota.rs
@@ -130,14 +130,15 @@
 
     /// Units that a request is short of, by the last known level.
     pub fn missing_units(&self, now: Time, plan: &Plan, units: f64) -> f64 {
-        let known = self.last_known_level.map_or(0.0, |known| known.level + plan.rate * (now - known.at));
+        let known =
+            self.last_known_level.map_or(0.0, |known| known.level + plan.rate * (now - known.updated_at));
         let left = self.lease + known;
         (units - left).max(0.0)
     }
 
     /// What is left at `now`, if the counter replied less than `max_age` ago.
     fn level_at(&self, now: Time, plan: &Plan, max_age: Seconds) -> Option<f64> {
-        let known = self.last_known_level.filter(|known| now - known.at < max_age);
+        let known = self.last_known_level.filter(|known| now - known.updated_at < max_age);
         known.map(|mut known| known.refill(now, plan.rate, plan.burst))
     }
 
@@ -185,7 +186,7 @@
         // What was sent beyond the quota takes nothing from it.
         let over_quota = (reply.unreported - left.max(0.0)).max(0.0);
         let level = left - reply.unreported - granted + over_quota;
-        self.last_known_level = Some(TokenBucket { level, at: now });
+        self.last_known_level = Some(TokenBucket { level, updated_at: now });
         let mut correction = granted - reply.wanted - over_quota;
         let tolerance = if is_first { FIRST_CALL_TOLERANCE } else { TOLERANCE };
         if lapsed > tolerance * plan.burst {
--- a/src/policy/handover.rs
+++ b/src/policy/handover.rs
@@ -38,7 +38,7 @@
     backends.load_shedder.restore_latency(LatencyEstimate {
         mean: bounded(times.mean),
         median: bounded(times.median),
-        idle: DecayingSum { level: bounded(times.idle), at: now },
+        idle: DecayingSum { level: bounded(times.idle), updated_at: now },
     });
     requests.admission().restore(now, snapshot.counter_calls_per_second);
 }
--- a/src/policy/routing/endpoint_table.rs
+++ b/src/policy/routing/endpoint_table.rs
@@ -4,7 +4,7 @@
 use crate::{
     interface::{Endpoint, EndpointCounts, EndpointId, Lifecycle, Time},
     policy::routing::endpoint_state::EndpointState,
-    primitives::ordered_table::{OrderedTable, Place},
+    primitives::ordered_table::{EntryHandle, OrderedTable},
 };
 use std::{
     collections::BTreeSet,
@@ -19,9 +19,9 @@
     /// Endpoints in maintenance, known or not.
     in_maintenance: BTreeSet<EndpointId>,
     /// All endpoints that the list does not name.
-    unlisted: BTreeSet<Place>,
+    unlisted: BTreeSet<EntryHandle>,
     /// A superset of the endpoints that are ejected.
-    ejected: BTreeSet<Place>,
+    ejected: BTreeSet<EntryHandle>,
 }
 
 impl EndpointTable {
@@ -42,61 +42,61 @@
         self.endpoints.reserve(entries.len());
         let mut touched = std::mem::take(&mut self.unlisted);
         for entry in entries {
-            let place = self.endpoints.find_or_add(entry.id.clone());
-            let endpoint = &mut self.endpoints[place];
+            let handle = self.endpoints.find_or_add(entry.id.clone());
+            let endpoint = &mut self.endpoints[handle];
             observe(endpoint, &entry);
             endpoint.zone = entry.zone;
             endpoint.cell = entry.cell;
             endpoint.is_running = entry.lifecycle == Lifecycle::Running;
             endpoint.is_listed = entry.lifecycle != Lifecycle::Gone;
-            touched.insert(place);
+            touched.insert(handle);
         }
         if is_complete {
-            touched.extend(self.endpoints.places());
+            touched.extend(self.endpoints.handles());
         }
-        for place in touched {
-            self.refresh(place);
+        for handle in touched {
+            self.refresh(handle);
         }
     }
 
     /// Removes an endpoint that is neither listed nor in use; otherwise updates whether it is usable.
-    fn refresh(&mut self, place: Place) {
-        let endpoint = &self.endpoints[place];
+    fn refresh(&mut self, handle: EntryHandle) {
+        let endpoint = &self.endpoints[handle];
         let is_listed = endpoint.is_listed;
         if !is_listed && endpoint.health().in_flight <= 0.0 {
-            self.remove(place);
+            self.remove(handle);
             return;
         }
         if !is_listed {
-            self.unlisted.insert(place);
+            self.unlisted.insert(handle);
         }
-        self.update_usable(place);
+        self.update_usable(handle);
     }
 
     /// The place of an endpoint, if it is known.
-    pub fn find(&self, id: &EndpointId) -> Option<Place> {
+    pub fn find(&self, id: &EndpointId) -> Option<EntryHandle> {
         self.endpoints.find(id)
     }
 
     /// The place of an endpoint. One that was unknown is not listed.
-    pub fn find_or_add(&mut self, id: EndpointId) -> Place {
-        let place = self.endpoints.find_or_add(id);
-        if !self.endpoints[place].is_listed {
-            self.unlisted.insert(place);
+    pub fn find_or_add(&mut self, id: EndpointId) -> EntryHandle {
+        let handle = self.endpoints.find_or_add(id);
+        if !self.endpoints[handle].is_listed {
+            self.unlisted.insert(handle);
         }
-        place
+        handle
     }
 
     /// Removes an endpoint.
-    pub fn remove(&mut self, place: Place) {
-        self.unlisted.remove(&place);
-        self.ejected.remove(&place);
-        self.endpoints.remove(place);
+    pub fn remove(&mut self, handle: EntryHandle) {
+        self.unlisted.remove(&handle);
+        self.ejected.remove(&handle);
+        self.endpoints.remove(handle);
     }
 
     /// The identifier of an endpoint.
-    pub fn id(&self, place: Place) -> &EndpointId {
-        self.endpoints.key(place)
+    pub fn id(&self, handle: EntryHandle) -> &EndpointId {
+        self.endpoints.key(handle)
     }
 
     /// All endpoints in the order of their identifiers.
@@ -105,37 +105,37 @@
     }
 
     /// The usable endpoints in the order of their identifiers.
-    pub fn usable(&self) -> &[Place] {
+    pub fn usable(&self) -> &[EntryHandle] {
         self.endpoints.selected()
     }
 
     /// The usable endpoint `steps` behind the one at the share `phase` of them, from 0 to 1. The first
     /// follows the last.
-    pub fn usable_from(&self, phase: f64, steps: usize) -> Place {
+    pub fn usable_from(&self, phase: f64, steps: usize) -> EntryHandle {
         let usable = self.usable();
         let index = (phase * usable.len() as f64) as usize + steps;
         usable[if index < usable.len() { index } else { index - usable.len() }]
     }
 
-    fn update_usable(&mut self, place: Place) {
-        let is_in_maintenance = self.in_maintenance.contains(self.endpoints.key(place));
-        let is_usable = self.endpoints[place].is_running && !is_in_maintenance;
-        if is_usable != self.endpoints[place].is_usable {
-            self.endpoints[place].is_usable = is_usable;
-            self.endpoints.select(place, is_usable);
+    fn update_usable(&mut self, handle: EntryHandle) {
+        let is_in_maintenance = self.in_maintenance.contains(self.endpoints.key(handle));
+        let is_usable = self.endpoints[handle].is_running && !is_in_maintenance;
+        if is_usable != self.endpoints[handle].is_usable {
+            self.endpoints[handle].is_usable = is_usable;
+            self.endpoints.select(handle, is_usable);
         }
     }
 
     /// Records that an endpoint's ejection time was set.
-    pub fn record_ejection(&mut self, place: Place) {
-        self.ejected.insert(place);
+    pub fn record_ejection(&mut self, handle: EntryHandle) {
+        self.ejected.insert(handle);
     }
 
     /// How many usable endpoints are ejected.
     pub fn count_ejected(&mut self, now: Time) -> usize {
         let endpoints = &self.endpoints;
-        self.ejected.retain(|place| now < endpoints[*place].health().ejected_until);
-        self.ejected.iter().filter(|place| endpoints[**place].is_usable).count()
+        self.ejected.retain(|handle| now < endpoints[*handle].health().ejected_until);
+        self.ejected.iter().filter(|handle| endpoints[**handle].is_usable).count()
     }
 
     /// Puts an endpoint into maintenance or takes it out. Returns whether it was in maintenance before.
@@ -145,8 +145,8 @@
         } else {
             self.in_maintenance.remove(id)
         };
-        if let Some(place) = self.find(id) {
-            self.update_usable(place);
+        if let Some(handle) = self.find(id) {
+            self.update_usable(handle);
         }
         was_in_maintenance
     }
@@ -154,8 +154,8 @@
     /// Puts these endpoints into maintenance and takes all others out.
     pub fn replace_maintenance(&mut self, in_maintenance: Vec<EndpointId>) {
         self.in_maintenance = in_maintenance.into_iter().collect();
-        for place in self.endpoints.places().to_vec() {
-            self.update_usable(place);
+        for handle in self.endpoints.handles().to_vec() {
+            self.update_usable(handle);
         }
     }
 
@@ -181,17 +181,17 @@
     }
 }
 
-impl Index<Place> for EndpointTable {
+impl Index<EntryHandle> for EndpointTable {
     type Output = EndpointState;
 
-    fn index(&self, place: Place) -> &EndpointState {
-        &self.endpoints[place]
+    fn index(&self, handle: EntryHandle) -> &EndpointState {
+        &self.endpoints[handle]
     }
 }
 
-impl IndexMut<Place> for EndpointTable {
-    fn index_mut(&mut self, place: Place) -> &mut EndpointState {
-        &mut self.endpoints[place]
+impl IndexMut<EntryHandle> for EndpointTable {
+    fn index_mut(&mut self, handle: EntryHandle) -> &mut EndpointState {
+        &mut self.endpoints[handle]
     }
 }
 
--- a/src/policy/routing/load_balancer.rs
+++ b/src/policy/routing/load_balancer.rs
@@ -28,6 +28,6 @@
     let slowness =
         if excess > 0.0 { excess * fade(health.last_response_at, LATENCY_TIME_CONSTANT) + 1.0 } else { 1.0 };
     let errors = health.error_shares.get(class).filter(|share| ERROR_PENALTY * share.level > 1.0);
-    let error_share = errors.map_or(0.0, |share| share.level * fade(share.at, ERROR_TIME_CONSTANT));
+    let error_share = errors.map_or(0.0, |share| share.level * fade(share.updated_at, ERROR_TIME_CONSTANT));
     (1.0 + health.in_flight) * slowness * (ERROR_PENALTY * error_share).max(1.0)
 }
--- a/src/policy/routing/router.rs
+++ b/src/policy/routing/router.rs
@@ -75,7 +75,7 @@
         self.subset.endpoints_changed();
         let now = context.now;
         self.endpoints.update(kind == ListKind::Full, entries, |endpoint, entry| {
-            let allowance = TokenBucket { level: context.rng.f64(), at: now };
+            let allowance = TokenBucket { level: context.rng.f64(), updated_at: now };
             if !endpoint.is_observed || entry.started > endpoint.warming_up_since {
                 endpoint.restart(entry.started, allowance, mean_latency);
             }
@@ -96,9 +96,9 @@
         if !was_in_maintenance || in_maintenance {
             return;
         }
-        let allowance = TokenBucket { level: context.rng.f64(), at: context.now };
-        if let Some(place) = self.endpoints.find(id) {
-            self.endpoints[place].restart(context.now, allowance, mean_latency);
+        let allowance = TokenBucket { level: context.rng.f64(), updated_at: context.now };
+        if let Some(handle) = self.endpoints.find(id) {
+            self.endpoints[handle].restart(context.now, allowance, mean_latency);
         }
     }
 
@@ -111,10 +111,10 @@
         context: &mut Context,
     ) {
         for snapshot in endpoints.iter().filter(|snapshot| snapshot.next_ejection_duration > 0.0) {
-            let allowance = TokenBucket { level: context.rng.f64(), at: context.now };
-            let place = self.endpoints.find_or_add(snapshot.id.clone());
-            if self.endpoints[place].restore(snapshot, context.now, allowance) {
-                self.endpoints.record_ejection(place);
+            let allowance = TokenBucket { level: context.rng.f64(), updated_at: context.now };
+            let handle = self.endpoints.find_or_add(snapshot.id.clone());
+            if self.endpoints[handle].restore(snapshot, context.now, allowance) {
+                self.endpoints.record_ejection(handle);
             }
         }
         self.endpoints.replace_maintenance(in_maintenance);
@@ -133,13 +133,13 @@
         let filter = self.scope_filter(request.attempt_targets(context)?)?;
         let search = Search { request, filter, mean_latency };
         let (endpoints, slow_start) = (&mut self.endpoints, &mut self.slow_start);
-        let place = self.subset.select(&search, endpoints, slow_start, context)?;
+        let handle = self.subset.select(&search, endpoints, slow_start, context)?;
         let units = request.request.units;
-        let endpoint = &mut self.endpoints[place];
+        let endpoint = &mut self.endpoints[handle];
         endpoint.health_mut().in_flight += 1.0;
         endpoint.slow_start_allowance.level -= units.max(1.0);
         self.slow_start.record_sent(context.now, units);
-        Some(self.endpoints.id(place).clone())
+        Some(self.endpoints.id(handle).clone())
     }
 
     /// Resolves the endpoints that an attempt may go to; `None` if the endpoint that they are defined by is
@@ -156,8 +156,8 @@
 
     /// Counts an attempt as ended. Returns whether the endpoint is still known.
     pub fn end_attempt(&mut self, endpoint: &EndpointId) -> bool {
-        let Some(place) = self.endpoints.find(endpoint) else { return false };
-        let health = self.endpoints[place].health_mut();
+        let Some(handle) = self.endpoints.find(endpoint) else { return false };
+        let health = self.endpoints[handle].health_mut();
         health.in_flight = (health.in_flight - 1.0).max(0.0);
         true
     }
@@ -172,10 +172,10 @@
         let now = context.now;
         let max_ejected = self.usable_count() as f64 * MAX_EJECTED_SHARE;
         let may_eject = (self.endpoints.count_ejected(now) as f64) < max_ejected;
-        let Some(place) = self.endpoints.find(outcome.endpoint) else { return };
-        let endpoint = &mut self.endpoints[place];
+        let Some(handle) = self.endpoints.find(outcome.endpoint) else { return };
+        let endpoint = &mut self.endpoints[handle];
         if !endpoint.is_listed && endpoint.health().in_flight == 0.0 {
-            return self.endpoints.remove(place);
+            return self.endpoints.remove(handle);
         }
         if let (Some(class), Status::Ok | Status::Error) = (outcome.class, outcome.status) {
             let class_count = context.settings.classes.len();
@@ -191,10 +191,10 @@
         }
         if may_eject && endpoint.health().is_outlier(now) {
             endpoint.health_mut().eject(now);
-            self.endpoints.record_ejection(place);
+            self.endpoints.record_ejection(handle);
         }
         if matches!(outcome.status, Status::Ok | Status::Timeout) {
-            let endpoint = &mut self.endpoints[place];
+            let endpoint = &mut self.endpoints[handle];
             endpoint.record_latency(now, outcome.elapsed);
             let age = now - endpoint.warming_up_since;
             let is_warm = endpoint.warming_up_since <= 0.0 || age >= context.settings.slow_start_window;
--- a/src/policy/routing/slow_start.rs
+++ b/src/policy/routing/slow_start.rs
@@ -30,7 +30,7 @@
 
     /// Starts from the peak rate of a predecessor.
     pub fn restore_peak_rate(&mut self, now: Time, units_per_second: f64) {
-        self.peak_rate = DecayingSum { level: units_per_second.max(0.0), at: now };
+        self.peak_rate = DecayingSum { level: units_per_second.max(0.0), updated_at: now };
     }
 
     /// Records units that were sent.
--- a/src/policy/routing/subset.rs
+++ b/src/policy/routing/subset.rs
@@ -10,7 +10,7 @@
         requests::RequestState,
         routing::{endpoint_table::EndpointTable, load_balancer::score, slow_start::SlowStart},
     },
-    primitives::ordered_table::Place,
+    primitives::ordered_table::EntryHandle,
     settings::IdempotencyScope,
 };
 
@@ -50,12 +50,12 @@
 
 impl Search<'_> {
     /// Whether an endpoint is in scope, not ejected, and not tried for this request yet.
-    fn accepts(&self, place: Place, endpoints: &EndpointTable, now: Time) -> bool {
-        let endpoint = &endpoints[place];
+    fn accepts(&self, handle: EntryHandle, endpoints: &EndpointTable, now: Time) -> bool {
+        let endpoint = &endpoints[handle];
         let ScopeFilter { scope, zone, cell } = self.filter;
         endpoint.is_in_scope(scope, zone, cell)
             && now >= endpoint.health().ejected_until
-            && !self.request.has_tried(endpoints.id(place))
+            && !self.request.has_tried(endpoints.id(handle))
     }
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// The usable endpoint at an index, from 0; the subset comes first.
-    pub fn place(&self, index: usize, endpoints: &EndpointTable) -> Place {
+    pub fn handle_at(&self, index: usize, endpoints: &EndpointTable) -> EntryHandle {
         endpoints.usable_from(self.start, index)
     }
 
@@ -99,28 +99,28 @@
         endpoints: &mut EndpointTable,
         slow_start: &mut SlowStart,
         context: &mut Context,
-    ) -> Option<Place> {
+    ) -> Option<EntryHandle> {
         let now = context.now;
         let class = search.request.request.class;
         let size = Self::size(endpoints.usable().len(), context.settings.gateway_count);
         let first = (context.rng.f64() * size as f64) as usize;
-        let mut best: Option<(f64, Place)> = None;
+        let mut best: Option<(f64, EntryHandle)> = None;
         for i in 0..size {
-            let place = self.place((first + i) % size, endpoints);
-            if !search.accepts(place, endpoints, now) {
+            let handle = self.handle_at((first + i) % size, endpoints);
+            if !search.accepts(handle, endpoints, now) {
                 continue;
             }
-            let endpoint = &mut endpoints[place];
+            let endpoint = &mut endpoints[handle];
             let score = score(endpoint, class, search.mean_latency, now);
             let is_warm = now >= endpoint.warm_at(context.settings.slow_start_window);
             let may_be_sent = is_warm || slow_start.allowance(endpoint, size, context) >= 1.0;
             let is_best = best.is_none_or(|(lowest, _)| score < lowest);
             if may_be_sent && is_best {
-                best = Some((score, place));
+                best = Some((score, handle));
             }
         }
         match best {
-            Some((_, place)) => Some(place),
+            Some((_, handle)) => Some(handle),
             None => self.select_outside(search, size, endpoints, context),
         }
     }
@@ -132,17 +132,17 @@
         size: usize,
         endpoints: &EndpointTable,
         context: &Context,
-    ) -> Option<Place> {
+    ) -> Option<EntryHandle> {
         if context.now < self.no_candidate_outside_until {
             return None;
         }
         let mut earliest = f64::INFINITY;
         for index in size..endpoints.usable().len() {
-            let place = self.place(index, endpoints);
-            let endpoint = &endpoints[place];
+            let handle = self.handle_at(index, endpoints);
+            let endpoint = &endpoints[handle];
             let warm_at = endpoint.warm_at(context.settings.slow_start_window);
-            if context.now >= warm_at && search.accepts(place, endpoints, context.now) {
-                return Some(place);
+            if context.now >= warm_at && search.accepts(handle, endpoints, context.now) {
+                return Some(handle);
             }
             earliest = earliest.min(endpoint.health().ejected_until.max(warm_at));
         }
--- a/src/primitives/decaying_sum.rs
+++ b/src/primitives/decaying_sum.rs
@@ -5,17 +5,17 @@
 /// A sum, and the moment up to which it has decayed. Divided by the time constant it is the recent rate.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingSum {
-    /// The sum at `at`.
+    /// The sum at `updated_at`.
     pub level: f64,
     /// The moment that `level` is about.
-    pub at: Time,
+    pub updated_at: Time,
 }
 
 impl DecayingSum {
     /// Lets the sum decay until `now` and adds `amount`.
     pub fn add(&mut self, now: Time, amount: f64, time_constant: Seconds) {
-        self.level = self.level * (-(now - self.at) / time_constant).exp() + amount;
-        self.at = now;
+        self.level = self.level * (-(now - self.updated_at) / time_constant).exp() + amount;
+        self.updated_at = now;
     }
 }
 
--- a/src/primitives/ordered_table.rs
+++ b/src/primitives/ordered_table.rs
@@ -12,7 +12,7 @@
 
 /// The place of an entry, valid until the entry is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place(u32);
+pub struct EntryHandle(u32);
 
 #[derive(Debug)]
 struct Entry<K, V> {
@@ -25,11 +25,11 @@
 pub struct OrderedTable<K, V> {
     /// Entries by place; `None` where the place is free.
     entries: Vec<Option<Entry<K, V>>>,
-    free: Vec<Place>,
+    free: Vec<EntryHandle>,
     /// All entries in the order of their keys.
-    order: Vec<Place>,
+    order: Vec<EntryHandle>,
     /// The selected entries in the order of their keys.
-    selected: Vec<Place>,
+    selected: Vec<EntryHandle>,
 }
 
 impl<K, V> Default for OrderedTable<K, V> {
@@ -47,7 +47,7 @@
     }
 
     /// The place of the entry with this key.
-    pub fn find<Q: Ord + ?Sized>(&self, key: &Q) -> Option<Place>
+    pub fn find<Q: Ord + ?Sized>(&self, key: &Q) -> Option<EntryHandle>
     where
         K: Borrow<Q>,
     {
@@ -55,52 +55,52 @@
     }
 
     /// The place of the entry with this key, which is added with the default value if it is missing.
-    pub fn find_or_add(&mut self, key: K) -> Place
+    pub fn find_or_add(&mut self, key: K) -> EntryHandle
     where
         V: Default,
     {
         match self.rank(&self.order, &key) {
             Ok(rank) => self.order[rank],
             Err(rank) => {
-                let place = self.store(Entry { key, value: V::default() });
-                self.order.insert(rank, place);
-                place
+                let handle = self.store(Entry { key, value: V::default() });
+                self.order.insert(rank, handle);
+                handle
             }
         }
     }
 
     /// Removes an entry, also from the selection.
-    pub fn remove(&mut self, place: Place) {
-        self.select(place, false);
-        if let Ok(rank) = self.rank(&self.order, self.key(place)) {
+    pub fn remove(&mut self, handle: EntryHandle) {
+        self.select(handle, false);
+        if let Ok(rank) = self.rank(&self.order, self.key(handle)) {
             self.order.remove(rank);
         }
-        self.entries[place.0 as usize] = None;
-        self.free.push(place);
+        self.entries[handle.0 as usize] = None;
+        self.free.push(handle);
     }
 
     /// Selects an entry or removes it from the selection.
-    pub fn select(&mut self, place: Place, is_selected: bool) {
-        match (self.rank(&self.selected, self.key(place)), is_selected) {
-            (Err(rank), true) => self.selected.insert(rank, place),
+    pub fn select(&mut self, handle: EntryHandle, is_selected: bool) {
+        match (self.rank(&self.selected, self.key(handle)), is_selected) {
+            (Err(rank), true) => self.selected.insert(rank, handle),
             (Ok(rank), false) => drop(self.selected.remove(rank)),
             _ => {}
         }
     }
 
     /// The selected entries, in the order of their keys.
-    pub fn selected(&self) -> &[Place] {
+    pub fn selected(&self) -> &[EntryHandle] {
         &self.selected
     }
 
     /// All entries, in the order of their keys.
-    pub fn places(&self) -> &[Place] {
+    pub fn handles(&self) -> &[EntryHandle] {
         &self.order
     }
 
     /// All entries' keys and values, in the order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
-        self.order.iter().map(|place| (self.key(*place), &self[*place]))
+        self.order.iter().map(|handle| (self.key(*handle), &self[*handle]))
     }
 
     /// All entries' values, in no particular order.
@@ -112,18 +112,18 @@
     ///
     /// # Panics
     /// If the entry has been removed.
-    pub fn key(&self, place: Place) -> &K {
-        &self.entry(place).key
+    pub fn key(&self, handle: EntryHandle) -> &K {
+        &self.entry(handle).key
     }
 
-    fn entry(&self, place: Place) -> &Entry<K, V> {
+    fn entry(&self, handle: EntryHandle) -> &Entry<K, V> {
         #[cfg(test)]
-        tests::READS.with(|reads| reads.set(reads.get() + 1));
-        self.entries[place.0 as usize].as_ref().expect("a place is valid until its entry is removed")
+        tests::ENTRY_READS.with(|reads| reads.set(reads.get() + 1));
+        self.entries[handle.0 as usize].as_ref().expect("a handle is valid until its entry is removed")
     }
 
     /// The position of a key in a list that is in the order of the keys, or the position to insert it at.
-    fn rank<Q: Ord + ?Sized>(&self, list: &[Place], key: &Q) -> Result<usize, usize>
+    fn rank<Q: Ord + ?Sized>(&self, list: &[EntryHandle], key: &Q) -> Result<usize, usize>
     where
         K: Borrow<Q>,
     {
@@ -131,34 +131,34 @@
         if list.last().is_none_or(|last| self.key(*last).borrow() < key) {
             return Err(list.len());
         }
-        list.binary_search_by(|place| self.key(*place).borrow().cmp(key))
+        list.binary_search_by(|handle| self.key(*handle).borrow().cmp(key))
     }
 
-    fn store(&mut self, entry: Entry<K, V>) -> Place {
-        if let Some(place) = self.free.pop() {
-            self.entries[place.0 as usize] = Some(entry);
-            return place;
+    fn store(&mut self, entry: Entry<K, V>) -> EntryHandle {
+        if let Some(handle) = self.free.pop() {
+            self.entries[handle.0 as usize] = Some(entry);
+            return handle;
         }
-        let place = Place(u32::try_from(self.entries.len()).expect("fewer entries than a u32 counts"));
+        let handle = EntryHandle(u32::try_from(self.entries.len()).expect("fewer entries than a u32 counts"));
         self.entries.push(Some(entry));
-        place
+        handle
     }
 }
 
-impl<K: Ord, V> Index<Place> for OrderedTable<K, V> {
+impl<K: Ord, V> Index<EntryHandle> for OrderedTable<K, V> {
     type Output = V;
 
-    fn index(&self, place: Place) -> &V {
-        &self.entry(place).value
+    fn index(&self, handle: EntryHandle) -> &V {
+        &self.entry(handle).value
     }
 }
 
-impl<K: Ord, V> IndexMut<Place> for OrderedTable<K, V> {
-    fn index_mut(&mut self, place: Place) -> &mut V {
+impl<K: Ord, V> IndexMut<EntryHandle> for OrderedTable<K, V> {
+    fn index_mut(&mut self, handle: EntryHandle) -> &mut V {
         #[cfg(test)]
-        tests::READS.with(|reads| reads.set(reads.get() + 1));
-        let entry = self.entries[place.0 as usize].as_mut();
-        &mut entry.expect("a place is valid until its entry is removed").value
+        tests::ENTRY_READS.with(|reads| reads.set(reads.get() + 1));
+        let entry = self.entries[handle.0 as usize].as_mut();
+        &mut entry.expect("a handle is valid until its entry is removed").value
     }
 }
 
--- a/src/primitives/staggered_share.rs
+++ b/src/primitives/staggered_share.rs
@@ -35,7 +35,7 @@
     }
 
     /// The most units that this holder may have saved up at `now`; older grants have lapsed.
-    pub fn max_level(&self, now: Time) -> f64 {
+    pub fn max_saved_units(&self, now: Time) -> f64 {
         self.granted_between(now - self.burst / self.rate, now)
     }
 }
--- a/tests/unit/decaying_sum.rs
+++ b/tests/unit/decaying_sum.rs
@@ -7,7 +7,7 @@
     assert_eq!(sum.level, 8.0);
     sum.add(2.0, 1.0, 2.0);
     assert!((sum.level - (8.0 * (-1.0_f64).exp() + 1.0)).abs() < 1e-12, "{}", sum.level);
-    assert_eq!(sum.at, 2.0);
+    assert_eq!(sum.updated_at, 2.0);
 }
 
 #[test]
--- a/tests/unit/endpoint_state.rs
+++ b/tests/unit/endpoint_state.rs
@@ -1,7 +1,7 @@
 use super::{EndpointState, Health};
 use crate::{
     interface::EndpointId,
-    primitives::{ordered_table::Place, token_bucket::TokenBucket},
+    primitives::{ordered_table::EntryHandle, token_bucket::TokenBucket},
 };
 use std::mem::size_of;
 
@@ -14,7 +14,7 @@
     // allocator rounds it up.
     let name =
         (2 * size_of::<usize>() + "worker-hall-a-0123".len() + size_of::<usize>()).next_multiple_of(16);
-    let bytes = size_of::<Option<(EndpointId, EndpointState)>>() + 2 * size_of::<Place>() + name;
+    let bytes = size_of::<Option<(EndpointId, EndpointState)>>() + 2 * size_of::<EntryHandle>() + name;
     assert!(bytes < MOST, "{bytes} bytes");
 }
 
@@ -22,7 +22,7 @@
 fn restart_keeps_only_the_attempts_in_flight() {
     let mut endpoint = EndpointState::default();
     assert_eq!((endpoint.health().in_flight, endpoint.health().ejected_until), (0.0, 0.0));
-    let allowance = TokenBucket { level: 0.5, at: 3.0 };
+    let allowance = TokenBucket { level: 0.5, updated_at: 3.0 };
     *endpoint.health_mut() =
         Health { consecutive_failures: 2, ejected_until: 9.0, may_have_restarted: true, ..Health::default() };
     endpoint.restart(3.0, allowance, 0.25);
--- a/tests/unit/endpoint_table.rs
+++ b/tests/unit/endpoint_table.rs
@@ -36,11 +36,11 @@
     }
 
     fn attempt(&mut self, id: &EndpointId, in_flight: f64, ejected_until: Time) {
-        let Some(place) = self.table.find(id) else { return };
-        let health = self.table[place].health_mut();
+        let Some(handle) = self.table.find(id) else { return };
+        let health = self.table[handle].health_mut();
         health.in_flight = in_flight;
         health.ejected_until = ejected_until;
-        self.table.record_ejection(place);
+        self.table.record_ejection(handle);
         let model = self.model.get_mut(id).expect("known to both");
         model.in_flight = in_flight;
         model.ejected_until = ejected_until;
@@ -60,7 +60,7 @@
         assert!(self.table.iter().map(|(id, _)| id).eq(self.model.keys()));
         let usable = |(id, m): &(&EndpointId, &Model)| m.running && !self.in_maintenance.contains(*id);
         let known = self.model.iter().filter(usable).map(|(id, _)| id);
-        assert!(self.table.usable().iter().map(|place| self.table.id(*place)).eq(known));
+        assert!(self.table.usable().iter().map(|handle| self.table.id(*handle)).eq(known));
         let ejected = self.model.iter().filter(usable).filter(|(_, m)| now < m.ejected_until).count();
         assert_eq!(self.table.count_ejected(now), ejected);
         let listed = || self.model.iter().filter(|(_, m)| m.listed);
--- a/tests/unit/ordered_table.rs
+++ b/tests/unit/ordered_table.rs
@@ -8,14 +8,14 @@
 
 thread_local! {
     /// How often an entry was looked at on this thread: what an event costs, whatever the machine.
-    pub(crate) static READS: Cell<usize> = const { Cell::new(0) };
+    pub(crate) static ENTRY_READS: Cell<usize> = const { Cell::new(0) };
 }
 
 /// How many entries `work` looks at.
-pub(crate) fn reads(work: impl FnOnce()) -> usize {
-    let before = READS.get();
+pub(crate) fn count_entry_reads(work: impl FnOnce()) -> usize {
+    let before = ENTRY_READS.get();
     work();
-    READS.get() - before
+    ENTRY_READS.get() - before
 }
 
 #[test]
@@ -27,11 +27,11 @@
         let key = dice.u32(0..200);
         match dice.u32(0..4) {
             0 | 1 => {
-                let place = table.find_or_add(key);
-                table[place] += step;
+                let handle = table.find_or_add(key);
+                table[handle] += step;
                 *entries.entry(key).or_insert(0) += step;
                 let is_selected = dice.bool();
-                table.select(place, is_selected);
+                table.select(handle, is_selected);
                 if is_selected {
                     selected.insert(key)
                 } else {
@@ -39,20 +39,20 @@
                 };
             }
             2 => {
-                assert_eq!(table.find(&key).map(|place| table[place]), entries.get(&key).copied());
+                assert_eq!(table.find(&key).map(|handle| table[handle]), entries.get(&key).copied());
             }
             _ => {
-                if let Some(place) = table.find(&key) {
-                    table.remove(place);
+                if let Some(handle) = table.find(&key) {
+                    table.remove(handle);
                 }
                 entries.remove(&key);
                 selected.remove(&key);
             }
         }
-        assert_eq!(table.places().len(), entries.len());
+        assert_eq!(table.handles().len(), entries.len());
         if step % 100 == 0 {
             assert!(table.iter().eq(entries.iter()));
-            assert!(table.selected().iter().map(|place| table.key(*place)).eq(selected.iter()));
+            assert!(table.selected().iter().map(|handle| table.key(*handle)).eq(selected.iter()));
         }
     }
     table.values_mut().for_each(|value| *value = 7);
@@ -89,19 +89,19 @@
     let mut table: OrderedTable<Counted, ()> = OrderedTable::default();
     let key = |number| Counted(number, compared.clone());
     for number in 0..10_000 {
-        let place = table.find_or_add(key(2 * number));
-        table.select(place, true);
+        let handle = table.find_or_add(key(2 * number));
+        table.select(handle, true);
     }
     compared.set(0);
-    let place = table.find_or_add(key(7777));
-    table.select(place, true);
-    table.select(place, false);
-    table.remove(place);
+    let handle = table.find_or_add(key(7777));
+    table.select(handle, true);
+    table.select(handle, false);
+    table.remove(handle);
     assert!(compared.get() <= 5 * 16, "{} comparisons", compared.get());
 }
 
 #[test]
-fn place_of_a_removed_entry_is_used_for_the_next() {
+fn handle_of_a_removed_entry_is_used_for_the_next() {
     let mut table: OrderedTable<u32, String> = OrderedTable::default();
     table.reserve(2);
     let first = table.find_or_add(1);
--- a/tests/unit/staggered_share.rs
+++ b/tests/unit/staggered_share.rs
@@ -19,7 +19,7 @@
             };
             let granted = sum(&|a| a.granted_between(now - 60.0, now));
             assert!((granted - 360.0).abs() <= 4.0, "{holders} holders: {granted} in a minute");
-            let most = sum(&|a| a.max_level(now));
+            let most = sum(&|a| a.max_saved_units(now));
             assert!((most - 30.0).abs() <= 4.0, "{holders} holders: {most} may be held");
         }
     }
--- a/tests/unit/subset.rs
+++ b/tests/unit/subset.rs
@@ -7,7 +7,7 @@
         Status, Time,
     },
     policy::Gateway,
-    primitives::ordered_table::tests::reads,
+    primitives::ordered_table::tests::count_entry_reads,
     settings::{Class, Plan, Settings},
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,7 +70,7 @@
 /// The usable endpoint at an index; a gateway's subset comes first.
 fn id_at(gateway: &Gateway, index: usize) -> EndpointId {
     let router = &gateway.backends.router;
-    router.endpoints.id(router.subset.place(index, &router.endpoints)).clone()
+    router.endpoints.id(router.subset.handle_at(index, &router.endpoints)).clone()
 }
 
 /// The endpoints of a gateway's subset.
@@ -98,7 +98,7 @@
 fn spread(subsets: &[BTreeSet<EndpointId>], usable: &Gateway) -> (usize, usize) {
     let mut met: BTreeMap<&EndpointId, usize> = BTreeMap::new();
     let endpoints = &usable.backends.router.endpoints;
-    met.extend(endpoints.usable().iter().map(|place| (endpoints.id(*place), 0)));
+    met.extend(endpoints.usable().iter().map(|handle| (endpoints.id(*handle), 0)));
     subsets.iter().flatten().for_each(|id| *met.get_mut(id).expect("usable") += 1);
     (*met.values().min().expect("some"), *met.values().max().expect("some"))
 }
@@ -241,20 +241,21 @@
         for step in 0..300_u32 {
             let now = 2.0 + f64::from(step) * 0.01;
             let mut actions = Vec::new();
-            let looked = reads(|| actions = tell(&mut gateway, now, request(&format!("j{step}"))));
+            let looked =
+                count_entry_reads(|| actions = tell(&mut gateway, now, request(&format!("j{step}"))));
             assert!(looked <= FEW, "a request: {looked} of {count}");
             let statuses = [Status::Ok, Status::ConnectFailed, Status::Error, Status::Timeout];
             for event in answers(actions, statuses[step as usize % 4]) {
-                let looked = reads(|| drop(tell(&mut gateway, now, event)));
+                let looked = count_entry_reads(|| drop(tell(&mut gateway, now, event)));
                 assert!(looked <= FEW, "an outcome: {looked} of {count}");
             }
             let lifecycle = [Lifecycle::Draining, Lifecycle::Gone, Lifecycle::Running][step as usize % 3];
-            let looked = reads(|| change(&mut gateway, step / 3 * 7 % count, lifecycle));
+            let looked = count_entry_reads(|| change(&mut gateway, step / 3 * 7 % count, lifecycle));
             assert!(looked <= FEW, "a change: {looked} of {count}");
             let out = step % 2 == 0;
             let event =
                 Event::MaintenanceChanged { endpoint: endpoint(step % count).id, in_maintenance: out };
-            let looked = reads(|| drop(tell(&mut gateway, now, event)));
+            let looked = count_entry_reads(|| drop(tell(&mut gateway, now, event)));
             assert!(looked <= FEW, "a call by hand: {looked} of {count}");
         }
     }
@@ -268,7 +269,7 @@
     let mut walks = 0;
     for step in 0..200_u32 {
         let event = request(&format!("j{step}"));
-        let looked = reads(|| drop(tell(&mut gateway, 2.0 + f64::from(step) * 0.01, event)));
+        let looked = count_entry_reads(|| drop(tell(&mut gateway, 2.0 + f64::from(step) * 0.01, event)));
         walks += usize::from(looked > 1000);
     }
     assert_eq!(walks, 1);
