--- a/src/bin/oliverack-sim/host.rs
+++ b/src/bin/oliverack-sim/host.rs
@@ -1,11 +1,11 @@
-//! Hosts the gateways of a simulation. They share nothing but the process.
+//! Hosts the simulated gateways of one process. The gateways share no state.
 
 use crate::wire::{self, Batch, Command, Inbox, MessageError, Reader};
 use oliverack::{Action, Gateway, Time};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The gateways of this process, and the reader of their messages.
+/// The simulated gateways by their number, and the reader of the messages to them.
 #[derive(Default)]
 pub struct Host {
     gateways: BTreeMap<u64, Gateway>,
@@ -13,10 +13,10 @@
 }
 
 impl Host {
-    /// Carries out the messages of a batch and returns the reply.
+    /// Applies the messages of a batch in order and returns the reply.
     ///
     /// # Errors
-    /// A message can't be carried out.
+    /// Returns an error if a message is invalid.
     pub fn handle_batch(&mut self, batch: &Batch) -> Result<Value, MessageError> {
         let mut decisions = Vec::new();
         for inbox in &batch.inboxes {
@@ -59,10 +59,10 @@
                 let gateway = self.gateways.get_mut(&gateway).ok_or_else(unknown_gateway)?;
                 gateway.handle(now, event, actions);
             }
-            Command::Ignore => {
+            Command::CheckGateway => {
                 self.gateways.get(&gateway).ok_or_else(unknown_gateway)?;
             }
-            Command::Done => {}
+            Command::NoAction => {}
         }
         Ok(())
     }
--- a/src/bin/oliverack-sim/main.rs
+++ b/src/bin/oliverack-sim/main.rs
@@ -1,5 +1,5 @@
-//! The simulator's adapter: translates its wire to the policy's events and the policy's actions back. It decides
-//! nothing.
+//! Adapter between the simulator and the policy. It translates the simulator's messages to events and the policy's
+//! actions to the simulator's decisions, and decides nothing itself.
 #![forbid(unsafe_code)]
 
 mod host;
@@ -13,29 +13,29 @@
 use thiserror::Error;
 use wire::{Batch, MessageError};
 
-/// Why the adapter ends before its input does.
+/// Error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 enum AdapterError {
-    /// The input can't be read.
+    /// Reading from standard input failed.
     #[error("input: {0}")]
     Input(io::Error),
-    /// The output can't be written.
+    /// Writing to standard output failed.
     #[error("output: {0}")]
     Output(io::Error),
-    /// A line is not a batch.
+    /// A line of the input is not a valid batch.
     #[error("a batch is malformed: {0}")]
     MalformedBatch(serde_json::Error),
-    /// A message of a batch can't be carried out.
+    /// A message of a batch is invalid.
     #[error("batch {batch}: {error}")]
     Message {
-        /// The batch's number.
+        /// Number of the batch.
         batch: u64,
-        /// What is wrong with the message.
+        /// Cause of the failure.
         error: MessageError,
     },
 }
 
-/// Replies to the batches on standard input, a line each, until it ends.
+/// Reads batches from standard input, one a line, and replies to each on standard output until the input ends.
 fn serve() -> Result<(), AdapterError> {
     let stdin = io::stdin().lock();
     let mut stdout = io::stdout().lock();
--- a/src/bin/oliverack-sim/wire/batch.rs
+++ b/src/bin/oliverack-sim/wire/batch.rs
@@ -1,29 +1,29 @@
-//! The messages that the simulator sends at one moment.
+//! Batches of messages from the simulator.
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// All messages of one moment.
+/// All messages that the simulator sends at one simulated time.
 #[derive(Deserialize)]
 pub struct Batch {
-    /// The time, in seconds.
+    /// Simulated time in seconds.
     #[serde(rename = "Moment")]
     pub now: f64,
-    /// The batch's number, which the reply repeats.
+    /// Number of the batch, which the reply repeats.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The messages by the gateway that they are for.
+    /// Messages, grouped by the gateway that receives them.
     #[serde(rename = "groups")]
     pub inboxes: Vec<Inbox>,
 }
 
-/// The messages for one gateway, in order.
+/// Messages to one gateway.
 #[derive(Deserialize)]
 pub struct Inbox {
-    /// The gateway.
+    /// Number of the gateway.
     #[serde(rename = "GatekeeperId")]
     pub gateway: u64,
-    /// The messages: each a name followed by its values.
+    /// Messages in order; each is a name followed by positional values.
     #[serde(rename = "msgs")]
     pub messages: Vec<Vec<Value>>,
 }
--- a/src/bin/oliverack-sim/wire/error.rs
+++ b/src/bin/oliverack-sim/wire/error.rs
@@ -1,33 +1,33 @@
-//! Why a message can't be carried out. The texts name messages and values as the wire does.
+//! Errors in the simulator's messages. Their texts use the names of the simulator's format.
 
 use crate::wire::row::FieldError;
 use oliverack::{OptionsError, SettingsError};
 use thiserror::Error;
 
-/// A message that can't be carried out.
+/// Reason to reject a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// The message does not begin with its name.
+    /// The message does not begin with a name.
     #[error("a message has no name")]
     Nameless,
-    /// A value of the message can't be read.
+    /// A value of the message is missing or invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The wire has no message of this name.
+    /// No message has this name.
     #[error("event {0} is unknown")]
     UnknownMessage(String),
-    /// The settings object can't be read.
+    /// The settings object is malformed.
     #[error(transparent)]
     Options(OptionsError),
-    /// No gateway can work with the settings.
+    /// The settings are inconsistent or out of range.
     #[error("NEW_INSTANCE.Options: {0}")]
     Settings(SettingsError),
-    /// The message is for a gateway that does not exist.
+    /// The message is addressed to a gateway that does not exist.
     #[error("{message} for unknown instance {gateway}")]
     UnknownGateway {
-        /// The name of the message.
+        /// Name of the message.
         message: String,
-        /// The gateway that it is for.
+        /// Number of the gateway.
         gateway: u64,
     },
 }
--- a/src/bin/oliverack-sim/wire/mod.rs
+++ b/src/bin/oliverack-sim/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: the only place that knows its names. Messages are read into [`Command`]s, and actions
-//! are written as decisions.
+//! The simulator's message format: reads messages into [`Command`]s and writes actions as decisions. No other module
+//! knows the names of the format.
 
 mod batch;
 mod error;
--- a/src/bin/oliverack-sim/wire/reader.rs
+++ b/src/bin/oliverack-sim/wire/reader.rs
@@ -8,36 +8,36 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What a message asks for.
+/// The effect that a message has on a gateway.
 pub enum Command {
-    /// Start the gateway that the message is for.
+    /// Start the addressed gateway.
     Start {
-        /// Seed of its random numbers.
+        /// Seed of the gateway's random numbers.
         seed: u64,
-        /// Its settings.
+        /// Options of the gateway.
         options: Box<Options>,
     },
-    /// Remove the gateway that the message is for.
+    /// Remove the addressed gateway.
     Remove,
-    /// Have the gateway handle an event.
+    /// Pass an event to the addressed gateway.
     Handle(Event),
-    /// Do nothing; the message is for an existing gateway all the same.
-    Ignore,
-    /// Do nothing more: the message was for the reader.
-    Done,
+    /// Check that the addressed gateway exists, and ignore the message.
+    CheckGateway,
+    /// Nothing to do: the reader has stored the contents of the message.
+    NoAction,
 }
 
-/// Reads messages, and keeps the numbered endpoint lists that later messages refer to.
+/// Reader of messages, which stores the numbered endpoint lists that later messages refer to.
 #[derive(Default)]
 pub struct Reader {
     endpoint_lists: BTreeMap<u64, Vec<Endpoint>>,
 }
 
 impl Reader {
-    /// Reads the message `name` with its values.
+    /// Reads a message, given by name and positional values.
     ///
     /// # Errors
-    /// The message is unknown, or one of its values can't be read.
+    /// Returns an error if the message is unknown or one of its values is missing or invalid.
     pub fn read(&mut self, name: &str, values: &[Value]) -> Result<Command, MessageError> {
         let row = |message| Row::new(message, values);
         let event = match name {
@@ -45,13 +45,13 @@
             "DESTROY" => return Ok(Command::Remove),
             "DIRECTORY" => {
                 self.store_endpoint_list(row("DIRECTORY"))?;
-                return Ok(Command::Done);
+                return Ok(Command::NoAction);
             }
             "HEALTH_RESULT" => {
                 check_health_result(row("HEALTH_RESULT"))?;
-                return Ok(Command::Ignore);
+                return Ok(Command::CheckGateway);
             }
-            "NOTE_FROM" => return Ok(Command::Ignore),
+            "NOTE_FROM" => return Ok(Command::CheckGateway),
             "PEERS_KNOWN" => self.read_endpoint_update(row("PEERS_KNOWN"))?,
             "DEMAND" => Event::Request(read_request(row("DEMAND"))?),
             "HEAD_RECEIVED" => {
@@ -113,7 +113,7 @@
     })
 }
 
-/// The bit of a request's state that marks it as a client's retry.
+/// Bit of `StateBits` that marks a retry by the client.
 const RETRY_BIT: u64 = 2;
 
 fn read_request(row: Row) -> Result<Request, FieldError> {
@@ -137,13 +137,14 @@
         endpoint: row.text(2, "Worker")?.into(),
         status: row.status(3)?,
         elapsed: row.number_or(4, "Spent", 0.0)?,
-        is_finished: row.flag(5, "NoMore")?,
+        is_finished: row.boolean(5, "NoMore")?,
         actual_units: Some(row.number_or(7, "Settled", 0.0)?).filter(|units| *units > 0.0),
         load: row.load_report(8),
     })
 }
 
-/// The policy starts no health checks, so a well-formed result is ignored.
+/// Checks the format of a health check result. The result itself is ignored, because the policy starts no health
+/// checks.
 fn check_health_result(row: Row) -> Result<(), FieldError> {
     row.text(0, "Worker")?;
     row.status(1)?;
--- a/src/bin/oliverack-sim/wire/row.rs
+++ b/src/bin/oliverack-sim/wire/row.rs
@@ -1,16 +1,16 @@
-//! The positional values of one message, read by index and named in errors.
+//! Access to the positional values of a message by index. Errors name the value and the message.
 
 use oliverack::{LoadReport, Status};
 use serde_json::Value;
 use std::fmt;
 use thiserror::Error;
 
-/// The name of a value and of its message.
+/// Names of a value and of the message that contains it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Field {
-    /// The message.
+    /// Name of the message.
     pub message: &'static str,
-    /// The value in it.
+    /// Name of the value.
     pub name: &'static str,
 }
 
@@ -20,26 +20,26 @@
     }
 }
 
-/// A value that can't be read.
+/// Reason to reject a value of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FieldError {
-    /// It is missing.
+    /// The value is missing or null.
     #[error("{0} is missing")]
     Missing(Field),
-    /// It has the wrong type.
+    /// The value has the wrong type.
     #[error("{field} is not a {expected}")]
     WrongType {
-        /// The value.
+        /// Name of the value.
         field: Field,
-        /// The type that it should have.
+        /// Name of the expected type.
         expected: &'static str,
     },
-    /// It is none of the values that the wire has.
+    /// The value is none of those that the format defines, or refers to an unknown endpoint list.
     #[error("{0} is unknown")]
     UnknownValue(Field),
 }
 
-/// The values of one message.
+/// The positional values of a message, or of an endpoint in a list.
 #[derive(Debug, Clone, Copy)]
 pub struct Row<'a> {
     message: &'static str,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> Row<'a> {
-    /// The values of `message`, in order.
+    /// Creates a row of values. Errors name `message` as their source.
     pub fn new(message: &'static str, values: &'a [Value]) -> Self {
         Self { message, values }
     }
@@ -60,50 +60,50 @@
         FieldError::WrongType { field: self.field(name), expected }
     }
 
-    /// The error for a value that is none of those that the wire has.
+    /// Returns the error for a value that the format does not define.
     pub fn unknown_value(&self, name: &'static str) -> FieldError {
         FieldError::UnknownValue(self.field(name))
     }
 
-    /// A value that must be present.
+    /// Returns a value that must be present.
     pub fn value(&self, index: usize, name: &'static str) -> Result<&'a Value, FieldError> {
         let value = self.values.get(index).filter(|value| !value.is_null());
         value.ok_or_else(|| FieldError::Missing(self.field(name)))
     }
 
-    /// A number.
+    /// Returns a number that must be present.
     pub fn number(&self, index: usize, name: &'static str) -> Result<f64, FieldError> {
         self.value(index, name)?.as_f64().ok_or_else(|| self.wrong_type(name, "number"))
     }
 
-    /// A number that may be missing.
+    /// Returns a number, or `default` if the value is missing or null.
     pub fn number_or(&self, index: usize, name: &'static str, default: f64) -> Result<f64, FieldError> {
         let is_missing = self.values.get(index).is_none_or(Value::is_null);
         if is_missing { Ok(default) } else { self.number(index, name) }
     }
 
-    /// A number without a fraction.
+    /// Returns a whole number that must be present and not negative.
     pub fn whole_number(&self, index: usize, name: &'static str) -> Result<u64, FieldError> {
         self.value(index, name)?.as_u64().ok_or_else(|| self.wrong_type(name, "whole number"))
     }
 
-    /// A string.
+    /// Returns a string that must be present.
     pub fn text(&self, index: usize, name: &'static str) -> Result<&'a str, FieldError> {
         self.value(index, name)?.as_str().ok_or_else(|| self.wrong_type(name, "string"))
     }
 
-    /// A boolean.
-    pub fn flag(&self, index: usize, name: &'static str) -> Result<bool, FieldError> {
+    /// Returns a boolean that must be present.
+    pub fn boolean(&self, index: usize, name: &'static str) -> Result<bool, FieldError> {
         self.value(index, name)?.as_bool().ok_or_else(|| self.wrong_type(name, "bool"))
     }
 
-    /// A list.
+    /// Returns a list that must be present.
     pub fn list(&self, index: usize, name: &'static str) -> Result<&'a [Value], FieldError> {
         let list = self.value(index, name)?.as_array().map(Vec::as_slice);
         list.ok_or_else(|| self.wrong_type(name, "list"))
     }
 
-    /// How an attempt, a health check or a counter call ended.
+    /// Returns the result of an attempt, a health check or a counter call.
     pub fn status(&self, index: usize) -> Result<Status, FieldError> {
         const NAME: &str = "Outcome";
         Ok(match self.text(index, NAME)? {
@@ -119,7 +119,7 @@
         })
     }
 
-    /// A load report. Values that are missing or not numbers are left out.
+    /// Returns a load report without the values that are missing or not numbers.
     pub fn load_report(&self, index: usize) -> LoadReport {
         let report = self.values.get(index);
         let value = |key: &str| report.and_then(|report| report.get(key)).and_then(Value::as_f64);
--- a/src/bin/oliverack-sim/wire/writer.rs
+++ b/src/bin/oliverack-sim/wire/writer.rs
@@ -3,13 +3,13 @@
 use oliverack::Action;
 use serde_json::{Value, json};
 
-/// The decisions of one gateway.
+/// Encodes the decisions of one gateway.
 pub fn decisions(gateway: u64, actions: Vec<Action>) -> Value {
     let decisions: Vec<Value> = actions.into_iter().map(decision).collect();
     json!({"GatekeeperId": gateway, "decisions": decisions})
 }
 
-/// The reply to the batch of this number, with the decisions of each gateway that has any.
+/// Builds the reply to a batch. `decisions` holds an item for each gateway that has decided something.
 pub fn reply(batch_number: u64, decisions: Vec<Value>) -> Value {
     json!({"n": batch_number, "groups": decisions})
 }
