--- a/src/node/runtime/maintenance.rs
+++ b/src/node/runtime/maintenance.rs
@@ -51,7 +51,7 @@
     /// No endpoint has this id, or the change could not be stored and holds in this process alone.
     pub fn set_and_store(&self, id: &str, in_maintenance: bool) -> Result<(), MaintenanceError> {
         let endpoint: EndpointId = id.into();
-        if !self.policy.knows_endpoint(&endpoint) {
+        if !self.policy.is_known_endpoint(&endpoint) {
             return Err(MaintenanceError::UnknownEndpoint);
         }
         self.replicas.notify_maintenance(&endpoint, in_maintenance);
--- a/src/node/runtime/policy_loop.rs
+++ b/src/node/runtime/policy_loop.rs
@@ -78,8 +78,8 @@
     }
 
     /// Whether the policy has an endpoint of this id.
-    pub fn knows_endpoint(&self, endpoint: &EndpointId) -> bool {
-        self.gateway.borrow().knows_endpoint(endpoint)
+    pub fn is_known_endpoint(&self, endpoint: &EndpointId) -> bool {
+        self.gateway.borrow().is_known_endpoint(endpoint)
     }
 
     /// How many endpoints there are, and how many of them receive nothing at present.
@@ -89,7 +89,7 @@
 
     /// The endpoints that operators have put into maintenance.
     pub fn endpoints_in_maintenance(&self) -> Vec<EndpointId> {
-        self.gateway.borrow().in_maintenance().cloned().collect()
+        self.gateway.borrow().endpoints_in_maintenance().cloned().collect()
     }
 
     /// What a successor in a hot restart should know.
--- a/src/policy/admission/customer_table.rs
+++ b/src/policy/admission/customer_table.rs
@@ -157,7 +157,11 @@
     }
 
     /// The next request of a customer that may use a concurrency slot that has come free.
-    pub fn next_in_slot(&mut self, customer: &CustomerId, context: &Context) -> Option<QueuedRequest> {
+    pub fn dequeue_for_free_slot(
+        &mut self,
+        customer: &CustomerId,
+        context: &Context,
+    ) -> Option<QueuedRequest> {
         let customer = self.customers.get_mut(customer)?;
         let slots = customer.slots(&context.plan(customer.plan), context);
         if customer.concurrency.has_free_slot(slots) { customer.concurrency.pop() } else { None }
--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -36,14 +36,14 @@
     }
 
     /// Appends an action.
-    pub fn act(&mut self, action: Action) {
+    pub fn push_action(&mut self, action: Action) {
         self.actions.push(action);
     }
 
     /// Asks for a timer and returns its token.
     pub fn set_timer(&mut self, at: Time, purpose: TimerPurpose) -> u64 {
         let token = self.timers.add(purpose);
-        self.act(Action::SetTimer { token, at });
+        self.push_action(Action::SetTimer { token, at });
         token
     }
 
--- a/src/policy/counter/mod.rs
+++ b/src/policy/counter/mod.rs
@@ -59,7 +59,7 @@
         self.in_flight.entry(counter).or_default().push_back(call);
         self.rate_limiter.record_call();
         let ttl = (COUNT_LIFETIME_IN_WINDOWS * window_length).min(MAX_COUNT_LIFETIME);
-        context.act(Action::AddToCounter { counter, amount, ttl });
+        context.push_action(Action::AddToCounter { counter, amount, ttl });
     }
 
     /// The call that a reply belongs to, which is no longer in flight.
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -111,7 +111,7 @@
             }
             Some(TimerPurpose::Hedge(id)) => requests.hedge(&id, backends, context),
             Some(TimerPurpose::EndSlotWait(id)) => requests.end_slot_wait(&id, backends, context),
-            Some(TimerPurpose::PollEndpoints) => context.act(Action::PollEndpoints),
+            Some(TimerPurpose::PollEndpoints) => context.push_action(Action::PollEndpoints),
             Some(TimerPurpose::ForgetIdleCustomers) => {
                 requests.admission().customers().forget_idle(context.now);
                 self.schedule_idle_scan();
@@ -126,7 +126,7 @@
     }
 
     /// Whether the list names an endpoint, or operators have put it into maintenance.
-    pub fn knows_endpoint(&self, endpoint: &EndpointId) -> bool {
+    pub fn is_known_endpoint(&self, endpoint: &EndpointId) -> bool {
         self.backends.router.endpoints().knows(endpoint)
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// The endpoints that operators have put into maintenance.
-    pub fn in_maintenance(&self) -> impl Iterator<Item = &EndpointId> {
+    pub fn endpoints_in_maintenance(&self) -> impl Iterator<Item = &EndpointId> {
         self.backends.router.endpoints().in_maintenance()
     }
 
--- a/src/policy/load_shedder.rs
+++ b/src/policy/load_shedder.rs
@@ -89,7 +89,7 @@
 
     /// Whether so many attempts time out that the whole fleet is overloaded and no single endpoint is at
     /// fault.
-    pub fn fleet_times_out(&self) -> bool {
+    pub fn is_fleet_timing_out(&self) -> bool {
         self.timeout_share > FLEET_TIMEOUT_SHARE
     }
 
--- a/src/policy/requests/lifecycle.rs
+++ b/src/policy/requests/lifecycle.rs
@@ -128,7 +128,7 @@
         let dedup_until = state.dedup_until(class);
         let hedge_delay = hedge_delay(class, backends.mean_latency());
         state.record_attempt(endpoint.clone(), context.now);
-        context.act(Action::StartAttempt { request_id: id.clone(), endpoint, timeout, dedup_until });
+        context.push_action(Action::StartAttempt { request_id: id.clone(), endpoint, timeout, dedup_until });
         if context.settings.hedging_enabled && hedge_delay < timeout {
             context.set_timer(context.now + hedge_delay, TimerPurpose::Hedge(id.clone()));
         }
@@ -208,7 +208,7 @@
         backends: &mut Backends,
         context: &mut Context,
     ) {
-        while let Some(queued) = self.admission.customers().next_in_slot(customer_id, context) {
+        while let Some(queued) = self.admission.customers().dequeue_for_free_slot(customer_id, context) {
             if self.requests.contains_key(&queued.id) {
                 self.start_first_attempt(&queued.id, backends, context);
             } else {
@@ -231,7 +231,7 @@
     fn respond(&mut self, id: &RequestId, retry_after: Seconds, context: &mut Context) {
         let Some(state) = self.requests.get(id).filter(|state| !state.is_finished()) else { return };
         let response = state.final_response(retry_after, &context.settings);
-        context.act(response);
+        context.push_action(response);
         self.finish(id);
     }
 
--- a/src/policy/routing/router.rs
+++ b/src/policy/routing/router.rs
@@ -185,7 +185,7 @@
         if matches!(outcome.status, Status::NotSent | Status::Cancelled) {
             return;
         }
-        endpoint.record_outcome(now, outcome.status, load_shedder.fleet_times_out());
+        endpoint.record_outcome(now, outcome.status, load_shedder.is_fleet_timing_out());
         if outcome.status == Status::Rejected {
             load_shedder.record_rejection();
         }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -40,10 +40,13 @@
         assert!(went.iter().all(|id| &**id != "a"), "{kind:?}: {went:?}");
         harness.now += 1.0;
     }
-    assert!(harness.gateway.knows_endpoint(&"a".into()) && !harness.gateway.knows_endpoint(&"nobody".into()));
+    assert!(
+        harness.gateway.is_known_endpoint(&"a".into())
+            && !harness.gateway.is_known_endpoint(&"nobody".into())
+    );
     // One call ends maintenance, even after two that began it.
     set_maintenance(&mut harness, "a", false);
-    assert_eq!(harness.gateway.in_maintenance().count(), 0);
+    assert_eq!(harness.gateway.endpoints_in_maintenance().count(), 0);
 }
 
 #[test]
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -25,7 +25,7 @@
     let (_, last) = started_attempts(&harness.send_request("j")).remove(0);
     harness.update_endpoints(ListKind::Full, vec![endpoint("d", Lifecycle::Running, 0.0)]);
     harness.attempt_ended("j", 0, &last, Status::Ok);
-    assert!(!harness.gateway.knows_endpoint(&last), "{last} is still known");
+    assert!(!harness.gateway.is_known_endpoint(&last), "{last} is still known");
     assert_eq!(&*started_attempts(&harness.send_request("k"))[0].1, "d");
 }
 
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -83,11 +83,11 @@
         }
     }
 
-    fn endpoint_counts(&mut self, endpoint_counts: EndpointCounts, knows_endpoint: bool) {
+    fn endpoint_counts(&mut self, endpoint_counts: EndpointCounts, is_known_endpoint: bool) {
         self.tag(10);
         self.integer(endpoint_counts.listed as u64);
         self.integer(endpoint_counts.avoided as u64);
-        self.tag(u8::from(knows_endpoint));
+        self.tag(u8::from(is_known_endpoint));
     }
 
     fn snapshot(&mut self, snapshot: &HandoverSnapshot) {
@@ -377,7 +377,7 @@
                 self.deliver(Event::MaintenanceChanged { endpoint: endpoint.clone(), in_maintenance: true });
             }
             992..997 => {
-                let first = self.harness.gateway.in_maintenance().next().cloned();
+                let first = self.harness.gateway.endpoints_in_maintenance().next().cloned();
                 if let Some(endpoint) = first {
                     self.deliver(Event::MaintenanceChanged { endpoint, in_maintenance: false });
                 }
@@ -398,8 +398,8 @@
             self.step();
             if event % 50 == 0 {
                 let endpoint_counts = self.harness.gateway.endpoint_counts(self.harness.now);
-                let knows_endpoint = self.harness.gateway.knows_endpoint(&"s1".into());
-                self.digest.endpoint_counts(endpoint_counts, knows_endpoint);
+                let is_known_endpoint = self.harness.gateway.is_known_endpoint(&"s1".into());
+                self.digest.endpoint_counts(endpoint_counts, is_known_endpoint);
             }
             if event % 500 == 0 {
                 let snapshot = self.harness.gateway.snapshot();
--- a/tests/unit/load_shedder.rs
+++ b/tests/unit/load_shedder.rs
@@ -51,9 +51,9 @@
 fn timeouts_of_many_attempts_put_the_fleet_at_fault() {
     let mut shedder = LoadShedder::default();
     shedder.record_response(1.0, 1.0, true, true);
-    assert!(!shedder.fleet_times_out(), "one says little");
+    assert!(!shedder.is_fleet_timing_out(), "one says little");
     for _ in 0..10 {
         shedder.record_response(1.0, 1.0, true, true);
     }
-    assert!(shedder.fleet_times_out());
+    assert!(shedder.is_fleet_timing_out());
 }
