--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -1,5 +1,5 @@
-//! The endpoints as admission and requests see them: where attempts go, and whether there is capacity for one
-//! more.
+//! Combines endpoint selection with load shedding for admission and requests: decides whether there is
+//! capacity for another attempt and which endpoint receives it.
 
 use crate::{
     interface::{EndpointId, Seconds},
@@ -11,32 +11,31 @@
     },
 };
 
-/// The router and the load shedder, which learns from the same attempts.
+/// Router and load shedder of one gateway. Both learn from the same attempts.
 #[derive(Debug, Default)]
 pub struct Backends {
-    /// Picks endpoints.
     pub(super) router: Router,
-    /// Limits the attempts in flight.
     pub(super) load_shedder: LoadShedder,
 }
 
 impl Backends {
-    /// The backends of one gateway, of which no endpoint is known yet.
+    /// Creates the backends of one gateway, without any endpoint.
     pub fn new(gateway_index: u32) -> Self {
         Self { router: Router::new(gateway_index), load_shedder: LoadShedder::default() }
     }
 
-    /// Whether one more attempt may be started within `share` of the limit on attempts in flight.
+    /// Checks whether another attempt may start within `share` of the limit on attempts in flight.
     pub fn has_capacity(&self, share: f64, context: &mut Context) -> bool {
         self.load_shedder.has_capacity(share, self.router.usable_count(), context)
     }
 
-    /// The mean response time.
+    /// Returns the mean response time; 0 before the first response.
     pub fn mean_latency(&self) -> Seconds {
         self.load_shedder.mean_latency()
     }
 
-    /// Picks an endpoint for an attempt and counts it as in flight; `None` if no endpoint may be sent one.
+    /// Picks an endpoint for an attempt and counts the attempt as in flight. Returns `None` if no endpoint may
+    /// receive it.
     pub fn start_attempt(&mut self, request: &RequestState, context: &mut Context) -> Option<EndpointId> {
         let endpoint = self.router.start_attempt(request, self.load_shedder.mean_latency(), context)?;
         self.load_shedder.record_start();
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Learns from an attempt's end.
+    /// Updates the endpoint's health and the limit on attempts in flight after an attempt has ended.
     pub fn record_outcome(&mut self, outcome: AttemptOutcome, context: &Context) {
         self.router.record_outcome(outcome, &mut self.load_shedder, context);
     }
--- a/src/policy/handover.rs
+++ b/src/policy/handover.rs
@@ -1,4 +1,4 @@
-//! What a process hands over to its successor in a hot restart, and what the successor takes over.
+//! Builds the snapshot that a process hands over in a hot restart, and restores the successor from it.
 
 use crate::{
     interface::{HandoverSnapshot, ResponseTimes, Seconds},
@@ -6,7 +6,7 @@
     primitives::{decaying_sum::DecayingSum, latency_estimate::LatencyEstimate},
 };
 
-/// What a successor should know.
+/// Collects the state that the successor needs.
 pub fn snapshot(backends: &Backends, requests: &RequestLifecycle) -> HandoverSnapshot {
     let router = &backends.router;
     let latency = backends.load_shedder.latency();
@@ -23,7 +23,7 @@
     }
 }
 
-/// Takes over what a predecessor knew.
+/// Restores the state that a predecessor handed over. Response times are clamped to at most [`MAX_LATENCY`].
 pub fn restore(
     snapshot: HandoverSnapshot,
     backends: &mut Backends,
--- a/src/policy/load_shedder.rs
+++ b/src/policy/load_shedder.rs
@@ -1,4 +1,4 @@
-//! Limits how many attempts this gateway has in flight, so that responses stay quick (Little's law).
+//! Limits the attempts that this gateway has in flight, so that response times stay short (Little's law).
 
 use crate::{
     interface::{Seconds, Time},
@@ -8,45 +8,45 @@
 
 /// Weight of a new sample in a running mean.
 pub const SAMPLE_WEIGHT: f64 = 0.15;
-/// Share of the latency objective that responses may take beyond an idle fleet's before fewer attempts are
-/// admitted.
+/// Share of the latency objective by which response times may exceed those of an idle fleet before the limit
+/// falls.
 const QUEUEING_SHARE: f64 = 0.08;
-/// Share of the limit that hedged requests and requests beyond the quota may use, so that a slow fleet gets
-/// none.
+/// Share of the limit that hedged requests and requests beyond the quota may use. A slow fleet receives none
+/// of them.
 pub const SPARE_CAPACITY_SHARE: f64 = 0.5;
-/// Attempts in flight at each endpoint, over all gateways, below which its cores would idle.
+/// Attempts in flight at each endpoint, over all gateways, below which the endpoint's cores would idle.
 const MIN_IN_FLIGHT_PER_ENDPOINT: f64 = 3.0;
-/// The most that the limit may exceed the recent number of attempts in flight, as a factor.
+/// Maximum ratio of the limit to the recent mean of attempts in flight, before the allowance for bursts.
 const MAX_GROWTH: f64 = 3.0;
-/// Standard deviations above the mean that attempts in flight may reach while responses are quick.
+/// Standard deviations by which attempts in flight may exceed the mean while responses are quick.
 const BURST_DEVIATIONS: f64 = 2.0;
-/// Time constant over which an idle fleet's response time is forgotten; longer than a load peak.
+/// Time constant over which the response time of an idle fleet decays; longer than a load peak.
 const IDLE_LATENCY_TIME_CONSTANT: Seconds = 60.0;
-/// Share of timeouts from which they count as slow responses and no longer as lost ones.
+/// Share of attempts that time out above which timeouts count as slow responses, not as lost ones.
 const SLOW_TIMEOUT_SHARE: f64 = 0.5;
-/// Share of timeouts from which a single one says nothing about its endpoint.
+/// Share of attempts that time out above which a single timeout says nothing about an endpoint.
 const FLEET_TIMEOUT_SHARE: f64 = 0.3;
-/// Shortest latency objective, and shortest median, that the limit is computed from.
+/// Lower bound of the latency objective and of the median in the computation of the limit.
 const MIN_LATENCY: Seconds = 1e-3;
 
-/// The attempts of this gateway in flight, and how quickly they are answered.
+/// Attempts of this gateway in flight and their response times, from which the limit is computed.
 #[derive(Debug, Default)]
 pub struct LoadShedder {
     in_flight: f64,
     mean_in_flight: f64,
-    /// Lost responses and single bad endpoints do not move the median, a slow fleet does. The lowest median
-    /// also includes slow endpoints, so comparing with it shows queueing alone.
+    /// A slow fleet raises the median; lost responses and single bad endpoints do not. The lowest recent
+    /// median includes endpoints that are always slow, so the difference from it shows only queueing.
     latency: LatencyEstimate,
     /// Share of recent attempts that timed out.
     timeout_share: f64,
 }
 
 impl LoadShedder {
-    /// Whether one more attempt may be started within `share` of the limit.
+    /// Checks whether another attempt may start within `share` of the limit.
     ///
-    /// The allowance for bursts fades as responses slow down, and does so later where few attempts are in
-    /// flight. A random fraction of an attempt is admitted, so that many gateways with little traffic keep
-    /// the limit together.
+    /// The allowance for bursts shrinks as responses slow down; where few attempts are in flight, it shrinks
+    /// later. The fractional part of the limit admits one more attempt with that probability, so that many
+    /// gateways with little traffic keep the limit together.
     pub fn has_capacity(&self, share: f64, endpoint_count: usize, context: &mut Context) -> bool {
         let settings = &context.settings;
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
@@ -62,17 +62,17 @@
         self.in_flight + random_fraction <= share * limit
     }
 
-    /// The mean response time.
+    /// Returns the mean response time; 0 before the first response.
     pub fn mean_latency(&self) -> Seconds {
         self.latency.mean
     }
 
-    /// The running estimates of response times.
+    /// Returns the running estimates of response times.
     pub fn latency(&self) -> &LatencyEstimate {
         &self.latency
     }
 
-    /// Replaces the running estimates by those of a predecessor.
+    /// Replaces the running estimates of response times with those of a predecessor.
     pub fn restore_latency(&mut self, latency: LatencyEstimate) {
         self.latency = latency;
     }
@@ -87,8 +87,7 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// Whether so many attempts time out that the whole fleet is overloaded and no single endpoint is at
-    /// fault.
+    /// Checks whether so many attempts time out that the whole fleet is overloaded, not a single endpoint.
     pub fn is_fleet_timing_out(&self) -> bool {
         self.timeout_share > FLEET_TIMEOUT_SHARE
     }
@@ -98,16 +97,16 @@
         self.mean_in_flight *= 1.0 - SAMPLE_WEIGHT;
     }
 
-    /// Records that an attempt was answered after `elapsed`, or timed out after it.
+    /// Records a response or a timeout after `elapsed`.
     ///
-    /// A warming endpoint is slow without any queue and has an allowance of its own, so it does not count for
-    /// the median.
+    /// An endpoint that is warming up is slow even without a queue, so its responses do not move the median.
+    /// Slow start limits its traffic separately.
     pub fn record_response(&mut self, now: Time, elapsed: Seconds, timed_out: bool, is_warm: bool) {
         self.latency.record_mean(elapsed, SAMPLE_WEIGHT);
-        // The same memory in multiples of the response time, whether many attempts are in flight or few.
+        // Averages over the same multiple of the response time, however many attempts are in flight.
         let weight = 2.0 * SAMPLE_WEIGHT / (1.0 + self.mean_in_flight);
         self.timeout_share += SAMPLE_WEIGHT * (f64::from(u8::from(timed_out)) - self.timeout_share);
-        // Lost responses are no overload: there most responses are late, and those that arrive are slow.
+        // Lost responses are no sign of overload: under overload most responses time out and the rest are slow.
         if is_warm && (!timed_out || self.timeout_share > SLOW_TIMEOUT_SHARE) {
             self.latency.record_median(now, elapsed, weight, IDLE_LATENCY_TIME_CONSTANT);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,16 +1,16 @@
-//! Every decision of a gateway, without I/O or clock; its events and actions are defined in `src/interface/`.
+//! Makes all decisions of a gateway without I/O or a clock; `src/interface/` defines its events and actions.
 //!
-//! [`Gateway`] takes the events and hands each to the component that decides about it:
+//! [`Gateway`] passes each event to the component that handles it:
 //!
-//! - `admission` owns the customers: quota on lease, even share, hard ceiling and limit on concurrent
+//! - `admission` owns the customers' state: leased quota, even share, hard ceiling and limit on concurrent
 //!   attempts.
 //! - `counter` owns the calls to the counter and limits their rate.
-//! - `routing` owns the endpoints, and picks one for each attempt.
-//! - `load_shedder` limits the attempts in flight; `backends` joins it with the router.
-//! - `requests` owns the open requests, and decides about retries, hedged requests and final responses.
-//! - `handover` is what a process hands to its successor.
+//! - `routing` owns the endpoints and picks one for each attempt.
+//! - `load_shedder` limits the attempts in flight; `backends` combines it with the router.
+//! - `requests` owns the open requests and decides about retries, hedged requests and final responses.
+//! - `handover` builds and restores the snapshot that a process hands to its successor.
 //!
-//! A component changes its own state only. What all of them share during an event is in `context`.
+//! Each component changes only its own state. `context` holds the state that they share during an event.
 
 mod admission;
 mod backends;
--- a/src/policy/replicas.rs
+++ b/src/policy/replicas.rs
@@ -1,17 +1,18 @@
-//! The processes that serve one gateway side by side during a hot restart, and divide its shares among
-//! themselves.
+//! Replicas: the processes that serve one gateway side by side during a hot restart and divide the gateway's
+//! shares of quotas, ceilings and limits among themselves.
 
-/// The position of this process among the gateway's processes.
+/// Number of processes that serve the gateway, and the position of this one among them.
 #[derive(Debug, Clone, Copy)]
 pub struct Replicas {
-    /// Index of this process, from 0, the oldest first.
+    /// Index of this process, from 0 for the oldest.
     pub index: u32,
-    /// How many processes there are, this one included.
+    /// Number of processes, this one included; at least 1.
     pub count: u32,
 }
 
 impl Replicas {
-    /// Among how many processes an even share for `gateway_count` gateways is divided.
+    /// Returns the number of processes that hold an even share, if `gateway_count` gateways have as many
+    /// processes as this one.
     pub fn holder_count(self, gateway_count: u32) -> f64 {
         f64::from(gateway_count) * f64::from(self.count)
     }
--- a/tests/unit/load_shedder.rs
+++ b/tests/unit/load_shedder.rs
@@ -8,7 +8,7 @@
     Context::new(Settings { classes: vec![Class::default()], ..Settings::default() }, 7)
 }
 
-/// How many attempts are admitted at once within a share of the limit.
+/// Returns the number of attempts that may be in flight at once within a share of the limit.
 fn capacity(shedder: &mut LoadShedder, share: f64, endpoint_count: usize, context: &mut Context) -> usize {
     let mut admitted = 0;
     while admitted < 1000 && shedder.has_capacity(share, endpoint_count, context) {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn capacity_grows_with_the_endpoints_and_shrinks_with_the_share() {
+fn capacity_grows_with_endpoint_count_and_share() {
     let mut shedder = LoadShedder::default();
     let mut context = context();
     let few = capacity(&mut shedder, 1.0, 2, &mut context);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn slow_responses_lower_the_limit() {
+fn slow_responses_lower_limit() {
     let mut shedder = LoadShedder::default();
     let mut context = context();
     for _ in 0..50 {
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn timeouts_of_many_attempts_put_the_fleet_at_fault() {
+fn many_timeouts_mark_fleet_as_timing_out() {
     let mut shedder = LoadShedder::default();
     shedder.record_response(1.0, 1.0, true, true);
-    assert!(!shedder.is_fleet_timing_out(), "one says little");
+    assert!(!shedder.is_fleet_timing_out(), "a single timeout is not enough");
     for _ in 0..10 {
         shedder.record_response(1.0, 1.0, true, true);
     }
