--- a/src/policy/admission/concurrency.rs
+++ b/src/policy/admission/concurrency.rs
@@ -1,5 +1,5 @@
-//! Enforces a plan's limit on a customer's concurrent attempts. Covered requests beyond it wait briefly for a
-//! slot.
+//! Enforces a plan's limit on a customer's concurrent attempts. A request that the quota covers waits briefly
+//! for a slot if the limit is reached.
 
 use crate::{
     interface::{RequestId, Seconds, Time},
@@ -11,43 +11,44 @@
 
 /// Time constant over which a customer's request rate is averaged.
 pub const ARRIVALS_TIME_CONSTANT: Seconds = 20.0;
-/// Share of the latency objective that a request may wait for a slot; the rest is for its response.
-pub const MAX_WAIT_SHARE: f64 = 0.4;
-/// Share of a scarce limit that the gateways use in the mean, as they may all use it at once by chance.
+/// Share of the latency objective that a request may wait for a slot. The rest is left for the response.
+pub const MAX_SLOT_WAIT_SHARE: f64 = 0.4;
+/// Share of a scarce limit that the gateways use on average. The rest allows for chance, as gateways may use
+/// it at the same time.
 const SCARCE_LIMIT_SHARE: f64 = 0.4;
-/// A limit is scarce if it gives less than one slot to so many gateways.
+/// Number of gateways per slot above which a limit is scarce.
 const SCARCE_LIMIT_GATEWAYS: u32 = 4;
 
-/// The even share of whole slots at an index, from 0. The remainder goes to the first holders, one slot each.
+/// Returns the number of slots of the holder at `index`, from 0, if `slots` are divided evenly. The remainder
+/// goes to the first holders, one slot each.
 fn even_slots(slots: u32, index: u32, holder_count: u32) -> u32 {
     slots / holder_count + u32::from(index < slots % holder_count)
 }
 
-/// A covered request that waits for a slot.
+/// Request that waits for a slot. Its units are already spent.
 #[derive(Debug)]
 pub struct QueuedRequest {
-    /// The request.
     pub id: RequestId,
-    /// Units that were spent on it, to be refunded if it is never sent.
+    /// Units spent on the request, to be refunded if it is never sent.
     pub units: f64,
 }
 
-/// One customer's attempts in flight at this gateway, and the requests that wait for one of them to end.
+/// Attempts of one customer in flight at this process, and the requests that wait for a slot.
 #[derive(Debug, Default)]
 pub struct ConcurrencyLimiter {
     attempts_in_flight: u32,
     queue: VecDeque<QueuedRequest>,
-    /// Requests that arrived lately.
+    /// Recent requests, for the request rate.
     arrivals: DecayingSum,
 }
 
 impl ConcurrencyLimiter {
-    /// Records that a request arrived.
+    /// Counts a request that has arrived towards the request rate.
     pub fn record_arrival(&mut self, now: Time) {
         self.arrivals.add(now, 1.0, ARRIVALS_TIME_CONSTANT);
     }
 
-    /// This process's share of the plan's limit, at least one slot.
+    /// Returns this process's share of the plan's limit: at least one slot, `u32::MAX` if there is no limit.
     pub fn slots(plan: &Plan, position: u32, gateway_count: u32, replicas: Replicas) -> u32 {
         if plan.max_concurrent_attempts == 0 {
             return u32::MAX;
@@ -56,13 +57,13 @@
         even_slots(gateway_slots, replicas.index, replicas.count).max(1)
     }
 
-    /// Whether an attempt may be started without waiting.
+    /// Checks whether fewer attempts than `slots` are in flight.
     pub fn has_free_slot(&self, slots: u32) -> bool {
         self.attempts_in_flight < slots
     }
 
-    /// Whether any attempt is in flight.
-    pub fn is_in_use(&self) -> bool {
+    /// Checks whether any attempt is in flight.
+    pub fn has_attempts_in_flight(&self) -> bool {
         self.attempts_in_flight > 0
     }
 
@@ -76,8 +77,10 @@
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
     }
 
-    /// Whether a request is one too many under a limit that has far fewer slots than there are gateways. The
-    /// rate of requests here tells how many attempts all gateways have in flight (Little's law).
+    /// Decides whether to reject a request under a limit with far fewer slots than there are gateways.
+    ///
+    /// The request rate at this gateway gives an estimate of the attempts that all gateways have in flight
+    /// (Little's law). Requests are rejected at random, the more often the higher the estimate.
     pub fn exceeds_scarce_limit(
         &self,
         plan: &Plan,
@@ -92,23 +95,23 @@
         is_scarce && rng.f64() * in_flight > SCARCE_LIMIT_SHARE * f64::from(limit)
     }
 
-    /// How long one more request would wait for a slot.
+    /// Returns the time that one more request is expected to wait for a slot.
     pub fn expected_wait(&self, slots: u32, mean_latency: Seconds) -> Seconds {
         (self.queue.len() + 1) as f64 * mean_latency / f64::from(slots)
     }
 
-    /// Makes a request wait for a slot.
-    pub fn push(&mut self, id: RequestId, units: f64) {
+    /// Adds a request to the end of the queue for a slot.
+    pub fn enqueue(&mut self, id: RequestId, units: f64) {
         self.queue.push_back(QueuedRequest { id, units });
     }
 
-    /// The request that has waited longest, which no longer waits.
-    pub fn pop(&mut self) -> Option<QueuedRequest> {
+    /// Removes the request that has waited longest.
+    pub fn dequeue(&mut self) -> Option<QueuedRequest> {
         self.queue.pop_front()
     }
 
-    /// Removes a request that still waits.
-    pub fn remove(&mut self, id: &RequestId) -> Option<QueuedRequest> {
+    /// Removes a request from the queue; `None` if it is not queued.
+    pub fn remove_queued(&mut self, id: &RequestId) -> Option<QueuedRequest> {
         let index = self.queue.iter().position(|queued| queued.id == *id)?;
         self.queue.remove(index)
     }
--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -1,11 +1,11 @@
-//! Applies a customer's limits to its requests, one after the other.
+//! Decides whether to admit a request by applying its customer's limits in order.
 
 use crate::{
     interface::{Request, RequestId, Time},
     policy::{
         admission::{
-            Admission, Candidate, concurrency::MAX_WAIT_SHARE, customer_table::CustomerTable,
-            leasing::Leasing,
+            Admission, Candidate, concurrency::MAX_SLOT_WAIT_SHARE, customer_table::CustomerTable,
+            leasing::LeaseManager,
         },
         backends::Backends,
         context::Context,
@@ -15,42 +15,42 @@
     },
 };
 
-/// What a request is charged to.
+/// Budget that a request's units are taken from.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Source {
-    /// Units on lease, which are in the count.
+enum UnitSource {
+    /// The lease; the count includes its units already.
     Lease,
-    /// The even share; the counter has yet to be notified.
+    /// The even share; the units are reported to the counter later.
     EvenShare,
 }
 
-/// The state of all customers, and the lease calls on their behalf.
+/// State of all customers, and the leases of their quotas.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
     customers: CustomerTable,
-    leasing: Leasing,
+    leases: LeaseManager,
 }
 
 impl AdmissionControl {
-    /// Admission control that knows no customer yet.
+    /// Creates admission control for one of `gateway_count` gateways, without any customer.
     pub fn new(gateway_count: u32, plan_count: usize) -> Self {
-        Self { customers: CustomerTable::default(), leasing: Leasing::new(gateway_count, plan_count) }
+        Self { customers: CustomerTable::default(), leases: LeaseManager::new(gateway_count, plan_count) }
     }
 
-    /// The customers that this gateway keeps state for.
+    /// Returns the customers that this gateway keeps state for.
     pub fn customers(&mut self) -> &mut CustomerTable {
         &mut self.customers
     }
 
-    /// The calls a second that the counter may be sent at present.
+    /// Returns the present limit on counter calls, in calls a second.
     pub fn counter_calls_per_second(&self) -> f64 {
-        self.leasing.calls_per_second()
+        self.leases.calls_per_second()
     }
 
-    /// Takes over from a predecessor, which may have spent all shares up to now.
+    /// Takes over from a predecessor, which may have spent all shares granted up to `now`.
     pub fn restore(&mut self, now: Time, counter_calls_per_second: f64) {
-        self.leasing.restore_rate(counter_calls_per_second);
-        self.customers.restored(now);
+        self.leases.restore_rate(counter_calls_per_second);
+        self.customers.record_restore(now);
     }
 
     /// Decides about a request that has just arrived.
@@ -66,12 +66,13 @@
         }
         let mut candidate = Candidate { request, plan, backends, context };
         if plan.rate <= 0.0 {
-            return self.spend(&mut candidate, 0.0, Source::Lease);
+            return self.spend(&mut candidate, 0.0, UnitSource::Lease);
         }
         self.admit_by_quota(&mut candidate)
     }
 
-    /// Decides about a request that has waited for the counter.
+    /// Decides about a request that has waited for the counter. `has_reply` is false if no successful reply
+    /// has come.
     pub fn admit_after_wait(
         &mut self,
         request: &Request,
@@ -79,12 +80,12 @@
         backends: &Backends,
         context: &mut Context,
     ) -> Admission {
-        let customer = self.customers.known(&request.customer);
+        let customer = self.customers.expect_mut(&request.customer);
         let lease_covers = customer.quota.lease_covers(request.units);
-        let plan = context.plan(customer.plan);
+        let plan = context.plan(customer.plan_index);
         let mut candidate = Candidate { request, plan, backends, context };
         if lease_covers {
-            self.spend(&mut candidate, request.units, Source::Lease)
+            self.spend(&mut candidate, request.units, UnitSource::Lease)
         } else if has_reply {
             self.admit_over_quota(&mut candidate)
         } else {
@@ -98,12 +99,12 @@
         if !self.customers.ceiling_covers(request, request.units, &plan, candidate.context) {
             return self.reject_above_ceiling(candidate);
         }
-        let may_call = self.leasing.may_call(request.units * plan.priority_weight, candidate.context);
+        let may_call = self.leases.may_call(request.units * plan.priority_weight, candidate.context);
         let window = QuotaWindow::current(&plan, &request.customer, now);
-        let quota = &mut self.customers.known(&request.customer).quota;
+        let quota = &mut self.customers.expect_mut(&request.customer).quota;
         quota.enter_window(window.number);
         if quota.lease_covers(request.units) {
-            return self.spend(candidate, request.units, Source::Lease);
+            return self.spend(candidate, request.units, UnitSource::Lease);
         }
         if let Some(pending) = quota.pending.as_mut().filter(|pending| !pending.is_overdue) {
             pending.waiting.push(request.id.clone());
@@ -118,36 +119,36 @@
         self.request_lease(candidate, window)
     }
 
-    /// Calls the counter for a request. The first request of a customer does not wait for the reply where the
-    /// even share covers it.
+    /// Requests a lease from the counter. While nothing is known of the customer's quota, a request that the
+    /// even share covers does not wait for the reply.
     fn request_lease(&mut self, candidate: &mut Candidate, window: QuotaWindow) -> Admission {
         let Candidate { request, plan, .. } = *candidate;
         let context = &mut *candidate.context;
-        let customer = self.customers.known(&request.customer);
-        let may_skip_wait = !customer.quota.is_known() && customer.share_holds(request.units, &plan);
-        self.leasing.request(request, customer, &plan, window, context);
+        let customer = self.customers.expect_mut(&request.customer);
+        let may_skip_wait = !customer.quota.is_known() && customer.even_share_can_hold(request.units, &plan);
+        self.leases.request_lease(request, customer, &plan, window, context);
         if may_skip_wait && customer.even_share_covers(request.units, &plan, context) {
             if let Some(pending) = &mut customer.quota.pending {
                 pending.waiting.pop();
             }
-            return self.spend(candidate, request.units, Source::EvenShare);
+            return self.spend(candidate, request.units, UnitSource::EvenShare);
         }
         Admission::AwaitLease
     }
 
-    /// Decides by the even share, as the counter can't be used, or not in time.
+    /// Decides by the even share when the counter cannot be called or does not reply in time.
     fn admit_by_even_share(&mut self, candidate: &mut Candidate) -> Admission {
         let Candidate { request, plan, .. } = *candidate;
-        let customer = self.customers.known(&request.customer);
+        let customer = self.customers.expect_mut(&request.customer);
         if customer.even_share_covers(request.units, &plan, candidate.context) {
-            self.spend(candidate, request.units, Source::EvenShare)
+            self.spend(candidate, request.units, UnitSource::EvenShare)
         } else {
             self.admit_over_quota(candidate)
         }
     }
 
-    /// Decides about a request beyond the quota. It is rejected, unless the plan gives it more weight than it
-    /// costs and the endpoints have capacity to spare. A ceiling holds all the same.
+    /// Rejects a request beyond the quota, unless the plan gives it more weight than it costs and the
+    /// endpoints have spare capacity. The ceiling applies in any case.
     fn admit_over_quota(&mut self, candidate: &mut Candidate) -> Admission {
         let Candidate { request, plan, backends, .. } = *candidate;
         let context = &mut *candidate.context;
@@ -156,7 +157,7 @@
             && plan.max_concurrent_attempts == 0
             && backends.has_capacity(SPARE_CAPACITY_SHARE, context)
             && self.customers.ceiling_covers(request, request.units, &plan, context);
-        let customer = self.customers.known(&request.customer);
+        let customer = self.customers.expect_mut(&request.customer);
         if !is_admitted {
             let missing = customer.quota.missing_units(context.now, &plan, request.units);
             return Admission::Reject { retry_after: missing / plan.rate };
@@ -166,30 +167,31 @@
         Admission::Admit
     }
 
-    /// Spends units on a covered request and admits it as soon as its customer has a free concurrency slot.
-    fn spend(&mut self, candidate: &mut Candidate, units: f64, source: Source) -> Admission {
+    /// Takes a request's units from `source` and admits the request as soon as its customer has a free slot.
+    /// Rejects it above a scarce concurrency limit or above the ceiling.
+    fn spend(&mut self, candidate: &mut Candidate, units: f64, source: UnitSource) -> Admission {
         let request = candidate.request;
         let context = &mut *candidate.context;
-        // The request may have waited, and its customer may have changed its plan meanwhile.
+        // The customer may have changed its plan while the request waited.
         candidate.plan = context.plan(request.plan);
         let plan = &candidate.plan;
         let mean_latency = candidate.backends.mean_latency();
-        let customer = self.customers.known(&request.customer);
+        let customer = self.customers.expect_mut(&request.customer);
         if customer.exceeds_scarce_limit(plan, mean_latency, &mut context.rng) {
             return Admission::Reject { retry_after: mean_latency };
         }
-        // Checked again: other requests may have spent the share while this one waited.
+        // Checks again, as other requests may have spent the share while this one waited.
         if !self.customers.ceiling_covers(request, units, plan, context) {
             return self.reject_above_ceiling(candidate);
         }
-        let customer = self.customers.known(&request.customer);
+        let customer = self.customers.expect_mut(&request.customer);
         customer.ceiling.spend(units);
         match source {
-            Source::Lease => {
+            UnitSource::Lease => {
                 customer.quota.spend_lease(units);
                 customer.even_share.take_down_to_zero(0.0);
             }
-            Source::EvenShare => {
+            UnitSource::EvenShare => {
                 customer.even_share.take_down_to_zero(units);
                 self.record_unreported(candidate, units);
             }
@@ -197,50 +199,51 @@
         self.await_slot(candidate, units)
     }
 
-    /// Records units that were spent without the counter: at their customer where its even share holds the
-    /// request, else at its plan, as each gateway has too few of them then.
+    /// Records units spent without the counter: for the customer if its even share can hold the request, else
+    /// for the plan, as each gateway then spends too few units to report them customer by customer.
     fn record_unreported(&mut self, candidate: &Candidate, units: f64) {
         let plan = candidate.plan;
-        let customer = self.customers.known(&candidate.request.customer);
-        if customer.share_holds(units, &plan) {
-            let most = (plan.burst / f64::from(customer.gateway_count)).max(units);
-            customer.quota.spend_unreported(units, most);
+        let customer = self.customers.expect_mut(&candidate.request.customer);
+        if customer.even_share_can_hold(units, &plan) {
+            let max_units = (plan.burst / f64::from(customer.gateway_count)).max(units);
+            customer.quota.spend_unreported(units, max_units);
         } else {
-            self.leasing.record_unreported(customer.plan, units, candidate.context.now);
+            self.leases.record_unreported(customer.plan_index, units, candidate.context.now);
         }
     }
 
-    /// Admits a covered request as soon as its customer has a free concurrency slot. Where the requests
-    /// before it would take too long, it is rejected at once.
+    /// Admits a covered request as soon as its customer has a free concurrency slot. Rejects it at once if
+    /// the expected wait is too long.
     fn await_slot(&mut self, candidate: &mut Candidate, units: f64) -> Admission {
         let Candidate { request, plan, backends, .. } = *candidate;
         let context = &mut *candidate.context;
-        let customer = self.customers.known(&request.customer);
+        let customer = self.customers.expect_mut(&request.customer);
         let slots = customer.slots(&plan, context);
         if customer.concurrency.has_free_slot(slots) {
             return Admission::Admit;
         }
-        let max_wait = MAX_WAIT_SHARE * context.settings.classes[request.class].latency_objective;
+        let max_wait = MAX_SLOT_WAIT_SHARE * context.settings.classes[request.class].latency_objective;
         let wait = customer.concurrency.expected_wait(slots, backends.mean_latency());
         if wait > max_wait {
             customer.refund(units);
             return Admission::Reject { retry_after: wait };
         }
-        customer.concurrency.push(request.id.clone(), units);
+        customer.concurrency.enqueue(request.id.clone(), units);
         context.set_timer(context.now + max_wait, TimerPurpose::EndSlotWait(request.id.clone()));
         Admission::AwaitSlot
     }
 
-    /// Rejects a request that the share of the ceiling does not cover, until about the next grant.
+    /// Rejects a request that the share of the ceiling does not cover. The client should wait about until the
+    /// next grant.
     fn reject_above_ceiling(&mut self, candidate: &Candidate) -> Admission {
         let Candidate { request, plan, .. } = *candidate;
-        let gateway_count = self.customers.known(&request.customer).gateway_count;
+        let gateway_count = self.customers.expect_mut(&request.customer).gateway_count;
         let holder_count = candidate.context.replicas.holder_count(gateway_count);
         Admission::Reject { retry_after: request.units * holder_count / plan.ceiling_rate }
     }
 
-    /// Takes a reply of the counter. Returns the requests that waited for it.
+    /// Handles the end of a counter call. Returns the requests that waited for it.
     pub fn counter_replied(&mut self, reply: &CounterReply, context: &mut Context) -> Vec<RequestId> {
-        self.leasing.settle(reply, &mut self.customers, context)
+        self.leases.settle(reply, &mut self.customers, context)
     }
 }
--- a/src/policy/admission/customer.rs
+++ b/src/policy/admission/customer.rs
@@ -1,4 +1,4 @@
-//! What a gateway keeps of one customer.
+//! State that a gateway keeps for one customer.
 
 use crate::{
     interface::{CustomerId, Seconds, Time},
@@ -15,32 +15,32 @@
     settings::Plan,
 };
 
-/// A customer that has sent requests to this gateway lately.
+/// Quota, ceiling and concurrency of a customer that has recently sent requests to this gateway.
 #[derive(Debug)]
 pub struct Customer {
-    /// Index of its plan.
-    pub plan: usize,
-    /// How many gateways receive its requests.
+    /// Index of the customer's plan in the settings.
+    pub plan_index: usize,
+    /// Number of gateways that receive the customer's requests.
     pub gateway_count: u32,
-    /// Position of this gateway among those, from 0.
+    /// Position of this gateway among those that receive the customer's requests, from 0.
     pub position: u32,
-    /// When its last request arrived.
+    /// Arrival time of the customer's last request.
     pub last_seen: Time,
-    /// The quota on lease.
+    /// Quota as far as it is leased to this gateway.
     pub quota: LeasedQuota,
-    /// This gateway's even share of the quota, for while the counter can't be used.
+    /// This process's even share of the quota, spent while the counter cannot be used.
     pub even_share: TokenBucket,
-    /// This gateway's share of the hard ceiling.
+    /// This process's share of the hard ceiling.
     pub ceiling: CeilingShare,
-    /// The limit on concurrent attempts.
+    /// Concurrent attempts and the queue for a slot.
     pub concurrency: ConcurrencyLimiter,
 }
 
 impl Customer {
-    /// A customer that nothing is known of but its shares.
+    /// Creates a customer with these shares. Plan, gateways and time of the last request are set on arrival.
     pub fn new(even_share: TokenBucket, ceiling: CeilingShare) -> Self {
         Self {
-            plan: 0,
+            plan_index: 0,
             gateway_count: 0,
             position: 0,
             last_seen: 0.0,
@@ -51,37 +51,37 @@
         }
     }
 
-    /// Whether an attempt or a lease call of this customer is in flight.
+    /// Checks whether an attempt or a lease call of this customer is in flight.
     pub fn is_in_use(&self) -> bool {
-        self.concurrency.is_in_use() || self.quota.pending.is_some()
+        self.concurrency.has_attempts_in_flight() || self.quota.pending.is_some()
     }
 
-    /// How many slots for concurrent attempts this process has for the customer.
+    /// Returns the number of concurrent attempts that this process may have in flight for the customer.
     pub fn slots(&self, plan: &Plan, context: &Context) -> u32 {
         ConcurrencyLimiter::slots(plan, self.position, self.gateway_count, context.replicas)
     }
 
-    /// Whether this gateway's even share of the burst holds a request of these units.
-    pub fn share_holds(&self, units: f64, plan: &Plan) -> bool {
+    /// Checks whether a request of `units` fits into this gateway's even share of the burst when full.
+    pub fn even_share_can_hold(&self, units: f64, plan: &Plan) -> bool {
         plan.burst >= f64::from(self.gateway_count) * units
     }
 
-    /// Whether a request is one too many under a limit on concurrent attempts that is scarce among the
-    /// gateways.
+    /// Decides whether to reject a request because the limit on concurrent attempts has far fewer slots than
+    /// there are gateways.
     pub fn exceeds_scarce_limit(&self, plan: &Plan, mean_latency: Seconds, rng: &mut fastrand::Rng) -> bool {
         self.concurrency.exceeds_scarce_limit(plan, self.gateway_count, mean_latency, rng)
     }
 
-    /// Whether this gateway's even share of the quota covers a request; it always holds one request when
-    /// full.
+    /// Checks whether this process's even share of the quota covers `units`. A full share always covers one
+    /// request.
     pub fn even_share_covers(&mut self, units: f64, plan: &Plan, context: &Context) -> bool {
         let holder_count = context.replicas.holder_count(self.gateway_count);
         let burst = (plan.burst / holder_count).max(units);
         self.even_share.refill(context.now, plan.rate / holder_count, burst) >= units
     }
 
-    /// Whether this gateway's share of the ceiling covers a request. Nothing was spent of what was granted
-    /// from `unspent_since` on, where nothing else is known.
+    /// Checks whether this process's share of the ceiling covers `units`. Grants since `unspent_since`, or
+    /// since the last refill if later, count as unspent.
     pub fn ceiling_covers(
         &mut self,
         id: &CustomerId,
@@ -105,7 +105,7 @@
         self.ceiling.refill(context.now, unspent_since, &share) >= units
     }
 
-    /// Returns the units of a request that was not sent after all.
+    /// Gives back the units of a request that was not sent.
     pub fn refund(&mut self, units: f64) {
         self.quota.refund(units);
         self.ceiling.refund(units);
--- a/src/policy/admission/leasing.rs
+++ b/src/policy/admission/leasing.rs
@@ -1,4 +1,4 @@
-//! Leases blocks of customers' quotas from the counter, and settles what the counter replies.
+//! Leases blocks of customers' quotas from the counter and settles the counter's replies.
 
 use crate::{
     interface::{Request, RequestId, Seconds, Status, Time},
@@ -12,7 +12,7 @@
         },
         context::Context,
         counter::{
-            Counter, CounterReply,
+            CounterCaller, CounterReply,
             call::{CallPurpose, CountKey, CounterCall},
             window::QuotaWindow,
         },
@@ -22,54 +22,54 @@
 };
 
 /// Share of the counter's timeout that a request may wait for a reply; a few milliseconds.
-const MAX_WAIT_SHARE: f64 = 0.4;
-/// Units below which a count counts as unused.
-const ROUNDING: f64 = 1e-6;
+const MAX_REPLY_WAIT_SHARE: f64 = 0.4;
+/// Units up to which a count is taken for zero, because of rounding.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// See the [module](self).
+/// Calls the counter for leases and corrections of counts.
 #[derive(Debug, Default)]
-pub struct Leasing {
-    counter: Counter,
-    /// By plan.
+pub struct LeaseManager {
+    counter: CounterCaller,
+    /// Units that are reported by plan and not by customer, by index of the plan.
     unreported: Vec<UnreportedUnitsEstimator>,
 }
 
-impl Leasing {
-    /// Leasing for one of `gateway_count` gateways.
+impl LeaseManager {
+    /// Creates the lease manager of one of `gateway_count` gateways.
     pub fn new(gateway_count: u32, plan_count: usize) -> Self {
         let unreported = vec![UnreportedUnitsEstimator::default(); plan_count];
-        Self { counter: Counter::new(gateway_count), unreported }
+        Self { counter: CounterCaller::new(gateway_count), unreported }
     }
 
-    /// How long a request may wait for the counter.
+    /// Returns the time that a request may wait for the counter's reply.
     pub fn max_wait(settings: &Settings) -> Seconds {
-        MAX_WAIT_SHARE * settings.counter_timeout
+        MAX_REPLY_WAIT_SHARE * settings.counter_timeout
     }
 
-    /// The calls a second that may be made at present.
+    /// Returns the present limit on counter calls, in calls a second.
     pub fn calls_per_second(&self) -> f64 {
         self.counter.calls_per_second()
     }
 
-    /// Starts from the call rate of a predecessor.
+    /// Continues with the call rate of a predecessor.
     pub fn restore_rate(&mut self, calls_per_second: f64) {
         self.counter.restore_rate(calls_per_second);
     }
 
-    /// Whether a lease call on behalf of a request of this weight may be made now.
+    /// Checks whether a lease call may be made now for a request of this weight.
     pub fn may_call(&mut self, weight: f64, context: &Context) -> bool {
         self.counter.may_call(weight, context)
     }
 
-    /// Records units spent without the counter that are too few at each gateway to be reported customer by
-    /// customer.
-    pub fn record_unreported(&mut self, plan: usize, units: f64, now: Time) {
-        self.unreported[plan].record_spent(now, units, ARRIVALS_TIME_CONSTANT);
+    /// Records units spent without the counter for a plan whose customers each spend too few at a gateway to
+    /// be reported by customer.
+    pub fn record_unreported(&mut self, plan_index: usize, units: f64, now: Time) {
+        self.unreported[plan_index].record_spent(now, units, ARRIVALS_TIME_CONSTANT);
     }
 
-    /// Calls the counter for a block that covers a request and recent demand. The request waits for the
-    /// reply.
-    pub fn request(
+    /// Calls the counter for a block that covers a request and recent demand, and reports unreported units.
+    /// The request waits for the reply.
+    pub fn request_lease(
         &mut self,
         request: &Request,
         customer: &mut Customer,
@@ -79,15 +79,19 @@
     ) {
         let now = context.now;
         let wanted = customer.quota.wanted_units(now, plan, request.units, customer.gateway_count);
-        let estimator = &mut self.unreported[customer.plan];
+        let estimator = &mut self.unreported[customer.plan_index];
         estimator.record_requested(now, request.units, ARRIVALS_TIME_CONSTANT);
-        let estimated = if customer.share_holds(request.units, plan) {
+        let estimated_unreported = if customer.even_share_can_hold(request.units, plan) {
             0.0
         } else {
             estimator.take_report(request.units, plan.burst)
         };
-        let unreported = customer.quota.begin_lease_call(window.number) + estimated;
-        let key = CountKey { customer: request.customer.clone(), plan: customer.plan, window: window.number };
+        let unreported = customer.quota.begin_lease_call(window.number) + estimated_unreported;
+        let key = CountKey {
+            customer: request.customer.clone(),
+            plan_index: customer.plan_index,
+            window: window.number,
+        };
         let purpose = CallPurpose::Lease { wanted, unreported };
         let call = CounterCall { key, amount: wanted + unreported, purpose };
         self.counter.call(call, window.length, context);
@@ -97,7 +101,7 @@
         customer.quota.pending = Some(PendingLease { timer, is_overdue: false, waiting });
     }
 
-    /// Settles a reply. Returns the requests that waited for it.
+    /// Applies a reply to the customer's quota. Returns the requests that waited for it.
     pub fn settle(
         &mut self,
         reply: &CounterReply,
@@ -106,7 +110,7 @@
     ) -> Vec<RequestId> {
         let Some(call) = self.counter.take_answered(reply, context) else { return Vec::new() };
         let Some(customer) = customers.get_mut(&call.key.customer) else { return Vec::new() };
-        let plan = context.plan(customer.plan);
+        let plan = context.plan(customer.plan_index);
         let total = reply.total;
         match (reply.status, call.purpose) {
             (Status::Ok, CallPurpose::ReadPrevious) => {
@@ -116,19 +120,19 @@
                 let reply = LeaseReply { window: call.key.window, wanted, unreported, total };
                 self.settle_lease(&call, reply, customer, &plan, context);
             }
-            // Nothing was added, so the units still have to be reported.
+            // The counter added nothing, so the units must be reported again.
             (Status::Rejected | Status::ConnectFailed, CallPurpose::Lease { unreported, .. }) => {
                 customer.quota.report_later(unreported, &plan);
             }
             (Status::Rejected | Status::ConnectFailed, CallPurpose::Correct) => {
                 customer.quota.report_later(call.amount, &plan);
             }
-            // The reply was garbled but the amount was added. Nobody got the block, so the count has too
-            // much.
+            // The counter added the amount but its reply was invalid. No gateway received the block, so the
+            // count is too high by it.
             (Status::Error, CallPurpose::Lease { wanted, .. }) => {
                 customer.quota.report_later(-wanted, &plan);
             }
-            // The amount may have been added. The count is left as it is, so that the quota is not exceeded.
+            // The amount may have been added. The count stays as it is, so that the quota is not exceeded.
             _ => {}
         }
         if !matches!(call.purpose, CallPurpose::Lease { .. }) {
@@ -147,14 +151,14 @@
     ) {
         let current = QuotaWindow::current(plan, &call.key.customer, context.now);
         let settlement = customer.quota.settle_lease(reply, current, plan, context.now);
-        let plan_index = customer.plan;
+        let plan_index = customer.plan_index;
         if let Some(correction) = settlement.correction {
-            let key = CountKey { plan: plan_index, ..call.key.clone() };
+            let key = CountKey { plan_index, ..call.key.clone() };
             self.follow_up(key, correction, CallPurpose::Correct, current, context);
         }
         if settlement.must_read_previous {
             let window = call.key.window - 1;
-            let key = CountKey { plan: plan_index, window, ..call.key.clone() };
+            let key = CountKey { plan_index, window, ..call.key.clone() };
             self.follow_up(key, 0.0, CallPurpose::ReadPrevious, current, context);
         }
     }
@@ -169,12 +173,13 @@
     ) {
         let current = QuotaWindow::current(plan, &call.key.customer, context.now);
         let is_previous = call.key.window + 1 == current.number;
-        let was_used = total - call.amount > ROUNDING;
+        let was_used = total - call.amount > ROUNDING_TOLERANCE;
         if !is_previous || !was_used {
             return;
         }
         if let Some(missing) = customer.quota.settle_previous(total, current, plan) {
-            let key = CountKey { plan: customer.plan, window: current.number, ..call.key.clone() };
+            let key =
+                CountKey { plan_index: customer.plan_index, window: current.number, ..call.key.clone() };
             self.follow_up(key, missing, CallPurpose::Correct, current, context);
         }
     }
--- a/src/policy/counter/mod.rs
+++ b/src/policy/counter/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter: which are in flight, and how often they may be made.
+//! Makes calls to the counter within a rate limit and matches replies to them.
 
 pub mod call;
 pub mod rate_limiter;
@@ -13,46 +13,45 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long the counter keeps a count, in window lengths: it is still read in the window after its own.
+/// Time for which the counter keeps a count, in window lengths. A count is still read in the next window.
 const COUNT_LIFETIME_IN_WINDOWS: f64 = 2.2;
-/// The longest time for which the counter keeps a count.
+/// Maximum time for which the counter keeps a count.
 const MAX_COUNT_LIFETIME: Seconds = 60.0;
 
-/// How a counter call ended.
+/// Outcome of a counter call.
 #[derive(Debug, Clone, Copy)]
 pub struct CounterReply {
-    /// The count's name.
+    /// Name of the count, as returned by `CountKey::name`.
     pub counter: u64,
-    /// How the call ended.
     pub status: Status,
-    /// The count after the call; valid only with [`Status::Ok`].
+    /// Count after the call, in units; valid only with [`Status::Ok`].
     pub total: f64,
     /// Time since the call was made.
     pub elapsed: Seconds,
 }
 
-/// See the [module](self).
+/// Makes this gateway's calls to the counter.
 #[derive(Debug, Default)]
-pub struct Counter {
-    /// Calls by the name of their count, in the order in which they were made and will be answered.
+pub struct CounterCaller {
+    /// Calls by the name of their count, in the order in which they were made and are answered.
     in_flight: BTreeMap<u64, VecDeque<CounterCall>>,
     rate_limiter: CallRateLimiter,
 }
 
-impl Counter {
-    /// The counter as one of `gateway_count` gateways may use it.
+impl CounterCaller {
+    /// Creates the caller of one of `gateway_count` gateways.
     pub fn new(gateway_count: u32) -> Self {
         Self { in_flight: BTreeMap::new(), rate_limiter: CallRateLimiter::new(gateway_count) }
     }
 
-    /// Whether a call on behalf of a request of this weight may be made now.
+    /// Checks whether a call may be made now for a request of this weight.
     pub fn may_call(&mut self, weight: f64, context: &Context) -> bool {
-        // Asked even without a counter, as the limiter learns the mean weight.
+        // Asks the limiter even if there is no counter, as it averages the weights.
         let is_allowed = self.rate_limiter.allows(context.now, weight);
         is_allowed && context.settings.has_counter
     }
 
-    /// Makes a call for a count whose window has the given length.
+    /// Makes a call for a count whose window has this length.
     pub fn call(&mut self, call: CounterCall, window_length: Seconds, context: &mut Context) {
         let counter = call.key.name();
         let amount = call.amount;
@@ -62,7 +61,7 @@
         context.push_action(Action::AddToCounter { counter, amount, ttl });
     }
 
-    /// The call that a reply belongs to, which is no longer in flight.
+    /// Removes the call that a reply belongs to from the calls in flight and returns it.
     pub fn take_answered(&mut self, reply: &CounterReply, context: &Context) -> Option<CounterCall> {
         let calls = self.in_flight.get_mut(&reply.counter)?;
         let call = calls.pop_front()?;
@@ -74,12 +73,12 @@
         Some(call)
     }
 
-    /// The calls a second that may be made at present.
+    /// Returns the present limit on calls, in calls a second.
     pub fn calls_per_second(&self) -> f64 {
         self.rate_limiter.calls_per_second()
     }
 
-    /// Starts from the rate of a predecessor, which called the same counter.
+    /// Continues with the call rate of a predecessor.
     pub fn restore_rate(&mut self, calls_per_second: f64) {
         self.rate_limiter.restore_rate(calls_per_second);
     }
--- a/src/policy/counter/window.rs
+++ b/src/policy/counter/window.rs
@@ -1,5 +1,4 @@
-//! The windows in which a customer's quota is counted. Each has a count of its own, and the next begins when
-//! one ends.
+//! Divides time into the windows in which a customer's quota is counted. Each window has its own count.
 
 use crate::{
     interface::{CustomerId, Seconds, Time},
@@ -7,42 +6,44 @@
     settings::Plan,
 };
 
-/// Length of a window in multiples of the time that refills the burst. Each new window costs calls.
-const LENGTH_IN_BURSTS: f64 = 4.0;
-/// Shortest window; longer than a known level is trusted.
+/// Length of a window, in multiples of the time that refills the burst. Each new window costs additional
+/// counter calls.
+const LENGTH_IN_REFILL_TIMES: f64 = 4.0;
+/// Minimum length of a window; longer than the time for which known remaining units are trusted.
 const MIN_LENGTH: Seconds = 2.0;
-/// Longest window; the counter must still know a count in the window after it.
+/// Maximum length of a window. The counter must still hold a count during the window after it.
 const MAX_LENGTH: Seconds = 25.0;
-/// Number of different offsets that customers' windows may have.
+/// Number of different offsets of customers' windows.
 const OFFSET_STEPS: u64 = 1024;
 
-/// The offset of a customer's windows as a share of their length, from 0 to 1; the same at every gateway.
+/// Returns the offset of a customer's windows as a share of their length, from 0 to less than 1. All gateways
+/// compute the same offset.
 pub fn window_offset(customer: &CustomerId) -> f64 {
     (stable_hash(&[customer.as_bytes()]) % OFFSET_STEPS) as f64 / OFFSET_STEPS as f64
 }
 
-/// One window.
+/// Window at one moment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaWindow {
-    /// Its number, the same at every gateway.
+    /// Number of the window, the same at every gateway.
     pub number: u64,
-    /// Time since it began.
+    /// Time since the window began.
     pub age: Seconds,
-    /// How long it lasts.
+    /// Length of the window.
     pub length: Seconds,
 }
 
 impl QuotaWindow {
-    /// The window of a customer's quota at `now`.
+    /// Returns the window of a customer's quota at `now`.
     pub fn current(plan: &Plan, customer: &CustomerId, now: Time) -> Self {
-        let length = (LENGTH_IN_BURSTS * plan.burst / plan.rate).clamp(MIN_LENGTH, MAX_LENGTH);
+        let length = (LENGTH_IN_REFILL_TIMES * plan.burst / plan.rate).clamp(MIN_LENGTH, MAX_LENGTH);
         Self::at(now, length, window_offset(customer))
     }
 
-    /// The window at `now` among windows of one length that are shifted by a share of it.
+    /// Returns the window at `now` among windows of the same length, shifted by a share `offset` of it.
     fn at(now: Time, length: Seconds, offset: f64) -> Self {
-        let windows = (now / length + offset).max(0.0);
-        Self { number: windows as u64, age: windows.fract() * length, length }
+        let elapsed_windows = (now / length + offset).max(0.0);
+        Self { number: elapsed_windows as u64, age: elapsed_windows.fract() * length, length }
     }
 }
 
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -1,4 +1,4 @@
-//! Takes the events and hands each to the component that decides about it.
+//! Entry point of the policy: passes each event to the component that handles it and returns the actions.
 
 use crate::{
     interface::{
@@ -17,10 +17,10 @@
     settings::{Settings, SettingsError},
 };
 
-/// Time between two scans for idle customers.
+/// Interval between scans for idle customers.
 const IDLE_SCAN_INTERVAL: Seconds = 5.0;
 
-/// The decisions of one gateway.
+/// Decides for one gateway which actions each event leads to. Performs no I/O and reads no clock.
 #[derive(Debug, Default)]
 pub struct Gateway {
     context: Context,
@@ -30,10 +30,11 @@
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet. `seed` determines all its random decisions.
+    /// Creates a gateway without endpoints, customers or requests. `seed` determines all random decisions.
     ///
     /// # Errors
-    /// The settings are such that no gateway can work with them.
+    /// There are no gateways, the gateway's index is out of range, or a number in the settings is negative or
+    /// not finite.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
@@ -44,10 +45,10 @@
         })
     }
 
-    /// Takes one event at `now` and appends the actions that it leads to, in order.
+    /// Handles an event that happens at `now` and appends the resulting actions, in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.context.now = now;
-        self.requests.admission().customers().begin(now);
+        self.requests.admission().customers().record_first_event(now);
         self.dispatch(event);
         self.context.drain_actions(actions);
     }
@@ -112,8 +113,8 @@
             Some(TimerPurpose::Hedge(id)) => requests.hedge(&id, backends, context),
             Some(TimerPurpose::EndSlotWait(id)) => requests.end_slot_wait(&id, backends, context),
             Some(TimerPurpose::PollEndpoints) => context.push_action(Action::PollEndpoints),
-            Some(TimerPurpose::ForgetIdleCustomers) => {
-                requests.admission().customers().forget_idle(context.now);
+            Some(TimerPurpose::EvictIdleCustomers) => {
+                requests.admission().customers().evict_idle(context.now);
                 self.schedule_idle_scan();
             }
             None => {}
@@ -122,25 +123,25 @@
 
     fn schedule_idle_scan(&mut self) {
         let at = self.context.now + IDLE_SCAN_INTERVAL;
-        self.context.set_timer(at, TimerPurpose::ForgetIdleCustomers);
+        self.context.set_timer(at, TimerPurpose::EvictIdleCustomers);
     }
 
-    /// Whether the list names an endpoint, or operators have put it into maintenance.
+    /// Checks whether an endpoint is in the endpoint list or in maintenance.
     pub fn is_known_endpoint(&self, endpoint: &EndpointId) -> bool {
         self.backends.router.endpoints().knows(endpoint)
     }
 
-    /// How many endpoints are listed, and how many of them are avoided at `now`.
+    /// Counts the listed endpoints, and those of them that are avoided at `now`.
     pub fn endpoint_counts(&self, now: Time) -> EndpointCounts {
         self.backends.router.counts(now)
     }
 
-    /// The endpoints that operators have put into maintenance.
+    /// Returns the endpoints that operators have put into maintenance, whether listed or not.
     pub fn endpoints_in_maintenance(&self) -> impl Iterator<Item = &EndpointId> {
         self.backends.router.endpoints().in_maintenance()
     }
 
-    /// What a successor in a hot restart should know.
+    /// Returns the state to hand over to the successor in a hot restart.
     pub fn snapshot(&self) -> HandoverSnapshot {
         handover::snapshot(&self.backends, &self.requests)
     }
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,24 +1,24 @@
-//! The timers that the policy has asked for, by token.
+//! Keeps the purpose of each timer that the policy has set.
 
 use crate::interface::{CustomerId, RequestId};
 use std::collections::BTreeMap;
 
-/// What to do when a timer is due.
+/// Action to take when a timer is due.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TimerPurpose {
-    /// Stop making this customer's requests wait for the counter.
+    /// Stop the wait of this customer's requests for the counter's reply.
     EndLeaseWait(CustomerId),
-    /// Send a hedged request, if the first attempt is still in flight.
+    /// Send a hedged request if the first attempt of this request is still in flight.
     Hedge(RequestId),
-    /// Reject this request if it still waits for one of its customer's concurrency slots.
+    /// Reject this request if it still waits for a concurrency slot.
     EndSlotWait(RequestId),
-    /// Forget idle customers.
-    ForgetIdleCustomers,
-    /// Poll the endpoint list.
+    /// Evict idle customers from the customer table.
+    EvictIdleCustomers,
+    /// Poll discovery for the endpoint list.
     PollEndpoints,
 }
 
-/// See the [module](self).
+/// Purposes of the pending timers, by token.
 #[derive(Debug, Default)]
 pub struct TimerTable {
     pending: BTreeMap<u64, TimerPurpose>,
@@ -33,7 +33,7 @@
         self.last_token
     }
 
-    /// Removes a timer that is due; `None` if it was due before.
+    /// Removes a timer that is due and returns its purpose; `None` if the timer was taken before.
     pub fn take(&mut self, token: u64) -> Option<TimerPurpose> {
         self.pending.remove(&token)
     }
--- a/tests/unit/call_rate_limiter.rs
+++ b/tests/unit/call_rate_limiter.rs
@@ -4,7 +4,7 @@
 const TIMEOUT: f64 = 0.05;
 
 #[test]
-fn missing_reply_lowers_the_rate_once_for_all_calls_of_that_moment() {
+fn missing_replies_to_concurrent_calls_lower_rate_once() {
     let mut limiter = CallRateLimiter::new(10);
     let before = limiter.calls_per_second();
     limiter.record_reply(10.0, Status::Timeout, TIMEOUT, TIMEOUT);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn garbled_reply_leaves_the_rate() {
+fn invalid_reply_does_not_change_rate() {
     let mut limiter = CallRateLimiter::new(10);
     let before = limiter.calls_per_second();
     limiter.record_reply(10.0, Status::Error, TIMEOUT, TIMEOUT);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn quick_replies_raise_the_rate_while_calls_are_wanted() {
+fn quick_replies_raise_rate_while_calls_are_requested() {
     let mut limiter = CallRateLimiter::new(10);
     let before = limiter.calls_per_second();
     for step in 0..100 {
@@ -37,23 +37,23 @@
 }
 
 #[test]
-fn scarce_calls_go_to_the_requests_of_greatest_weight() {
+fn scarce_calls_go_to_requests_of_greatest_weight() {
     let mut limiter = CallRateLimiter::new(100);
     for _ in 0..200 {
         limiter.allows(10.0, 1.0);
     }
     assert!(limiter.allows(10.0, 0.1), "the bucket is full");
     limiter.record_call();
-    assert!(!limiter.allows(10.0, 0.1), "a light request needs a fuller bucket");
+    assert!(!limiter.allows(10.0, 0.1), "a request of less weight needs a fuller bucket");
     assert!(limiter.allows(10.0, 10.0));
 }
 
 #[test]
-fn restored_rate_stays_between_the_least_and_the_own_rate() {
+fn restored_rate_is_clamped_between_minimum_and_own_rate() {
     let mut limiter = CallRateLimiter::new(10);
-    let own = limiter.calls_per_second();
+    let own_rate = limiter.calls_per_second();
     limiter.restore_rate(1e9);
-    assert_eq!(limiter.calls_per_second(), own);
+    assert_eq!(limiter.calls_per_second(), own_rate);
     limiter.restore_rate(0.0);
     assert_eq!(limiter.calls_per_second(), 4.0);
 }
--- a/tests/unit/leased_quota.rs
+++ b/tests/unit/leased_quota.rs
@@ -1,11 +1,11 @@
-//! A customer's quota against a count that is kept by hand.
+//! Tests a customer's quota with counter replies that each test chooses.
 
 use super::{LeaseReply, LeasedQuota};
 use crate::{policy::counter::window::QuotaWindow, settings::Plan};
 
 const NOW: f64 = 100.0;
 
-/// Two units a second, at most ten saved up.
+/// Returns a plan with two units a second and a burst of ten.
 fn plan() -> Plan {
     Plan { rate: 2.0, burst: 10.0, ..Plan::default() }
 }
@@ -19,9 +19,9 @@
 }
 
 #[test]
-fn block_within_the_limit_is_granted_whole() {
+fn block_within_limit_is_granted_whole() {
     let mut quota = LeasedQuota::default();
-    // Three units were counted before the call.
+    // The count was 3 before the call.
     let settlement = quota.settle_lease(reply(4.0, 0.0, 7.0), window(0.0), &plan(), NOW);
     assert!(quota.lease_covers(4.0) && !quota.lease_covers(5.0));
     assert_eq!(settlement.correction, None);
@@ -29,9 +29,9 @@
 }
 
 #[test]
-fn block_beyond_the_limit_is_cut_and_the_count_corrected() {
+fn block_beyond_limit_is_cut_and_count_corrected() {
     let mut quota = LeasedQuota::default();
-    // Eight of ten units were counted before, so two are left of the four.
+    // The count was 8 of 10 before the call, so 2 of the 4 units are granted.
     let settlement = quota.settle_lease(reply(4.0, 0.0, 12.0), window(0.0), &plan(), NOW);
     assert!(quota.lease_covers(2.0) && !quota.lease_covers(3.0));
     assert_eq!(settlement.correction, Some(-2.0));
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn first_call_in_a_window_reads_the_previous_one_if_nothing_is_known() {
+fn first_call_reads_previous_window_if_nothing_is_known() {
     let mut quota = LeasedQuota::default();
     let first = quota.settle_lease(reply(4.0, 0.0, 4.0), window(0.0), &plan(), NOW);
     assert!(first.must_read_previous);
     let later = quota.settle_lease(reply(1.0, 0.0, 1.0), window(0.5), &plan(), NOW + 0.5);
-    assert!(!later.must_read_previous, "the level is known by then");
+    assert!(!later.must_read_previous, "the first reply gave the remaining units");
 }
 
 #[test]
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn lease_lapses_with_its_window() {
+fn lease_expires_with_its_window() {
     let mut quota = LeasedQuota::default();
     quota.begin_lease_call(5);
     quota.settle_lease(reply(4.0, 0.0, 7.0), window(0.0), &plan(), NOW);
--- a/tests/unit/unreported_units.rs
+++ b/tests/unit/unreported_units.rs
@@ -3,17 +3,17 @@
 const TIME_CONSTANT: f64 = 20.0;
 
 #[test]
-fn calls_report_units_in_proportion_and_once() {
+fn units_are_reported_in_proportion_and_once() {
     let mut estimator = UnreportedUnitsEstimator::default();
     estimator.record_spent(1.0, 6.0, TIME_CONSTANT);
     estimator.record_requested(1.0, 4.0, TIME_CONSTANT);
     assert_eq!(estimator.take_report(2.0, 100.0), 3.0);
-    // Of the rest the same part.
+    // The same share of the remaining units.
     assert_eq!(estimator.take_report(2.0, 100.0), 1.5);
 }
 
 #[test]
-fn call_reports_no_more_than_its_bound_or_what_was_spent() {
+fn report_is_limited_by_maximum_and_by_spent_units() {
     let mut estimator = UnreportedUnitsEstimator::default();
     estimator.record_spent(1.0, 6.0, TIME_CONSTANT);
     estimator.record_requested(1.0, 1.0, TIME_CONSTANT);
