--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -1,4 +1,4 @@
-//! Parses clients' requests into the terms of the settings, and builds the requests to endpoints from them.
+//! Parses clients' requests, resolves the names in them against the settings, and builds the requests to endpoints.
 
 use crate::node::wire::{
     request_head::RequestHead,
@@ -9,16 +9,16 @@
 use oliverack::Options;
 use thiserror::Error;
 
-/// Longest transaction id.
+/// Longest transaction id, in bytes.
 const MAX_TRANSACTION_ID_LENGTH: usize = 64;
-/// Longest time that a client may wait, in seconds; real deadlines are far below it.
+/// Longest accepted time until a deadline, in seconds; real deadlines are far shorter.
 const MAX_REMAINING_SECONDS: f64 = 3600.0;
-/// Customers are numbered below this.
+/// Upper bound (exclusive) of customers' numbers.
 const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
-/// Hexadecimal digits of a customer's number.
+/// Length of a customer's number in hexadecimal digits.
 const CUSTOMER_DIGITS: usize = 16;
 
-/// Why a request was rejected before the policy saw it.
+/// Reason to reject a request before it reaches the policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum InvalidRequest {
     #[error("header {0} is missing, duplicated or invalid")]
@@ -28,7 +28,7 @@
 }
 
 impl InvalidRequest {
-    /// The status that tells the client.
+    /// Returns the status of the error response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::Header(_) | Self::Target => StatusCode::BAD_REQUEST,
@@ -36,35 +36,32 @@
     }
 }
 
-/// What is forwarded to an endpoint.
+/// The parts of a client's request that are forwarded to an endpoint.
 #[derive(Debug)]
 pub struct UpstreamRequest {
-    /// The client's method.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// Path and query of the client's request, unchanged.
     pub uri: Uri,
-    /// The transaction id, unique for each request of a client.
+    /// Transaction id, unique among the requests of a client.
     pub transaction_id: HeaderValue,
-    /// Endpoints of a group recognize a retry by it; without it a keyed request would run again.
+    /// Key by which the endpoints of a group recognize a retry; without it they would run a keyed request again.
     pub idempotency_key: Option<HeaderValue>,
-    /// The client's content type.
     pub content_type: Option<HeaderValue>,
-    /// The client's body.
     pub body: RequestBody,
 }
 
 impl UpstreamRequest {
-    /// Builds the request for one attempt that the gateway waits `wait_seconds` for; `None` if a streamed body was
-    /// already sent in an earlier attempt.
-    pub fn build_attempt_request(&self, wait_seconds: f64) -> Option<Request<OutgoingBody>> {
+    /// Builds the request for one attempt, which tells the endpoint the attempt's timeout. Returns `None` if the body
+    /// is streamed and an earlier attempt has taken it.
+    pub fn build_attempt_request(&self, timeout_seconds: f64) -> Option<Request<OutgoingBody>> {
         let mut request = Request::new(self.body.take()?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
         headers.insert(header::HOST, HeaderValue::from_static("backend.local"));
         headers.insert("x-txn", self.transaction_id.clone());
-        if let Ok(wait) = HeaderValue::try_from(format!("{wait_seconds:.3}")) {
-            headers.insert("x-remaining", wait);
+        if let Ok(timeout) = HeaderValue::try_from(format!("{timeout_seconds:.3}")) {
+            headers.insert("x-remaining", timeout);
         }
         if let Some(key) = &self.idempotency_key {
             headers.insert("idempotency-key", key.clone());
@@ -76,43 +73,43 @@
     }
 }
 
-/// A client's request in the terms of the settings.
+/// A valid request of a client, with class and plan as indexes into the settings.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The index of its class.
+    /// Index of the class in [`Options::class_names`].
     pub class: usize,
-    /// The index of its customer's plan.
+    /// Index of the customer's plan in [`Options::plan_names`].
     pub plan: usize,
-    /// Its customer, in the canonical spelling: all gateways derive the names of counts from it.
+    /// The customer's number in its canonical spelling, from which all gateways derive the names of counts.
     pub customer: String,
-    /// Units that it takes from the quota.
+    /// Units of quota that the request takes.
     pub units: f64,
-    /// How many gateways receive the customer's requests.
+    /// Number of gateways that receive the customer's requests.
     pub customer_gateway_count: u32,
-    /// The index of the first of these gateways.
+    /// Index of the first of these gateways.
     pub first_gateway: u32,
-    /// Seconds that the client waits for the response.
+    /// Time in seconds that the client still waits for the response.
     pub remaining_seconds: f64,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// What is forwarded to an endpoint. Its body is empty until the caller has read it.
+    /// The request to forward to an endpoint. The body is empty until the caller has read it from the client.
     pub upstream: UpstreamRequest,
 }
 
 impl ClientRequest {
-    /// Parses and validates a request; the policy never sees an invalid one.
+    /// Parses and validates a request, so that the policy receives only valid ones.
     ///
     /// # Errors
-    /// A header or the request line is invalid.
+    /// Returns an error if a header, the method or the path is invalid.
     pub fn parse(head: &RequestHead, options: &Options) -> Result<Self, InvalidRequest> {
         let headers = &head.headers;
         let class = parse_class(head, options)?;
         let plan =
-            required(headers, "x-plan", |name| options.plan_names.iter().position(|plan| plan == name))?;
-        let customer = required(headers, "x-customer", parse_customer)?;
-        let remaining_seconds = required(headers, "x-remaining", parse_remaining)?;
-        let quota = required(headers, "x-quota", |text| Quota::parse(text, options))?;
-        let transaction_id = required(headers, "x-txn", parse_transaction_id)?;
+            required_header(headers, "x-plan", |name| options.plan_names.iter().position(|plan| plan == name))?;
+        let customer = required_header(headers, "x-customer", parse_customer)?;
+        let remaining_seconds = required_header(headers, "x-remaining", parse_remaining)?;
+        let quota = required_header(headers, "x-quota", |text| QuotaHeader::parse(text, options))?;
+        let transaction_id = required_header(headers, "x-txn", parse_transaction_id)?;
         let path_and_query = head.uri.path_and_query().cloned().ok_or(InvalidRequest::Target)?;
         Ok(Self {
             class,
@@ -122,7 +119,7 @@
             customer_gateway_count: quota.customer_gateway_count,
             first_gateway: quota.first_gateway,
             remaining_seconds,
-            is_retry: parse_retry_mark(headers)?,
+            is_retry: parse_is_retry(headers)?,
             upstream: UpstreamRequest {
                 uri: path_and_query.into(),
                 transaction_id,
@@ -135,17 +132,17 @@
     }
 }
 
-/// The value of a header that must be present once and pass `parse`.
-fn required<'a, T>(
+/// Returns the parsed value of a header that must be present exactly once.
+fn required_header<'a, T>(
     headers: &'a HeaderMap,
     name: &'static str,
     parse: impl FnOnce(&'a str) -> Option<T>,
 ) -> Result<T, InvalidRequest> {
-    single_value(headers, name).and_then(parse).ok_or(InvalidRequest::Header(name))
+    single_header_value(headers, name).and_then(parse).ok_or(InvalidRequest::Header(name))
 }
 
-/// The only value of a header, trimmed; `None` if it is missing, duplicated or not text.
-fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// Returns the only value of a header, trimmed; `None` if the header is missing, duplicated or not text.
+fn single_header_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     if values.next().is_some() {
@@ -154,9 +151,9 @@
     value.to_str().ok().map(str::trim)
 }
 
-/// The index of the class, which the path must repeat.
+/// Returns the index of the class named in `x-lane`, which the first segment of the path must repeat.
 fn parse_class(head: &RequestHead, options: &Options) -> Result<usize, InvalidRequest> {
-    let name = required(&head.headers, "x-lane", Some)?;
+    let name = required_header(&head.headers, "x-lane", Some)?;
     let class = options.class_names.iter().position(|class| class == name);
     let class = class.ok_or(InvalidRequest::Header("x-lane"))?;
     let is_path_of_class = head.uri.path().split('/').nth(1) == Some(name);
@@ -167,9 +164,9 @@
     }
 }
 
-/// A customer's number of exactly sixteen digits, in the canonical spelling.
+/// Parses a customer's number of exactly sixteen hexadecimal digits, and returns it in lower case.
 fn parse_customer(text: &str) -> Option<String> {
-    // Digits only: parsing in the standard library would also accept a sign.
+    // The standard library's parser would also accept a sign.
     if text.len() != CUSTOMER_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
     }
@@ -189,53 +186,54 @@
     HeaderValue::from_str(text).ok()
 }
 
-/// Whether the client marked its request as a retry; unmarked ones are none.
-fn parse_retry_mark(headers: &HeaderMap) -> Result<bool, InvalidRequest> {
+/// Returns whether the client marked the request as a retry; without the header it is not a retry.
+fn parse_is_retry(headers: &HeaderMap) -> Result<bool, InvalidRequest> {
     if !headers.contains_key("x-resent") {
         return Ok(false);
     }
-    required(headers, "x-resent", |text| match text {
+    required_header(headers, "x-resent", |text| match text {
         "0" => Some(false),
         "1" => Some(true),
         _ => None,
     })
 }
 
-/// A plain decimal number: no sign, exponent or special value, all of which the standard library would accept.
+/// Parses a plain decimal number. Rejects signs, exponents and special values, which the standard library accepts.
 fn parse_decimal(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     text.parse().ok().filter(|value: &f64| is_plain && value.is_finite())
 }
 
-/// The quota header, in our terms.
-struct Quota {
+/// The values of the `x-quota` header.
+struct QuotaHeader {
     units: f64,
     customer_gateway_count: u32,
     first_gateway: u32,
 }
 
-impl Quota {
-    /// Parses `units=2,spread=3,first=1`, in any order, each once; other names are ignored.
+impl QuotaHeader {
+    /// Parses values such as `units=2,spread=3,first=1`. All three must be present once, in any order; other names are
+    /// ignored.
     fn parse(text: &str, options: &Options) -> Option<Self> {
         let mut units = None;
         let mut spread = None;
         let mut first = None;
         for part in text.split(',') {
             let (name, value) = part.trim().split_once('=')?;
-            let slot = match name {
+            let target = match name {
                 "units" => &mut units,
                 "spread" => &mut spread,
                 "first" => &mut first,
                 _ => continue,
             };
-            if slot.replace(parse_decimal(value)?).is_some() {
+            if target.replace(parse_decimal(value)?).is_some() {
                 return None;
             }
         }
         let quota = Self {
             units: units?,
-            customer_gateway_count: whole_number(spread?)?,
-            first_gateway: whole_number(first?)?,
+            customer_gateway_count: to_whole_number(spread?)?,
+            first_gateway: to_whole_number(first?)?,
         };
         quota.is_valid(options).then_some(quota)
     }
@@ -249,7 +247,7 @@
     }
 }
 
-/// The number as an integer, if it is one that fits.
-fn whole_number(value: f64) -> Option<u32> {
+/// Converts a whole number; returns `None` if it has a fraction or is too large.
+fn to_whole_number(value: f64) -> Option<u32> {
     (value.fract() == 0.0 && value <= f64::from(u32::MAX)).then_some(value as u32)
 }
--- a/src/node/wire/client_response.rs
+++ b/src/node/wire/client_response.rs
@@ -1,36 +1,36 @@
-//! Responses to clients, and how they are written.
+//! Responses to clients and their HTTP/1.1 format.
 
 use crate::node::{metrics, wire::stream::PieceReceiver};
 use bytes::Bytes;
 use hyper::StatusCode;
 use std::io::Write;
 
-/// Retry-After of a response for which the gateway had no capacity.
+/// `Retry-After` of a 503 response, which the gateway sends when it has no capacity for a request.
 const OVERLOAD_RETRY_AFTER_SECONDS: f64 = 1.0;
-/// Room for the head of a typical response.
-const TYPICAL_HEAD_BYTES: usize = 128;
+/// Initial capacity for a rendered head, enough for a typical response.
+const HEAD_CAPACITY_BYTES: usize = 128;
 
-/// A response's body.
+/// The body of a response to a client.
 pub enum ResponseBody {
     Buffered(Bytes),
-    /// Streamed as it arrives from the endpoint.
+    /// Forwarded piece by piece as it arrives from the endpoint.
     Streamed {
-        /// In bytes, if it is known.
+        /// Length of the body in bytes; `None` if unknown.
         length: Option<u64>,
         pieces: PieceReceiver,
     },
 }
 
-/// A response to a client.
+/// A response to a client, without its `Connection` and framing headers.
 pub struct ClientResponse {
     pub status: StatusCode,
-    /// Retry-After in seconds; 0 leaves the header out.
+    /// `Retry-After` in seconds; 0 omits the header.
     pub retry_after: f64,
     pub body: ResponseBody,
 }
 
 impl ClientResponse {
-    /// How the request ended for the client, provided that the response is delivered completely.
+    /// Returns the outcome of the request, provided that the response is delivered completely.
     pub fn outcome(&self) -> metrics::RequestOutcome {
         match self.status {
             StatusCode::OK => metrics::RequestOutcome::Served,
@@ -41,25 +41,25 @@
         }
     }
 
-    /// A response with a buffered body.
+    /// Creates a response with a buffered body.
     pub fn with_body(status: StatusCode, body: Bytes) -> Self {
         let is_overload = status == StatusCode::SERVICE_UNAVAILABLE;
         let retry_after = if is_overload { OVERLOAD_RETRY_AFTER_SECONDS } else { 0.0 };
         Self { status, retry_after, body: ResponseBody::Buffered(body) }
     }
 
-    /// A response without a body.
+    /// Creates a response with an empty body.
     pub fn without_body(status: StatusCode) -> Self {
         Self::with_body(status, Bytes::new())
     }
 
-    /// Whether a client of this minor version of HTTP/1 can tell the end of the body without a close. HTTP/1.0 has no
-    /// chunked encoding.
+    /// Returns whether a client of this minor version of HTTP/1 can find the end of the body while the connection stays
+    /// open. HTTP/1.0 has no chunked encoding, so a body of unknown length ends with the connection.
     pub fn is_self_delimiting(&self, minor_version: u8) -> bool {
         minor_version > 0 || !matches!(self.body, ResponseBody::Streamed { length: None, .. })
     }
 
-    /// The bytes of the head, with the body behind it unless that is streamed.
+    /// Returns the bytes of the head, followed by the body if it is buffered.
     pub fn render(&self, keep_alive: bool, minor_version: u8) -> Vec<u8> {
         let code = self.status.as_str();
         let reason = self.status.canonical_reason().unwrap_or_default();
@@ -67,19 +67,19 @@
             ResponseBody::Buffered(body) => (Some(body.len() as u64), &body[..]),
             ResponseBody::Streamed { length, .. } => (*length, &[][..]),
         };
-        let mut text = Vec::with_capacity(TYPICAL_HEAD_BYTES + body.len());
-        // Writing to memory does not fail.
-        let _ = write!(text, "HTTP/1.1 {code} {reason}\r\n");
+        let mut output = Vec::with_capacity(HEAD_CAPACITY_BYTES + body.len());
+        // Writing to a vector does not fail.
+        let _ = write!(output, "HTTP/1.1 {code} {reason}\r\n");
         if let Some(length) = length {
-            let _ = write!(text, "Content-Length: {length}\r\n");
+            let _ = write!(output, "Content-Length: {length}\r\n");
         } else if minor_version > 0 {
-            text.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
+            output.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
         }
         if self.retry_after > 0.0 {
-            let _ = write!(text, "Retry-After: {:.3}\r\n", self.retry_after);
+            let _ = write!(output, "Retry-After: {:.3}\r\n", self.retry_after);
         }
-        text.extend_from_slice(if keep_alive { b"\r\n" } else { b"Connection: close\r\n\r\n" });
-        text.extend_from_slice(body);
-        text
+        output.extend_from_slice(if keep_alive { b"\r\n" } else { b"Connection: close\r\n\r\n" });
+        output.extend_from_slice(body);
+        output
     }
 }
--- a/src/node/wire/endpoint_list.rs
+++ b/src/node/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the format of discovery. It borrows its strings from the text, as lists are long.
+//! Format of discovery's endpoint list. A parsed list borrows its strings from the input, because lists are long.
 
 use oliverack::{Endpoint, Lifecycle};
 use schemars::JsonSchema;
@@ -9,57 +9,58 @@
     net::SocketAddr,
 };
 
-/// Set in the numbers of zones that the settings don't name.
+/// Bit set in the number of every zone that the settings don't name.
 const UNNAMED_ZONE_BIT: u32 = 1 << 31;
 
-/// An endpoint list, complete or with changes only.
+/// An endpoint list: all endpoints, or only those that changed.
 #[derive(Debug, Deserialize, JsonSchema)]
 #[schemars(rename = "List")]
 pub struct EndpointList<'a> {
-    /// Grows with each change.
+    /// Number that grows with each change of the list.
     pub version: u64,
-    /// It names all endpoints, not only the changed ones.
+    /// Whether the list names all endpoints, not only the changed ones.
     #[serde(rename = "full")]
     pub is_full: bool,
-    /// The endpoints.
+    /// The listed endpoints.
     #[serde(borrow, rename = "servers")]
-    endpoints: Vec<Entry<'a>>,
+    endpoints: Vec<EndpointEntry<'a>>,
 }
 
-/// An endpoint as discovery shows it.
+/// An endpoint as discovery lists it.
 #[derive(Debug, Deserialize, JsonSchema)]
-struct Entry<'a> {
-    /// Its identifier, the same at all gateways.
+#[schemars(rename = "Entry")]
+struct EndpointEntry<'a> {
+    /// Identifier of the endpoint, the same at all gateways.
     #[serde(borrow)]
     id: Cow<'a, str>,
-    /// Where this gateway reaches it.
-    #[serde(borrow, default)]
-    addr: Cow<'a, str>,
-    /// The name of its zone.
+    /// Address at which this gateway reaches the endpoint, such as `10.0.0.1:80`.
+    #[serde(borrow, default, rename = "addr")]
+    address: Cow<'a, str>,
+    /// Name of the endpoint's zone.
     #[serde(borrow, default)]
     zone: Cow<'a, str>,
-    /// The number of its cell.
+    /// Number of the endpoint's cell.
     #[serde(default)]
     cell: u32,
-    /// `SERVING`, `DRAINING` or `DELETED`; an entry with another one is ignored.
+    /// `SERVING`, `DRAINING` or `DELETED`; an entry with another state is ignored.
     #[serde(borrow)]
     state: Cow<'a, str>,
-    /// When it last started, in Unix time in milliseconds; 0: long ago.
+    /// Time of the endpoint's last start, in milliseconds of Unix time; 0 if long ago.
     #[serde(default)]
     started_ms: f64,
 }
 
-/// An endpoint in the policy's terms, with the address at which this gateway reaches it.
+/// A listed endpoint and the address at which this gateway reaches it.
 #[derive(Debug, Clone)]
 pub struct ListedEndpoint {
-    /// What the policy knows of it.
+    /// The endpoint as the policy sees it.
     pub endpoint: Endpoint,
-    /// `None` if the list has no usable address.
+    /// `None` if the list gives no valid address.
     pub address: Option<SocketAddr>,
 }
 
 impl EndpointList<'_> {
-    /// The endpoints whose state is known. `zones` are the names of the zones by number.
+    /// Returns the endpoints whose state is valid. `zones` holds the name of each zone at the index that is its number.
     pub fn endpoints(&self, zones: &[String]) -> Vec<ListedEndpoint> {
         let mut endpoints = Vec::with_capacity(self.endpoints.len());
         endpoints.extend(self.endpoints.iter().filter_map(|entry| entry.to_listed_endpoint(zones)));
@@ -67,8 +68,8 @@
     }
 }
 
-impl Entry<'_> {
-    /// `None` if its state is unknown.
+impl EndpointEntry<'_> {
+    /// Converts the entry; returns `None` if the state is unknown.
     fn to_listed_endpoint(&self, zones: &[String]) -> Option<ListedEndpoint> {
         let lifecycle = match &*self.state {
             "SERVING" => Lifecycle::Running,
@@ -83,12 +84,12 @@
             started: self.started_ms / 1000.0,
             lifecycle,
         };
-        Some(ListedEndpoint { endpoint, address: self.addr.parse().ok() })
+        Some(ListedEndpoint { endpoint, address: self.address.parse().ok() })
     }
 }
 
-/// The number of a zone. A zone that the settings don't name gets a number of its own, as endpoints of different zones
-/// don't share their deduplication of requests.
+/// Returns the number of a zone. A zone that the settings don't name gets a number of its own, derived from the name,
+/// because endpoints of different zones don't deduplicate each other's requests.
 fn zone_number(name: &str, zones: &[String]) -> u32 {
     if let Some(number) = zones.iter().position(|zone| zone == name) {
         return number as u32;
--- a/src/node/wire/load_report.rs
+++ b/src/node/wire/load_report.rs
@@ -2,7 +2,7 @@
 
 use oliverack::LoadReport;
 
-/// Highest plausible value of a load report; larger ones are ignored.
+/// Highest plausible value in a load report; larger values are ignored.
 const MAX_REPORTED_VALUE: f64 = 1e6;
 
 /// Parses a load report such as `TEXT inflight=7, util=0.61`. Unknown names and invalid values are ignored.
--- a/src/node/wire/mod.rs
+++ b/src/node/wire/mod.rs
@@ -1,4 +1,5 @@
-//! Formats of messages and their parts, without sockets.
+//! Formats of the messages that the gateway exchanges with clients, endpoints and discovery. Nothing here opens or uses
+//! a socket.
 
 pub mod client_request;
 pub mod client_response;
--- a/src/node/wire/request_body.rs
+++ b/src/node/wire/request_body.rs
@@ -1,23 +1,23 @@
-//! Decodes the bodies of HTTP/1.1 requests from a buffer, framed by `Content-Length` or chunked.
+//! Decodes the bodies of HTTP/1.1 requests from a buffer, with a known length or in chunks.
 
 use crate::node::wire::limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use bytes::BytesMut;
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// Longest line that gives a chunk's size, and longest line of a trailer.
+/// Longest line with a chunk's size, and longest line of a trailer.
 const MAX_CHUNK_LINE_BYTES: usize = 4096;
 
-/// Why a request body was rejected.
+/// Reason to reject a request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BodyError {
-    #[error("malformed chunk size")]
+    #[error("malformed chunk size line: a hexadecimal number is expected")]
     MalformedChunkSize,
     #[error("a chunk size line is longer than {MAX_CHUNK_LINE_BYTES} bytes")]
     ChunkSizeLineTooLong,
-    #[error("no line end after a chunk's data")]
+    #[error("a CRLF is expected after a chunk's data")]
     MissingChunkEnd,
-    #[error("the body is larger than {MAX_BODY_BYTES} bytes")]
+    #[error("the request body is larger than {MAX_BODY_BYTES} bytes")]
     TooLarge,
     #[error("a trailer line is longer than {MAX_CHUNK_LINE_BYTES} bytes")]
     TrailerLineTooLong,
@@ -26,7 +26,7 @@
 }
 
 impl BodyError {
-    /// The status that tells the client.
+    /// Returns the status of the error response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -39,16 +39,16 @@
     }
 }
 
-/// How a request head announces the end of the body.
+/// Framing of a request body, as the head announces it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length in bytes; 0 without a body.
+    /// Length in bytes from `Content-Length`; 0 without a body.
     Length(usize),
     Chunked,
 }
 
 impl Framing {
-    /// The body's length in bytes, if the head tells it.
+    /// Returns the length of the body in bytes; `None` if the head does not announce it.
     pub fn length(self) -> Option<usize> {
         match self {
             Self::Length(length) => Some(length),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Decodes one request body as its bytes arrive.
+/// Incremental decoder of one request body.
 #[derive(Debug)]
 pub enum BodyDecoder {
     Length { remaining: usize },
@@ -65,21 +65,22 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for the body that follows a head with this framing.
+    /// Creates a decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         match framing {
             Framing::Length(length) => Self::Length { remaining: length },
-            Framing::Chunked => {
-                Self::Chunked(ChunkedDecoder { position: ChunkPosition::Size, allowance: MAX_BODY_BYTES })
-            }
+            Framing::Chunked => Self::Chunked(ChunkedDecoder {
+                position: ChunkPosition::Size,
+                remaining_allowance: MAX_BODY_BYTES,
+            }),
         }
     }
 
     /// Moves decoded bytes from `buffer` to `output` until `output` holds `max_output` bytes or the buffer has no more.
-    /// Returns true once the body is complete.
+    /// Returns whether the body is complete.
     ///
     /// # Errors
-    /// The body is malformed or too large.
+    /// Returns an error if the body is malformed or too large.
     pub fn decode(
         &mut self,
         buffer: &mut BytesMut,
@@ -98,32 +99,32 @@
     }
 }
 
-/// Takes up to `remaining` bytes of data that fit into `free` bytes of output.
+/// Splits off as much data as the buffer holds, at most `remaining` bytes of the body and `free` bytes of output.
 fn split_data(buffer: &mut BytesMut, remaining: usize, free: usize) -> BytesMut {
     buffer.split_to(buffer.len().min(remaining).min(free))
 }
 
-/// Decodes a chunked body.
+/// Incremental decoder of a chunked body.
 #[derive(Debug)]
 pub struct ChunkedDecoder {
     position: ChunkPosition,
-    /// Bytes that further chunks may add.
-    allowance: usize,
+    /// Number of bytes that further chunks may hold in total.
+    remaining_allowance: usize,
 }
 
-/// The part of a chunked body that comes next.
+/// Part of a chunked body that the decoder expects next.
 #[derive(Debug)]
 enum ChunkPosition {
-    /// The line with a chunk's size.
+    /// Line with a chunk's size.
     Size,
     Data {
         remaining: usize,
     },
-    /// The line end after a chunk's data.
+    /// Line end after a chunk's data.
     DataEnd,
-    /// The trailer lines after the last chunk.
+    /// Trailer lines after the last chunk.
     Trailers {
-        /// Bytes of the trailer lines so far.
+        /// Total bytes of the trailer lines so far.
         length: usize,
     },
 }
@@ -139,7 +140,8 @@
             match &mut self.position {
                 ChunkPosition::Size => {
                     let Some(size) = take_chunk_size(buffer)? else { return Ok(false) };
-                    self.allowance = self.allowance.checked_sub(size).ok_or(BodyError::TooLarge)?;
+                    self.remaining_allowance =
+                        self.remaining_allowance.checked_sub(size).ok_or(BodyError::TooLarge)?;
                     self.position = match size {
                         0 => ChunkPosition::Trailers { length: 0 },
                         size => ChunkPosition::Data { remaining: size },
@@ -178,7 +180,7 @@
     }
 }
 
-/// Takes the line with a chunk's size; `None` until it is complete.
+/// Removes the line with a chunk's size and returns the size; returns `None` while the line is incomplete.
 fn take_chunk_size(buffer: &mut BytesMut) -> Result<Option<usize>, BodyError> {
     match httparse::parse_chunk_size(buffer).map_err(|_| BodyError::MalformedChunkSize)? {
         httparse::Status::Complete((line_length, size)) => {
@@ -192,7 +194,7 @@
     }
 }
 
-/// Takes one line of the trailers; `None` until it is complete.
+/// Removes one line of the trailers and returns it; returns `None` while the line is incomplete.
 fn take_trailer_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, BodyError> {
     match buffer.iter().position(|byte| *byte == b'\n') {
         Some(end) => Ok(Some(buffer.split_to(end + 1))),
--- a/src/node/wire/request_head.rs
+++ b/src/node/wire/request_head.rs
@@ -1,5 +1,5 @@
-//! Parses the heads of HTTP/1.1 requests from a buffer. It is strict, so that no server behind the gateway can read
-//! a head in another way.
+//! Parses the heads of HTTP/1.1 requests from a buffer. The parser is strict, so that no server behind the gateway can
+//! interpret a head differently.
 
 use crate::node::wire::{
     limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES},
@@ -12,32 +12,32 @@
 };
 use thiserror::Error;
 
-/// Most headers of a request.
+/// Highest number of headers in a request.
 const MAX_HEADERS: usize = 64;
 
-/// Why a request head was rejected.
+/// Reason to reject a request head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HeadError {
-    #[error("malformed head: {0}")]
+    #[error("malformed request head: {0}")]
     Malformed(httparse::Error),
-    #[error("malformed request line")]
+    #[error("malformed method or target in the request line")]
     MalformedRequestLine,
-    #[error("malformed header")]
+    #[error("malformed header name or value")]
     MalformedHeader,
-    #[error("the head is larger than {MAX_HEAD_BYTES} bytes")]
+    #[error("the request head is larger than {MAX_HEAD_BYTES} bytes")]
     TooLarge,
-    #[error("more than {MAX_HEADERS} headers")]
+    #[error("the request has more than {MAX_HEADERS} headers")]
     TooManyHeaders,
-    #[error("the body's length is ambiguous or malformed")]
+    #[error("Content-Length is malformed, duplicated or combined with Transfer-Encoding")]
     AmbiguousLength,
-    #[error("unsupported transfer encoding")]
+    #[error("unsupported transfer encoding: only `chunked` in HTTP/1.1 is accepted")]
     UnsupportedTransferEncoding,
-    #[error("the body is larger than {MAX_BODY_BYTES} bytes")]
+    #[error("the request body is larger than {MAX_BODY_BYTES} bytes")]
     BodyTooLarge,
 }
 
 impl HeadError {
-    /// The status that tells the client.
+    /// Returns the status of the error response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::TooLarge | Self::TooManyHeaders => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -51,45 +51,45 @@
     }
 }
 
-/// A request without its body.
+/// A request without the body.
 #[derive(Debug)]
 pub struct RequestHead {
     pub method: Method,
     pub uri: Uri,
-    /// All headers, duplicates included.
+    /// All headers, including duplicates.
     pub headers: HeaderMap,
-    /// How the end of the body is announced.
+    /// Framing of the body that follows the head.
     pub framing: Framing,
-    /// The minor version of HTTP/1.
+    /// Minor version of HTTP/1.
     pub minor_version: u8,
-    /// The client allows the connection to stay open after the response.
+    /// Whether the client allows the connection to stay open after the response.
     pub allows_keep_alive: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
-/// Takes a head from the buffer; `None` until it is complete. `scanned` is how much of the buffer earlier calls for
-/// this request have seen; pass 0 for a new request.
+/// Removes a complete head from the buffer and returns it; returns `None` while it is incomplete. `scanned_bytes` keeps
+/// the number of bytes that earlier calls for the same request have searched; the caller starts a request with 0.
 ///
 /// # Errors
-/// The head is malformed or too large.
-pub fn take_head(buffer: &mut BytesMut, scanned: &mut usize) -> Result<Option<RequestHead>, HeadError> {
-    let is_first_look = *scanned == 0;
-    let may_be_complete = contains_empty_line(buffer, scanned.saturating_sub(3));
-    *scanned = buffer.len();
-    // Parsed at its start, to reject what is not HTTP at once, and when it may be complete. A head that arrives byte
-    // by byte is not parsed for each byte.
-    if may_be_complete || is_first_look {
+/// Returns an error if the head is malformed or too large.
+pub fn take_head(buffer: &mut BytesMut, scanned_bytes: &mut usize) -> Result<Option<RequestHead>, HeadError> {
+    let is_first_scan = *scanned_bytes == 0;
+    let may_be_complete = contains_empty_line(buffer, scanned_bytes.saturating_sub(3));
+    *scanned_bytes = buffer.len();
+    // The first bytes are parsed to reject at once what is not HTTP. After that the head is parsed only when it may be
+    // complete, not for each byte of a head that arrives byte by byte.
+    if may_be_complete || is_first_scan {
         if let Some(parsed) = parse(buffer)? {
             let _ = buffer.split_to(parsed.length);
-            *scanned = 0;
+            *scanned_bytes = 0;
             return Ok(Some(parsed.head));
         }
     }
     if buffer.len() >= MAX_HEAD_BYTES { Err(HeadError::TooLarge) } else { Ok(None) }
 }
 
-/// Whether an empty line, or the start of one at the buffer's end, follows `from`.
+/// Returns whether the buffer contains an empty line at or after `from`, or ends with the start of one.
 fn contains_empty_line(buffer: &[u8], from: usize) -> bool {
     buffer[from..].windows(2).enumerate().any(|(index, pair)| {
         let next = buffer.get(from + index + 2);
@@ -97,16 +97,16 @@
     })
 }
 
-/// A head and its length in the buffer.
+/// A head and the number of bytes that it takes in the buffer.
 struct ParsedHead {
     head: RequestHead,
     length: usize,
 }
 
-/// Parses a head; `None` if it is not complete.
+/// Parses the head at the start of the buffer; returns `None` if it is incomplete.
 fn parse(buffer: &[u8]) -> Result<Option<ParsedHead>, HeadError> {
-    let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut request = httparse::Request::new(&mut header_slots);
+    let mut header_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut header_buffer);
     let length = match request.parse(buffer) {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
         Ok(httparse::Status::Complete(_)) => return Err(HeadError::TooLarge),
@@ -118,14 +118,14 @@
     else {
         return Err(HeadError::MalformedRequestLine);
     };
-    let headers = header_map(request.headers)?;
+    let headers = to_header_map(request.headers)?;
     let allows_keep_alive = !has_connection_option(&headers, "close")
         && (minor_version == 1 || has_connection_option(&headers, "keep-alive"));
     let expect = headers.get(header::EXPECT);
     let head = RequestHead {
         method: Method::from_bytes(method.as_bytes()).map_err(|_| HeadError::MalformedRequestLine)?,
         uri: Uri::try_from(path).map_err(|_| HeadError::MalformedRequestLine)?,
-        framing: framing(&headers, minor_version)?,
+        framing: parse_framing(&headers, minor_version)?,
         minor_version,
         allows_keep_alive,
         expects_continue: expect.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue")),
@@ -134,7 +134,7 @@
     Ok(Some(ParsedHead { head, length }))
 }
 
-fn header_map(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, HeadError> {
+fn to_header_map(parsed: &[httparse::Header<'_>]) -> Result<HeaderMap, HeadError> {
     let mut headers = HeaderMap::with_capacity(parsed.len());
     for header in parsed {
         let name = HeaderName::from_bytes(header.name.as_bytes()).map_err(|_| HeadError::MalformedHeader)?;
@@ -144,20 +144,20 @@
     Ok(headers)
 }
 
-/// Whether the `Connection` headers name an option.
+/// Returns whether a `Connection` header names the option.
 fn has_connection_option(headers: &HeaderMap, option: &str) -> bool {
     let values = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).any(|name| name.trim().eq_ignore_ascii_case(option))
 }
 
-/// One plain length, or chunks, or no body. Two lengths, or a length with an encoding, may hide a second request
-/// inside the first one's body (request smuggling).
-fn framing(headers: &HeaderMap, minor_version: u8) -> Result<Framing, HeadError> {
+/// Determines the framing of the body: one plain length, chunks, or no body. Rejects two lengths, and a length with an
+/// encoding, because they may hide a second request inside the body of the first (request smuggling).
+fn parse_framing(headers: &HeaderMap, minor_version: u8) -> Result<Framing, HeadError> {
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     let mut encodings = headers.get_all(header::TRANSFER_ENCODING).iter();
     match (lengths.next(), encodings.next()) {
         (None, None) => Ok(Framing::Length(0)),
-        (Some(length), None) if lengths.next().is_none() => content_length(length),
+        (Some(length), None) if lengths.next().is_none() => parse_content_length(length),
         (None, Some(encoding)) => {
             let is_chunked = encoding.as_bytes().eq_ignore_ascii_case(b"chunked");
             if is_chunked && encodings.next().is_none() && minor_version == 1 {
@@ -170,13 +170,13 @@
     }
 }
 
-/// A length of digits only: parsing in the standard library would also accept a sign.
-fn content_length(value: &HeaderValue) -> Result<Framing, HeadError> {
+/// Parses a length that consists of digits only; the standard library's parser would also accept a sign.
+fn parse_content_length(value: &HeaderValue) -> Result<Framing, HeadError> {
     let digits = value.to_str().map_err(|_| HeadError::AmbiguousLength)?;
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(HeadError::AmbiguousLength);
     }
-    // A number with more digits than fit is too large as well.
+    // A number that overflows `usize` exceeds the limit as well.
     let length = digits.parse().unwrap_or(usize::MAX);
     if length > MAX_BODY_BYTES { Err(HeadError::BodyTooLarge) } else { Ok(Framing::Length(length)) }
 }
--- a/src/node/wire/stream.rs
+++ b/src/node/wire/stream.rs
@@ -1,4 +1,5 @@
-//! Streamed request and response bodies, passed on in pieces with backpressure: a slow reader holds up the writer.
+//! Streamed request and response bodies. The pieces of a body pass through a bounded channel, so that a slow reader
+//! holds up the writer.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -11,91 +12,93 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Largest piece that is read at once.
+/// Largest number of bytes read at once.
 pub const MAX_PIECE_BYTES: usize = 16 * 1024;
-/// Memory that a stream takes: a piece just read, one in the channel, one being written, and hyper's own buffer.
+/// Memory that a stream may use: a piece just read, one in the channel, one being written, and hyper's own buffer.
 pub const STREAM_MEMORY_BYTES: usize = 4 * MAX_PIECE_BYTES;
 
 /// A message on the channel of a streamed body.
 #[derive(Debug)]
 pub enum Piece {
     Data(Bytes),
-    /// The body is complete. A channel that closes without it was truncated.
+    /// The body is complete. If the channel closes without this message, the body was truncated.
     End,
 }
 
-/// The receiving end of a streamed body.
+/// Receiving end of a streamed body.
 pub type PieceReceiver = mpsc::Receiver<Piece>;
 
-/// A channel that holds one piece.
+/// Creates the channel of a streamed body, which holds one piece.
 pub fn channel() -> (mpsc::Sender<Piece>, PieceReceiver) {
     mpsc::channel(1)
 }
 
-/// The sender of a body was dropped before the body's end.
+/// Error of a streamed request body whose sender was dropped before the end of the body.
 #[derive(Debug, Error)]
-#[error("the body was truncated")]
+#[error("the request body was truncated")]
 pub struct TruncatedBody;
 
-/// A request's body.
+/// The body of a client's request.
 #[derive(Debug)]
 pub enum RequestBody {
     Buffered(Bytes),
-    /// Too large to be buffered. It can be sent only once: the upload is `None` after an attempt has taken it.
-    Streamed(RefCell<Option<Upload>>),
+    /// A body too large to be buffered, which can be sent only once; `None` after an attempt has taken it.
+    Streamed(RefCell<Option<StreamedBody>>),
 }
 
 impl RequestBody {
-    /// A streamed body and the sender of its pieces; `length` is in bytes, if it is known.
+    /// Creates a streamed body and the sender of its pieces. `length` is in bytes, `None` if unknown.
     pub fn streamed(length: Option<usize>) -> (mpsc::Sender<Piece>, Self) {
         let (sender, pieces) = channel();
         let remaining = length.map(|length| length as u64);
-        let upload = Upload { pieces, remaining, is_finished: Rc::default() };
-        (sender, Self::Streamed(RefCell::new(Some(upload))))
+        let body = StreamedBody { pieces, remaining, is_finished: Rc::default() };
+        (sender, Self::Streamed(RefCell::new(Some(body))))
     }
 
-    /// The body for one attempt; `None` if it is streamed and an earlier attempt has taken it.
+    /// Returns the body for one attempt; `None` if the body is streamed and an earlier attempt has taken it.
     pub fn take(&self) -> Option<OutgoingBody> {
         match self {
             Self::Buffered(bytes) => {
                 Some(OutgoingBody::Buffered(Some(bytes.clone()).filter(|b| !b.is_empty())))
             }
-            Self::Streamed(upload) => upload.take().map(OutgoingBody::Streamed),
+            Self::Streamed(body) => body.take().map(OutgoingBody::Streamed),
         }
     }
 
-    /// Whether an attempt can still send it.
+    /// Returns whether another attempt can send the body.
     pub fn is_available(&self) -> bool {
         match self {
             Self::Buffered(_) => true,
-            Self::Streamed(upload) => upload.borrow().is_some(),
+            Self::Streamed(body) => body.borrow().is_some(),
         }
     }
 }
 
-/// A streamed body as one attempt sends it.
+/// A streamed request body on its way to the endpoint of one attempt.
 #[derive(Debug)]
-pub struct Upload {
+pub struct StreamedBody {
     pieces: PieceReceiver,
-    /// Bytes to come, if the length is known.
+    /// Number of bytes still to come; `None` if the length is unknown.
     remaining: Option<u64>,
+    /// Set once the last byte was handed to hyper.
     is_finished: Rc<Cell<bool>>,
 }
 
-/// A request body in the form that hyper sends.
+/// A request body that hyper sends to an endpoint.
 #[derive(Debug)]
 pub enum OutgoingBody {
-    /// `None` if it is empty or was sent.
+    /// `None` if the body is empty or was handed to hyper.
     Buffered(Option<Bytes>),
-    Streamed(Upload),
+    Streamed(StreamedBody),
 }
 
 impl OutgoingBody {
-    /// Set once the last byte of a streamed body was handed over; `None` for a buffered one.
+    /// Returns the flag that is set once the last byte of a streamed body was handed to hyper; `None` for a buffered
+    /// body.
     pub fn finished_flag(&self) -> Option<Rc<Cell<bool>>> {
         match self {
             Self::Buffered(_) => None,
-            Self::Streamed(upload) => Some(upload.is_finished.clone()),
+            Self::Streamed(body) => Some(body.is_finished.clone()),
         }
     }
 }
@@ -108,22 +111,21 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
-        let upload = match &mut *self {
+        let body = match &mut *self {
             Self::Buffered(bytes) => return Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Streamed(upload) => upload,
+            Self::Streamed(body) => body,
         };
-        if upload.is_finished.get() {
+        if body.is_finished.get() {
             return Poll::Ready(None);
         }
-        Poll::Ready(match ready!(upload.pieces.poll_recv(cx)) {
+        Poll::Ready(match ready!(body.pieces.poll_recv(cx)) {
             Some(Piece::Data(bytes)) => {
-                upload.remaining =
-                    upload.remaining.map(|remaining| remaining.saturating_sub(bytes.len() as u64));
-                upload.is_finished.set(upload.remaining == Some(0));
+                body.remaining = body.remaining.map(|remaining| remaining.saturating_sub(bytes.len() as u64));
+                body.is_finished.set(body.remaining == Some(0));
                 Some(Ok(Frame::data(bytes)))
             }
-            Some(Piece::End) if upload.remaining.is_none_or(|remaining| remaining == 0) => {
-                upload.is_finished.set(true);
+            Some(Piece::End) if body.remaining.is_none_or(|remaining| remaining == 0) => {
+                body.is_finished.set(true);
                 None
             }
             Some(Piece::End) | None => Some(Err(TruncatedBody)),
@@ -133,14 +135,14 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Buffered(bytes) => bytes.is_none(),
-            Self::Streamed(upload) => upload.is_finished.get(),
+            Self::Streamed(body) => body.is_finished.get(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            Self::Streamed(upload) => upload.remaining.map_or_else(SizeHint::default, SizeHint::with_exact),
+            Self::Streamed(body) => body.remaining.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
--- a/tests/unit/load_report.rs
+++ b/tests/unit/load_report.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// The policy uses no report today, so no test of the whole program parses one.
+/// The policy does not use load reports, so no end-to-end test covers their parsing.
 #[test]
-fn report_under_either_name_parses_and_invalid_values_are_ignored() {
+fn both_spellings_parse_and_invalid_values_are_ignored() {
     let load = parse("TEXT inflight=7, queue=2, util=0.61");
     assert_eq!((load.in_flight, load.utilization), (Some(7.0), Some(0.61)));
     let load = parse("busy_reqs=3,cpu_share=NaN");
--- a/tests/unit/request_head.rs
+++ b/tests/unit/request_head.rs
@@ -3,26 +3,27 @@
 use super::*;
 use crate::node::wire::request_body::{BodyDecoder, BodyError};
 
-/// Decodes a request that arrives in parts of `part_length` bytes: its head and body, `None` if it is not complete.
-fn read(text: &str, part_length: usize) -> Result<Option<(RequestHead, BytesMut)>, StatusCode> {
+/// Parses a request that arrives in parts of `part_length` bytes and returns the head and the body; `None` if the
+/// request is incomplete.
+fn parse_request(text: &str, part_length: usize) -> Result<Option<(RequestHead, BytesMut)>, StatusCode> {
     let mut buffer = BytesMut::new();
-    let mut scanned = 0;
-    let mut open = None;
+    let mut scanned_bytes = 0;
+    let mut decoder_and_head = None;
     let mut body = BytesMut::new();
     for part in text.as_bytes().chunks(part_length) {
         buffer.extend_from_slice(part);
-        if open.is_none() {
-            let head = take_head(&mut buffer, &mut scanned).map_err(HeadError::status)?;
-            open = head.map(|head| (BodyDecoder::new(head.framing), head));
+        if decoder_and_head.is_none() {
+            let head = take_head(&mut buffer, &mut scanned_bytes).map_err(HeadError::status)?;
+            decoder_and_head = head.map(|head| (BodyDecoder::new(head.framing), head));
         }
-        if let Some((decoder, _)) = &mut open {
-            // In pieces of at most nine bytes.
+        if let Some((decoder, _)) = &mut decoder_and_head {
+            // Decodes the body in pieces of at most nine bytes.
             loop {
                 let mut piece = BytesMut::new();
                 let is_complete = decoder.decode(&mut buffer, &mut piece, 9).map_err(BodyError::status)?;
                 body.extend_from_slice(&piece);
                 if is_complete {
-                    return Ok(open.map(|(_, head)| (head, body)));
+                    return Ok(decoder_and_head.map(|(_, head)| (head, body)));
                 }
                 if piece.len() < 9 {
                     break;
@@ -34,20 +35,20 @@
 }
 
 #[test]
-fn request_in_parts_of_any_length_parses_alike() {
+fn request_parses_equally_in_parts_of_any_length() {
     let plain = "POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello";
     let chunked =
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: u\r\n\r\n";
     let bare = "GET /a HTTP/1.0\n\n";
     for part_length in 1..200 {
         for text in [plain, chunked] {
-            let (head, body) = read(text, part_length).expect("valid").expect("complete");
+            let (head, body) = parse_request(text, part_length).expect("valid").expect("complete");
             assert!(
                 head.allows_keep_alive && head.method == Method::POST && body == "hello",
                 "{part_length}"
             );
         }
-        let (head, body) = read(bare, part_length).expect("valid").expect("complete");
+        let (head, body) = parse_request(bare, part_length).expect("valid").expect("complete");
         assert!(!head.allows_keep_alive && body.is_empty());
     }
 }
@@ -70,11 +71,11 @@
         "A: b\r\n Transfer-Encoding: chunked",
     ] {
         let text = format!("POST / HTTP/1.1\r\n{headers}\r\n\r\n");
-        assert_eq!(read(&text, 7).err(), Some(StatusCode::BAD_REQUEST), "{headers}");
+        assert_eq!(parse_request(&text, 7).err(), Some(StatusCode::BAD_REQUEST), "{headers}");
     }
     for body in ["x\r\n", "-1\r\n", "3\r\nabcde\r\n0\r\n\r\n", "fffffffffffffffff\r\n"] {
         let text = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{body}");
-        assert_eq!(read(&text, 7).err(), Some(StatusCode::BAD_REQUEST), "{body}");
+        assert_eq!(parse_request(&text, 7).err(), Some(StatusCode::BAD_REQUEST), "{body}");
     }
 }
 
@@ -83,15 +84,15 @@
     let large = Some(StatusCode::PAYLOAD_TOO_LARGE);
     for length in ["41943041", "60000000", "99999999999999999999999999"] {
         let text = format!("POST / HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
-        assert_eq!(read(&text, 9).err(), large);
+        assert_eq!(parse_request(&text, 9).err(), large);
     }
     let text = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n".to_owned();
-    assert_eq!(read(&(text + &"x".repeat(0xffff) + "\r\n27f0002\r\n"), 999).err(), large);
+    assert_eq!(parse_request(&(text + &"x".repeat(0xffff) + "\r\n27f0002\r\n"), 999).err(), large);
     let long = Some(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     for endless in ["a: b\r\n", "x"] {
         let text = format!("GET / HTTP/1.1\r\n{}", endless.repeat(MAX_HEAD_BYTES));
-        assert_eq!(read(&text, 1000).err(), long, "{endless}");
+        assert_eq!(parse_request(&text, 1000).err(), long, "{endless}");
     }
-    // Bytes that are not HTTP are rejected before a line end.
-    assert_eq!(read("\u{16}\u{3}\u{1} nonsense", 20).err(), Some(StatusCode::BAD_REQUEST));
+    // Input that is not HTTP is rejected before the first line end.
+    assert_eq!(parse_request("\u{16}\u{3}\u{1} nonsense", 20).err(), Some(StatusCode::BAD_REQUEST));
 }
