--- a/src/node/connection/clients/body_upload.rs
+++ b/src/node/connection/clients/body_upload.rs
@@ -1,4 +1,4 @@
-//! Streams a large request body from the client to the attempt that sends it.
+//! Streams a large request body from the client to the attempt that sends it to an endpoint.
 
 use crate::node::{
     connection::clients::{
@@ -15,51 +15,51 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
 
-/// A body that is being streamed.
+/// A request body that is being streamed.
 pub struct BodyUpload {
-    /// Takes the pieces to the attempt.
+    /// Sender of the pieces to the attempt.
     pub sender: mpsc::Sender<Piece>,
-    /// Bytes that were decoded and not yet sent.
+    /// Bytes that were decoded but not sent to the attempt yet.
     pub pending: BytesMut,
-    /// Decodes the bytes to come.
+    /// Decoder for the rest of the body.
     pub decoder: BodyDecoder,
 }
 
-/// How an upload ended.
-pub enum UploadEnd {
-    /// The complete body was handed over.
+/// Outcome of an upload.
+pub enum UploadOutcome {
+    /// The complete body was read from the client. The attempt may have ended before it took all pieces.
     Complete,
-    /// The final response came first.
-    Answered {
+    /// The final response arrived before the upload was complete.
+    ResponseArrived {
         response: FinalResponse,
-        /// Decodes the rest of the body, which nobody wants, if the client is going to send it.
-        unread_body: Option<BodyDecoder>,
+        /// Decoder for the rest of the body, which must be discarded; `None` if the client sends no more of it.
+        unread_body_decoder: Option<BodyDecoder>,
     },
 }
 
-/// How the sending of one piece ended.
-enum SendEnd {
+/// Outcome of sending one piece to the attempt.
+enum SendOutcome {
     Sent,
-    /// The attempt has ended, so the final response is on its way.
+    /// The attempt has ended, so the final response is about to arrive.
     AttemptEnded,
-    Answered(FinalResponse),
+    ResponseArrived(FinalResponse),
 }
 
 impl BodyUpload {
-    /// Streams the body until its end or the final response, whichever comes first.
+    /// Streams the body until it is complete or the final response arrives.
     ///
     /// # Errors
-    /// The client has disconnected, sends too slowly or sends a malformed body.
+    /// Returns an error if the client has disconnected or sends too slowly, or if the body is malformed or too large.
     pub async fn run(
         mut self,
         socket: &mut ClientSocket<'_>,
         expects_continue: bool,
-        receiver: &mut oneshot::Receiver<FinalResponse>,
-    ) -> Result<UploadEnd, ConnectionEnd> {
+        response_receiver: &mut oneshot::Receiver<FinalResponse>,
+    ) -> Result<UploadOutcome, ConnectionEnd> {
         if expects_continue && socket.buffer.is_empty() && self.pending.is_empty() {
-            if let Ok(response) = receiver.try_recv() {
-                // The client was not asked to send the body, so none of it stays unread.
-                return Ok(UploadEnd::Answered { response, unread_body: None });
+            if let Ok(response) = response_receiver.try_recv() {
+                // The client was not asked to send the body, so nothing has to be discarded.
+                return Ok(UploadOutcome::ResponseArrived { response, unread_body_decoder: None });
             }
             socket.send_continue().await;
         }
@@ -67,66 +67,69 @@
             let is_complete = self.decoder.decode(&mut socket.buffer, &mut self.pending, MAX_PIECE_BYTES)?;
             let is_full_piece = self.pending.len() >= MAX_PIECE_BYTES;
             let buffered_bytes = socket.buffer.len();
-            for piece in self.next_pieces(is_complete) {
-                match self.send(piece, socket, receiver).await? {
-                    SendEnd::Sent => {}
-                    // The body needs no further reading, and the caller waits for the response.
-                    SendEnd::AttemptEnded if is_complete => {}
-                    SendEnd::AttemptEnded => {
-                        let response = receiver.await.unwrap_or(FinalResponse::Failed);
-                        return Ok(UploadEnd::Answered { response, unread_body: Some(self.decoder) });
+            for piece in self.take_ready_pieces(is_complete) {
+                match self.send(piece, socket, response_receiver).await? {
+                    SendOutcome::Sent => {}
+                    // The body needs no more reading, and the caller waits for the response.
+                    SendOutcome::AttemptEnded if is_complete => {}
+                    SendOutcome::AttemptEnded => {
+                        let response = response_receiver.await.unwrap_or(FinalResponse::Failed);
+                        return Ok(UploadOutcome::ResponseArrived {
+                            response,
+                            unread_body_decoder: Some(self.decoder),
+                        });
                     }
-                    SendEnd::Answered(response) => {
-                        let unread_body = (!is_complete).then_some(self.decoder);
-                        return Ok(UploadEnd::Answered { response, unread_body });
+                    SendOutcome::ResponseArrived(response) => {
+                        let unread_body_decoder = (!is_complete).then_some(self.decoder);
+                        return Ok(UploadOutcome::ResponseArrived { response, unread_body_decoder });
                     }
                 }
             }
             if is_complete {
-                return Ok(UploadEnd::Complete);
+                return Ok(UploadOutcome::Complete);
             }
-            let was_read_ahead = socket.buffer.len() > buffered_bytes;
-            if was_read_ahead || is_full_piece && !socket.buffer.is_empty() {
+            let has_read_ahead = socket.buffer.len() > buffered_bytes;
+            if has_read_ahead || is_full_piece && !socket.buffer.is_empty() {
                 continue;
             }
-            socket.state.continue_in(Stage::ReceivingBody);
+            socket.state.set_stage(Stage::ReceivingBody);
             tokio::select! {
                 biased;
-                response = &mut *receiver => {
+                response = &mut *response_receiver => {
                     let response = response.unwrap_or(FinalResponse::Failed);
-                    return Ok(UploadEnd::Answered { response, unread_body: Some(self.decoder) });
+                    return Ok(UploadOutcome::ResponseArrived { response, unread_body_decoder: Some(self.decoder) });
                 }
                 read = socket.read(MAX_PIECE_BYTES) => read?,
             }
         }
     }
 
-    /// The pieces that are ready to be sent: the pending bytes, and the end mark if the body is complete.
-    fn next_pieces(&mut self, is_complete: bool) -> impl Iterator<Item = Piece> + use<> {
+    /// Takes the pieces that are ready to be sent: the pending bytes, and the end of the body if it is complete.
+    fn take_ready_pieces(&mut self, is_complete: bool) -> impl Iterator<Item = Piece> + use<> {
         let data = (!self.pending.is_empty()).then(|| Piece::Data(self.pending.split().freeze()));
         let end = is_complete.then_some(Piece::End);
         data.into_iter().chain(end)
     }
 
-    /// Sends one piece as soon as the attempt takes it.
+    /// Sends one piece as soon as the channel to the attempt has room.
     async fn send(
         &self,
         piece: Piece,
         socket: &mut ClientSocket<'_>,
-        receiver: &mut oneshot::Receiver<FinalResponse>,
-    ) -> Result<SendEnd, ConnectionEnd> {
+        response_receiver: &mut oneshot::Receiver<FinalResponse>,
+    ) -> Result<SendOutcome, ConnectionEnd> {
         socket.state.enter(Stage::Processing);
         let started_at = Instant::now();
-        // The first two branches end the upload, so a piece that is dropped with the third is not missed.
+        // The first two branches end the upload, so the piece that the third branch drops is not needed.
         let sent = tokio::select! {
             biased;
-            response = &mut *receiver => {
-                return Ok(SendEnd::Answered(response.unwrap_or(FinalResponse::Failed)));
+            response = &mut *response_receiver => {
+                return Ok(SendOutcome::ResponseArrived(response.unwrap_or(FinalResponse::Failed)));
             }
-            () = socket.wait_for_disconnect() => return Err(ConnectionEnd::Silent),
+            () = socket.wait_for_disconnect() => return Err(ConnectionEnd::WithoutResponse),
             sent = self.sender.send(piece) => sent,
         };
-        socket.state.exclude_wait(started_at);
-        Ok(if sent.is_ok() { SendEnd::Sent } else { SendEnd::AttemptEnded })
+        socket.state.exclude_gateway_wait(started_at);
+        Ok(if sent.is_ok() { SendOutcome::Sent } else { SendOutcome::AttemptEnded })
     }
 }
--- a/src/node/connection/clients/connection.rs
+++ b/src/node/connection/clients/connection.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of one client's connection, one after another.
+//! Serves the requests on one client's connection, one after another.
 
 use crate::node::{
     connection::clients::{
@@ -19,29 +19,29 @@
 use hyper::StatusCode;
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 
-/// The path of the health check for load balancers in front of the gateway.
+/// Path of the health check for load balancers in front of the gateway.
 const HEALTH_CHECK_PATH: &str = "/up";
 
-/// A client's connection.
+/// Server for the requests on one client's connection.
 pub struct ClientConnection<'c> {
     context: &'c ConnectionContext,
     socket: ClientSocket<'c>,
 }
 
 impl<'c> ClientConnection<'c> {
-    /// A connection that has just been accepted.
+    /// Creates the server for a newly accepted connection.
     pub fn new(context: &'c ConnectionContext, tcp: TcpStream, state: &'c ConnectionState) -> Self {
         Self { context, socket: ClientSocket::new(context, tcp, state) }
     }
 
-    /// Serves the connection until it ends.
+    /// Serves requests until the connection ends.
     pub async fn run(&mut self) {
         let end = self.serve_requests().await;
         self.socket.release_buffer();
         if let ConnectionEnd::WithStatus(status) = end {
             self.socket.state.enter(Stage::WritingResponse);
             let response = ClientResponse::without_body(status).render(false, 1);
-            // A client that can't be told sees the close.
+            // A client that this response does not reach still sees the close.
             let _ = self.socket.tcp.write_all(&response).await;
             self.socket.linger().await;
         }
@@ -49,7 +49,7 @@
 
     async fn serve_requests(&mut self) -> ConnectionEnd {
         loop {
-            if let Err(end) = self.serve_next().await {
+            if let Err(end) = self.serve_next_request().await {
                 return end;
             }
             self.socket.release_empty_buffer();
@@ -57,38 +57,39 @@
         }
     }
 
-    /// Reads one request and answers it.
+    /// Reads one request and writes the response to it.
     ///
     /// # Errors
-    /// The connection is not kept after it.
-    async fn serve_next(&mut self) -> Result<(), ConnectionEnd> {
+    /// Returns an error if the connection must end after this request.
+    async fn serve_next_request(&mut self) -> Result<(), ConnectionEnd> {
         let head = request_reader::read_head(&mut self.socket).await?;
-        let request = self.parse(&head);
+        let request = self.parse_request(&head);
         let body = match request_reader::read_body(&mut self.socket, &head).await {
             Ok(body) => body,
             Err(end) => {
                 if let Ok(request) = &request {
-                    self.count_unread(request, &end);
+                    self.count_out_of_memory_rejection(request, &end);
                 }
                 return Err(end);
             }
         };
         match request {
             Ok(request) => self.serve_request(request, body, &head).await,
-            Err(status) => self.answer_unhandled(status, body, &head).await,
+            Err(status) => self.respond_without_handler(status, body, &head).await,
         }
     }
 
-    /// The request, or the status that answers it without the handler.
-    fn parse(&self, head: &RequestHead) -> Result<ClientRequest, StatusCode> {
+    /// Parses the request. Returns the status of the response as an error if the request does not go to the handler.
+    fn parse_request(&self, head: &RequestHead) -> Result<ClientRequest, StatusCode> {
         if head.uri.path() == HEALTH_CHECK_PATH {
             return Err(self.context.health_status());
         }
         ClientRequest::parse(head, &self.context.options).map_err(InvalidRequest::status)
     }
 
-    /// Counts a valid request whose body found no memory. One whose client failed to send it is not counted.
-    fn count_unread(&self, request: &ClientRequest, end: &ConnectionEnd) {
+    /// Counts a valid request as rejected if there was no memory for its body. A request that the client failed to send
+    /// completely is not counted.
+    fn count_out_of_memory_rejection(&self, request: &ClientRequest, end: &ConnectionEnd) {
         if let ConnectionEnd::WithStatus(StatusCode::SERVICE_UNAVAILABLE) = end {
             self.context.metrics.request_started(request.class).end(metrics::RequestOutcome::Rejected);
         }
@@ -111,24 +112,24 @@
         let keep_alive = may_keep_alive(self.context, &exchange, &response, head);
         let delivery = exchange.respond(response, keep_alive, head.minor_version).await?;
         in_flight.end(delivery.outcome());
-        finish(exchange, &delivery, keep_alive).await
+        finish_exchange(exchange, &delivery, keep_alive).await
     }
 
-    async fn answer_unhandled(
+    async fn respond_without_handler(
         &mut self,
         status: StatusCode,
         body: ReceivedBody<'c>,
         head: &RequestHead,
     ) -> Result<(), ConnectionEnd> {
-        let mut exchange = Exchange::unhandled(&mut self.socket, body);
+        let mut exchange = Exchange::without_handler(&mut self.socket, body);
         let response = ClientResponse::without_body(status);
         let keep_alive = may_keep_alive(self.context, &exchange, &response, head);
         let delivery = exchange.respond(response, keep_alive, head.minor_version).await?;
-        finish(exchange, &delivery, keep_alive).await
+        finish_exchange(exchange, &delivery, keep_alive).await
     }
 }
 
-/// Whether the connection may carry another request after this response.
+/// Returns whether the connection may carry another request after this response.
 fn may_keep_alive(
     context: &ConnectionContext,
     exchange: &Exchange<'_, '_>,
@@ -141,18 +142,18 @@
         && !exchange.has_unread_body()
 }
 
-/// Keeps the connection after a response, or closes it.
-async fn finish(
+/// Ends an exchange: keeps the connection open for the next request, or closes it and returns an error.
+async fn finish_exchange(
     exchange: Exchange<'_, '_>,
     delivery: &Delivery,
     keep_alive: bool,
 ) -> Result<(), ConnectionEnd> {
     if let Delivery::Truncated = delivery {
-        return Err(ConnectionEnd::Silent);
+        return Err(ConnectionEnd::WithoutResponse);
     }
     if !keep_alive {
         exchange.close().await;
-        return Err(ConnectionEnd::Silent);
+        return Err(ConnectionEnd::WithoutResponse);
     }
     Ok(())
 }
--- a/src/node/connection/clients/context.rs
+++ b/src/node/connection/clients/context.rs
@@ -1,4 +1,4 @@
-//! What the connections of all clients share.
+//! State shared by the connections of all clients.
 
 use crate::node::{
     connection::clients::{handler::RequestHandler, memory::BodyMemory},
@@ -9,36 +9,36 @@
 use oliverack::Options;
 use std::{cell::Cell, rc::Rc};
 
-/// See the [module](self).
+/// State shared by the connections of all clients.
 pub struct ConnectionContext {
-    /// Serves the requests.
+    /// Processor of all valid requests.
     pub handler: Box<dyn RequestHandler>,
-    /// The classes and plans that requests may name.
+    /// Classes, plans and settings against which requests are validated.
     pub options: Options,
-    /// Counts the requests.
+    /// Counters of requests and their outcomes.
     pub metrics: Rc<Metrics>,
-    /// The processes that share the connection budget.
+    /// Number of processes that share the budgets for connections and memory.
     pub replica_counts: Rc<ReplicaCounts>,
-    /// Memory for bodies and streams.
+    /// Memory budget for bodies and streams.
     pub memory: BodyMemory,
-    /// A shutdown has begun: each response closes its connection.
+    /// Whether a shutdown has begun; each response then closes its connection.
     pub is_stopping: Cell<bool>,
 }
 
 impl ConnectionContext {
-    /// Bodies of all clients together hold at most `body_memory` bytes.
+    /// Creates the shared state. Bodies of all clients and processes together hold at most `body_memory_bytes`.
     pub fn new(
         handler: Box<dyn RequestHandler>,
         options: Options,
         metrics: Rc<Metrics>,
         replica_counts: Rc<ReplicaCounts>,
-        body_memory: usize,
+        body_memory_bytes: usize,
     ) -> Self {
-        let memory = BodyMemory::new(body_memory, replica_counts.clone());
+        let memory = BodyMemory::new(body_memory_bytes, replica_counts.clone());
         Self { handler, options, metrics, replica_counts, memory, is_stopping: Cell::new(false) }
     }
 
-    /// The status of the health check for load balancers in front of the gateway.
+    /// Returns the status of the health check for load balancers in front of the gateway.
     pub fn health_status(&self) -> StatusCode {
         if self.is_stopping.get() { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::OK }
     }
--- a/src/node/connection/clients/eviction.rs
+++ b/src/node/connection/clients/eviction.rs
@@ -1,4 +1,4 @@
-//! Chooses the connection that gives way to a new one when the budget is used up.
+//! Evicts a connection to make room for a new one when the connection budget is used up.
 
 use crate::node::connection::clients::state::{ConnectionState, ConnectionTable, Stage};
 use std::{
@@ -6,41 +6,44 @@
     time::{Duration, Instant},
 };
 
-/// An idle connection may be evicted after this time. It may never carry another request, whereas a connection that
-/// waits to be accepted has its request on the way.
+/// Shortest time after which an idle connection may be evicted. An idle connection may never carry another request,
+/// whereas a connection that waits to be accepted is about to send one.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(200);
-/// A connection without a complete request, or one that is closing, may be evicted after this time without a byte.
-const MIN_SILENCE: Duration = Duration::from_millis(150);
+/// Shortest time without a received byte after which a connection with an incomplete request may be evicted; also the
+/// shortest time after which a closing connection may be.
+const MIN_STALL_TIME: Duration = Duration::from_millis(150);
 
-/// Ends the connection that is least likely to carry a request, if there is one and no eviction is under way.
+/// Evicts the connection that is least likely to carry a request. Does nothing if an eviction is in progress or no
+/// connection has been inactive long enough.
 pub fn evict_one(connections: &ConnectionTable) {
     if connections.values().any(|connection| connection.is_evicted.get()) {
         return;
     }
-    if let Some(closing) = longest_inactive(connections, Stage::Closing, MIN_SILENCE) {
+    if let Some(closing) = longest_inactive(connections, Stage::Closing, MIN_STALL_TIME) {
         closing.abort();
         return;
     }
-    if let Some(victim) = idle_or_silent(connections) {
+    if let Some(victim) = select_idle_or_stalled(connections) {
         victim.is_evicted.set(true);
         victim.request_close();
     }
 }
 
-/// The longest idle connection, or the longest silent one if the idle are fewer. The larger group gives way first: many
-/// connections without a request must not displace those that have carried some, nor the reverse.
-fn idle_or_silent(connections: &ConnectionTable) -> Option<&Rc<ConnectionState>> {
-    let idle_count = count(connections, Stage::Idle);
-    let reading_count = count(connections, Stage::ReadingRequest);
-    let silent = longest_inactive(connections, Stage::ReadingRequest, MIN_SILENCE);
+/// Returns the connection that has been idle longest if more connections are idle than reading a request. Otherwise, or
+/// if no idle one is old enough, returns the one whose request has stalled longest. The larger group loses a connection
+/// first: many connections that have sent no request must not displace those that have, nor the reverse.
+fn select_idle_or_stalled(connections: &ConnectionTable) -> Option<&Rc<ConnectionState>> {
+    let idle_count = count_in_stage(connections, Stage::Idle);
+    let reading_count = count_in_stage(connections, Stage::ReadingRequest);
+    let stalled = longest_inactive(connections, Stage::ReadingRequest, MIN_STALL_TIME);
     if idle_count > reading_count || reading_count == 0 {
-        longest_inactive(connections, Stage::Idle, MIN_IDLE_TIME).or(silent)
+        longest_inactive(connections, Stage::Idle, MIN_IDLE_TIME).or(stalled)
     } else {
-        silent
+        stalled
     }
 }
 
-/// The connection in this stage that has been inactive longest, if for more than `min_time`.
+/// Returns the connection in this stage that has been inactive longest, if that is longer than `min_time`.
 fn longest_inactive(
     connections: &ConnectionTable,
     stage: Stage,
@@ -53,7 +56,8 @@
         .min_by_key(|connection| inactive_since(connection))
 }
 
-/// A slow client that still sends something is not inactive.
+/// Returns the start of the inactivity. While a request is being read, each received byte restarts the time, so that a
+/// slow client counts as active.
 fn inactive_since(connection: &ConnectionState) -> Instant {
     match connection.stage.get() {
         Stage::ReadingRequest => connection.last_read_at.get(),
@@ -61,7 +65,7 @@
     }
 }
 
-fn count(connections: &ConnectionTable, stage: Stage) -> usize {
+fn count_in_stage(connections: &ConnectionTable, stage: Stage) -> usize {
     connections.values().filter(|connection| connection.stage.get() == stage).count()
 }
 
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -1,8 +1,8 @@
-//! One request on a client's connection, up to its final response.
+//! Exchange of one request and its final response on a client's connection.
 
 use crate::node::{
     connection::clients::{
-        body_upload::{BodyUpload, UploadEnd},
+        body_upload::{BodyUpload, UploadOutcome},
         handler::{FinalResponse, RequestHandler},
         memory::MemoryPermit,
         request_reader::{ReceivedBody, ReceivedContent},
@@ -21,32 +21,32 @@
 use oliverack::RequestId;
 use tokio::sync::oneshot;
 
-/// A request and its response.
+/// One request and its response on a connection.
 pub struct Exchange<'a, 'c> {
     socket: &'a mut ClientSocket<'c>,
     /// Memory reserved for the request's body.
     memory: MemoryPermit<'c>,
-    /// Decodes the rest of a body that nobody wants any more.
-    unread_body: Option<BodyDecoder>,
+    /// Decoder for the rest of a request body that must be discarded; `None` if there is none.
+    unread_body_decoder: Option<BodyDecoder>,
 }
 
 impl<'a, 'c> Exchange<'a, 'c> {
-    /// An exchange whose request has a body that reserves `memory`.
+    /// Creates an exchange. `memory` is the reservation for the request's body.
     pub fn new(socket: &'a mut ClientSocket<'c>, memory: MemoryPermit<'c>) -> Self {
-        Self { socket, memory, unread_body: None }
+        Self { socket, memory, unread_body_decoder: None }
     }
 
-    /// An exchange that is answered without the handler, which leaves the rest of the body unread.
-    pub fn unhandled(socket: &'a mut ClientSocket<'c>, body: ReceivedBody<'c>) -> Self {
-        Self { socket, memory: body.memory, unread_body: body.content.into_unread() }
+    /// Creates an exchange whose response does not come from the handler. The rest of the body stays unread.
+    pub fn without_handler(socket: &'a mut ClientSocket<'c>, body: ReceivedBody<'c>) -> Self {
+        Self { socket, memory: body.memory, unread_body_decoder: body.content.into_decoder() }
     }
 
-    /// Whether the client may still send a body that nobody wants; the connection can't be kept then.
+    /// Returns whether the client may still send the rest of a body that is not needed. The connection must close then.
     pub fn has_unread_body(&self) -> bool {
-        self.unread_body.is_some()
+        self.unread_body_decoder.is_some()
     }
 
-    /// Hands the request to the handler. `None` if a request with the same transaction id is open.
+    /// Hands the request to the handler; returns `None` if a request with the same transaction id is open.
     pub fn submit(
         &mut self,
         mut request: ClientRequest,
@@ -62,17 +62,18 @@
                 body
             }
         };
-        let Some((id, receiver)) = handler.accept(request) else {
-            self.unread_body = upload.map(|upload| upload.decoder);
+        let Some((id, response_receiver)) = handler.accept(request) else {
+            self.unread_body_decoder = upload.map(|upload| upload.decoder);
             return None;
         };
-        Some(AcceptedRequest { handler, id, receiver, upload, is_answered: false })
+        Some(AcceptedRequest { handler, id, response_receiver, upload, has_response: false })
     }
 
-    /// Waits for the final response, streaming a large body meanwhile.
+    /// Waits for the final response. Streams the request body meanwhile if it is too large to be buffered.
     ///
     /// # Errors
-    /// The client has disconnected, or its body is malformed or too slow.
+    /// Returns an error if the client has disconnected or sends the body too slowly, or if the body is malformed or too
+    /// large.
     pub async fn wait_for_response(
         &mut self,
         request: &mut AcceptedRequest<'_>,
@@ -85,48 +86,48 @@
         self.socket.state.enter(Stage::Processing);
         let response = match early_response {
             Some(response) => response,
-            None => self.receive_response(&mut request.receiver).await?,
+            None => self.receive_response(&mut request.response_receiver).await?,
         };
-        request.is_answered = true;
+        request.has_response = true;
         Ok(response)
     }
 
-    /// Streams the body; returns the final response if that came before the body's end.
+    /// Streams the request body. Returns the final response if it arrives before the end of the body.
     async fn run_upload(
         &mut self,
         upload: BodyUpload,
         expects_continue: bool,
         request: &mut AcceptedRequest<'_>,
     ) -> Result<Option<FinalResponse>, ConnectionEnd> {
-        match upload.run(self.socket, expects_continue, &mut request.receiver).await? {
-            UploadEnd::Complete => {
+        match upload.run(self.socket, expects_continue, &mut request.response_receiver).await? {
+            UploadOutcome::Complete => {
                 request.handler.request_body_received(&request.id);
                 Ok(None)
             }
-            UploadEnd::Answered { response, unread_body } => {
-                self.unread_body = unread_body;
+            UploadOutcome::ResponseArrived { response, unread_body_decoder } => {
+                self.unread_body_decoder = unread_body_decoder;
                 Ok(Some(response))
             }
         }
     }
 
-    /// Waits for the final response. The select loses nothing: the response stays with the receiver, a disconnect with
-    /// the socket, and bytes that were read with the buffer.
+    /// Waits for the final response or a disconnect. Both branches are cancel safe: the response stays in the receiver,
+    /// the disconnect in the socket, and bytes that were read in the buffer.
     async fn receive_response(
         &mut self,
-        receiver: &mut oneshot::Receiver<FinalResponse>,
+        response_receiver: &mut oneshot::Receiver<FinalResponse>,
     ) -> Result<FinalResponse, ConnectionEnd> {
         tokio::select! {
             biased;
-            response = receiver => Ok(response.unwrap_or(FinalResponse::Failed)),
-            () = self.socket.wait_for_disconnect() => Err(ConnectionEnd::Silent),
+            response = response_receiver => Ok(response.unwrap_or(FinalResponse::Failed)),
+            () = self.socket.wait_for_disconnect() => Err(ConnectionEnd::WithoutResponse),
         }
     }
 
     /// Writes the response to the client.
     ///
     /// # Errors
-    /// The client has disconnected.
+    /// Returns an error if the client has disconnected.
     pub async fn respond(
         &mut self,
         response: ClientResponse,
@@ -135,19 +136,20 @@
     ) -> Result<Delivery, ConnectionEnd> {
         response_writer::write_response(self.socket, &self.memory, response, keep_alive, minor_version)
             .await
-            .map_err(|_| ConnectionEnd::Silent)
+            .map_err(|_| ConnectionEnd::WithoutResponse)
     }
 
-    /// Closes the connection in a way that lets the client read the response.
+    /// Discards the rest of the request body and closes the connection, so that the client can read the response.
     pub async fn close(mut self) {
         self.discard_unread_body().await;
         drop(self.memory);
         self.socket.linger().await;
     }
 
-    /// Reads the rest of an unwanted body: a client may read the response only after it has sent everything.
+    /// Reads and discards the rest of the request body, because a client may not read the response before it has sent
+    /// the complete body.
     async fn discard_unread_body(&mut self) {
-        let Some(mut decoder) = self.unread_body.take() else { return };
+        let Some(mut decoder) = self.unread_body_decoder.take() else { return };
         self.socket.state.enter(Stage::ReceivingBody);
         let mut discarded = BytesMut::new();
         while let Ok(false) = decoder.decode(&mut self.socket.buffer, &mut discarded, usize::MAX) {
@@ -159,20 +161,20 @@
     }
 }
 
-/// A request that the handler has accepted. Dropped before the final response, it notifies the handler that the client
-/// has disconnected.
+/// A request that the handler has accepted. If it is dropped before the final response arrives, it notifies the handler
+/// that the client has disconnected.
 pub struct AcceptedRequest<'c> {
     handler: &'c dyn RequestHandler,
     id: RequestId,
-    receiver: oneshot::Receiver<FinalResponse>,
-    /// The body, if it has to be streamed and that has not begun.
+    response_receiver: oneshot::Receiver<FinalResponse>,
+    /// Upload of a streamed body; `None` if the body is buffered or the upload has begun.
     upload: Option<BodyUpload>,
-    is_answered: bool,
+    has_response: bool,
 }
 
 impl Drop for AcceptedRequest<'_> {
     fn drop(&mut self) {
-        if !self.is_answered {
+        if !self.has_response {
             self.handler.client_disconnected(&self.id);
         }
     }
--- a/src/node/connection/clients/handler.rs
+++ b/src/node/connection/clients/handler.rs
@@ -1,4 +1,4 @@
-//! The interface to the part of the gateway that serves clients' requests.
+//! Interface between the HTTP server for clients and the code that processes their requests.
 
 use crate::node::wire::{
     client_request::ClientRequest,
@@ -10,28 +10,28 @@
 use oliverack::RequestId;
 use tokio::sync::oneshot;
 
-/// The one final response to a request.
+/// The final response to a request; each request gets exactly one.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// Served, with a buffered body.
+    /// The request was served; the body is buffered.
     Served(Bytes),
-    /// Served, with a streamed body.
+    /// The request was served; the body is streamed.
     Streamed {
-        /// In bytes, if it is known.
+        /// Length of the body in bytes; `None` if unknown.
         length: Option<u64>,
         pieces: PieceReceiver,
     },
-    /// Rejected before any endpoint may have worked on it; the client may retry.
+    /// The request was rejected and no endpoint has worked on it, so the client may retry.
     Rejected {
-        /// Retry-After in seconds; 0 leaves the header out.
+        /// `Retry-After` in seconds; 0 omits the header.
         retry_after: f64,
     },
-    /// Failed; an endpoint may have worked on it.
+    /// The request failed; an endpoint may have worked on it.
     Failed,
 }
 
 impl FinalResponse {
-    /// Its name in the log.
+    /// Returns the name of the response in log messages.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
@@ -57,12 +57,14 @@
     }
 }
 
-/// Serves clients' requests.
+/// Processes clients' requests.
 pub trait RequestHandler {
-    /// Takes a request; the receiver gets its final response. `None` if a request with the same transaction id is open.
+    /// Accepts a request and returns the receiver of the final response. Returns `None` if a request with the same
+    /// transaction id is open.
     fn accept(&self, request: ClientRequest) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)>;
-    /// The last byte of a streamed request body has arrived: the request's deadline and its attempts' time-outs start.
+    /// Reports that the last byte of a streamed request body has arrived, which starts the request's deadline and the
+    /// timeouts of its attempts.
     fn request_body_received(&self, request_id: &RequestId);
-    /// The client has disconnected before the final response.
+    /// Reports that the client has disconnected before the final response.
     fn client_disconnected(&self, request_id: &RequestId);
 }
--- a/src/node/connection/clients/listener.rs
+++ b/src/node/connection/clients/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections within a budget, and serves each in a task of its own.
+//! Accepts clients' connections within a budget and serves each in its own task.
 
 use crate::node::connection::clients::{
     connection::ClientConnection,
@@ -20,27 +20,27 @@
 };
 use tracing::warn;
 
-/// Wait before another look for capacity, and after a failure to accept.
+/// Longest wait between two checks for capacity, and pause after a failure to accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// All connections of clients.
+/// Listener for clients. Accepts connections within a budget and keeps a table of the open ones.
 pub struct ClientListener {
     context: ConnectionContext,
     connections: RefCell<ConnectionTable>,
     next_connection_id: Cell<u64>,
-    /// Most connections of all processes of this gateway together.
+    /// Highest number of connections of all processes of the gateway together.
     max_connections: usize,
-    /// Notified when a connection ends.
+    /// Notified whenever a connection ends.
     connection_ended: Notify,
     is_accepting: Cell<bool>,
-    /// Accepted while there was no capacity to serve it.
+    /// Socket that was accepted and waits for capacity to be served.
     pending_socket: RefCell<Option<TcpStream>>,
-    /// A failure to accept was logged; the next one is not, until a connection is accepted.
+    /// Whether a failure to accept was logged since the last accepted connection. Repeated failures are not logged.
     is_accept_failure_logged: Cell<bool>,
 }
 
 impl ClientListener {
-    /// Serves at most `max_connections` at once.
+    /// Creates a listener for at most `max_connections` in all processes of the gateway together.
     pub fn new(context: ConnectionContext, max_connections: usize) -> Rc<Self> {
         Rc::new(Self {
             context,
@@ -54,14 +54,15 @@
         })
     }
 
-    /// Begins the shutdown: from now on each response closes its connection, and the health check fails.
+    /// Begins the shutdown, after which each response closes its connection and the health check fails. Also serves the
+    /// connection that was accepted and waits for capacity, if there is one.
     pub fn begin_shutdown(self: &Rc<Self>) {
         self.context.is_stopping.set(true);
         self.serve_pending_socket();
     }
 
-    /// Asks each connection to close: at once if it is idle, otherwise after the response to its open request. One
-    /// whose request body is being streamed is left alone.
+    /// Asks each connection to close: at once if it is idle, otherwise after the response to its open request. Skips
+    /// connections that are receiving a streamed request body.
     pub fn close_connections(&self) {
         for connection in self.connections.borrow().values() {
             if connection.stage.get() != Stage::ReceivingBody {
@@ -70,12 +71,12 @@
         }
     }
 
-    /// Whether clients are accepted and no shutdown has begun.
+    /// Returns whether clients are accepted and no shutdown has begun.
     pub fn is_accepting(&self) -> bool {
         self.is_accepting.get() && !self.context.is_stopping.get()
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.connections.borrow().len()
     }
@@ -85,35 +86,36 @@
         self.connection_ended.notified().await;
     }
 
-    /// Accepts connections until it is cancelled. [`ClientListener::begin_shutdown`] then serves one that was accepted without
-    /// capacity.
+    /// Accepts connections until the future is dropped. A connection that waits for capacity then stays pending until
+    /// [`ClientListener::begin_shutdown`] serves it.
     pub async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         self.is_accepting.set(true);
         loop {
             if self.is_full() && self.context.replica_counts.has_successor() {
-                // The successor process accepts what this one leaves in the backlog.
-                self.wait_for_connection_end().await;
+                // The successor process accepts the connections that this one leaves in the backlog.
+                self.wait_for_capacity().await;
                 continue;
             }
             match listener.accept().await {
-                Ok((socket, _)) => self.admit(socket).await,
+                Ok((socket, _)) => self.serve_within_budget(socket).await,
                 Err(error) => self.back_off(&error).await,
             }
         }
     }
 
-    /// Serves an accepted connection as soon as there is capacity, evicting another one if need be.
-    async fn admit(self: &Rc<Self>, socket: TcpStream) {
+    /// Serves an accepted connection as soon as there is capacity, and evicts another connection if necessary.
+    async fn serve_within_budget(self: &Rc<Self>, socket: TcpStream) {
         self.is_accept_failure_logged.set(false);
         self.pending_socket.replace(Some(socket));
         while self.is_full() {
             self.evict_one();
-            self.wait_for_connection_end().await;
+            self.wait_for_capacity().await;
         }
         self.serve_pending_socket();
     }
 
-    /// Pauses after a failure to accept, such as a lack of descriptors, which must neither spin nor end the loop.
+    /// Logs a failure to accept, such as a lack of file descriptors, evicts a connection and pauses, so that the accept
+    /// loop neither spins nor ends.
     async fn back_off(&self, error: &io::Error) {
         if !self.is_accept_failure_logged.replace(true) {
             warn!(reason = %error, "accepting a connection failed");
@@ -122,8 +124,8 @@
         sleep(ACCEPT_BACKOFF).await;
     }
 
-    async fn wait_for_connection_end(&self) {
-        // Either way the caller looks again.
+    async fn wait_for_capacity(&self) {
+        // The caller checks for capacity again in either case.
         let _ = timeout(ACCEPT_BACKOFF, self.connection_ended()).await;
     }
 
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Ends connections that have exceeded a time limit, until it is cancelled.
+    /// Checks all connections periodically and ends those that have exceeded a time limit, until the future is dropped.
     pub async fn enforce_time_limits(self: Rc<Self>) {
         loop {
             sleep(timeouts::CHECK_INTERVAL).await;
@@ -156,7 +158,7 @@
         let task = tokio::task::spawn_local({
             let state = state.clone();
             async move {
-                // Otherwise a response might wait for the acknowledgement of the one before.
+                // With Nagle's algorithm a response might wait for the acknowledgement of the one before.
                 let _ = socket.set_nodelay(true);
                 ClientConnection::new(&registration.clients.context, socket, &state).run().await;
             }
@@ -172,7 +174,8 @@
     }
 }
 
-/// A connection's place in the table, and so in the budget. It is given back even if the task never ran.
+/// Registration of a connection in the table, which counts towards the budget. Dropping it frees the capacity, even if
+/// the connection's task never ran.
 struct Registration {
     clients: Rc<ClientListener>,
     id: u64,
--- a/src/node/connection/clients/memory.rs
+++ b/src/node/connection/clients/memory.rs
@@ -1,36 +1,38 @@
-//! The memory that bodies and streams may hold, reserved by permits.
+//! Memory budget for bodies and streams. Permits reserve parts of it.
 
 use crate::node::{hot_restart::replica_counts::ReplicaCounts, wire::limits::MAX_BUFFERED_BODY_BYTES};
 use std::{cell::Cell, rc::Rc};
 
-/// Most bytes that are buffered for one request while memory is ample. A slow client takes seconds to send them, and
-/// meanwhile holds neither an endpoint's connection nor a place under a concurrency limit.
-pub const MAX_AMPLE_BUFFER_BYTES: usize = 8 * MAX_BUFFERED_BODY_BYTES;
+/// Largest request body that is buffered while memory has headroom. A slow client takes seconds to send the body, and a
+/// buffered request holds neither an endpoint's connection nor a slot of a concurrency limit meanwhile.
+pub const MAX_BUFFER_BYTES_WITH_HEADROOM: usize = 8 * MAX_BUFFERED_BODY_BYTES;
 
-/// The memory for bodies and streams of all clients, in bytes, shared evenly with the other processes of this gateway.
+/// The budget for bodies and streams of all clients, divided evenly among the processes of the gateway.
 pub struct BodyMemory {
+    /// Bytes for all processes together.
     capacity: usize,
+    /// Bytes that this process has reserved.
     reserved: Cell<usize>,
     replica_counts: Rc<ReplicaCounts>,
 }
 
 impl BodyMemory {
-    /// A capacity in bytes, for all processes together.
+    /// Creates a budget of `capacity` bytes for all processes together.
     pub fn new(capacity: usize, replica_counts: Rc<ReplicaCounts>) -> Self {
         Self { capacity, reserved: Cell::new(0), replica_counts }
     }
 
-    /// The part of this process.
+    /// Returns this process's share of the capacity in bytes.
     fn process_capacity(&self) -> usize {
         self.capacity / self.replica_counts.count() as usize
     }
 
-    /// Whether this many more bytes leave at least half of this process's part free.
-    pub fn is_ample_for(&self, bytes: usize) -> bool {
+    /// Returns whether at least half of this process's share stays free after reserving this many more bytes.
+    pub fn has_headroom_for(&self, bytes: usize) -> bool {
         self.reserved.get() + bytes <= self.process_capacity() / 2
     }
 
-    /// Reserves this many bytes; `None` if they are not free.
+    /// Reserves this many bytes; returns `None` if fewer are free.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryPermit<'_>> {
         let reserved = self.reserved.get() + bytes;
         if reserved > self.process_capacity() {
@@ -40,29 +42,30 @@
         Some(MemoryPermit { reserved: &self.reserved, bytes })
     }
 
-    /// Extends a permit to this many bytes; `None` if they are not free, with the permit unchanged.
-    pub fn extend<'a>(&'a self, permit: &mut MemoryPermit<'a>, bytes: usize) -> Option<()> {
-        if bytes > permit.bytes {
-            let mut addition = self.reserve(bytes - permit.bytes)?;
-            permit.bytes += std::mem::take(&mut addition.bytes);
+    /// Extends a permit to `total_bytes` if it holds fewer. Returns `None` and leaves the permit unchanged if too few
+    /// bytes are free.
+    pub fn extend_to<'a>(&'a self, permit: &mut MemoryPermit<'a>, total_bytes: usize) -> Option<()> {
+        if total_bytes > permit.bytes {
+            let mut added = self.reserve(total_bytes - permit.bytes)?;
+            permit.bytes += std::mem::take(&mut added.bytes);
         }
         Some(())
     }
 
-    /// A permit for no bytes yet.
+    /// Creates a permit that holds no bytes.
     pub fn empty_permit(&self) -> MemoryPermit<'_> {
         MemoryPermit { reserved: &self.reserved, bytes: 0 }
     }
 }
 
-/// Reserved bytes, released when it is dropped.
+/// A reservation of bytes, released on drop.
 pub struct MemoryPermit<'a> {
     reserved: &'a Cell<usize>,
     bytes: usize,
 }
 
 impl MemoryPermit<'_> {
-    /// The number of reserved bytes.
+    /// Returns the number of bytes that this permit holds.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/src/node/connection/clients/mod.rs
+++ b/src/node/connection/clients/mod.rs
@@ -1,11 +1,12 @@
 //! The HTTP server for clients.
 //!
-//! - `listener` accepts connections within a budget; `eviction` and `timeouts` decide which of them end.
-//! - `connection` serves the requests of one connection, one after another; `state` holds its stage.
-//! - `socket` reads from and writes to it, `request_reader` and `response_writer` do so in terms of HTTP.
-//! - `exchange` hands one request to the [`RequestHandler`] and waits for its final response; `body_upload` streams a
-//!   large body meanwhile.
-//! - `memory` bounds what bodies of all connections may hold.
+//! - `listener` accepts connections within a budget. `eviction` closes one to make room for another, and `timeouts`
+//!   closes those that exceed a time limit.
+//! - `connection` serves the requests of one connection, one after another; `state` records the stage of a connection.
+//! - `socket` wraps the TCP stream; `request_reader` reads HTTP requests and `response_writer` writes HTTP responses.
+//! - `exchange` hands one request to the [`RequestHandler`] and waits for the final response; `body_upload` streams a
+//!   large request body to an endpoint meanwhile.
+//! - `memory` limits the memory for the bodies of all connections.
 
 mod body_upload;
 mod connection;
--- a/src/node/connection/clients/request_reader.rs
+++ b/src/node/connection/clients/request_reader.rs
@@ -1,8 +1,8 @@
-//! Reads requests from a client's connection: the head, and the body as far as it is buffered.
+//! Reads requests from a client's connection: the head, and the body unless it is too large to be buffered.
 
 use crate::node::{
     connection::clients::{
-        memory::{BodyMemory, MAX_AMPLE_BUFFER_BYTES, MemoryPermit},
+        memory::{BodyMemory, MAX_BUFFER_BYTES_WITH_HEADROOM, MemoryPermit},
         socket::ClientSocket,
         state::{ConnectionEnd, Stage},
     },
@@ -16,33 +16,33 @@
 use bytes::{Bytes, BytesMut};
 use hyper::StatusCode;
 
-/// Bytes that are read at once of a head or a short body.
+/// Largest number of bytes read at once for a head or a short body.
 const HEAD_READ_BYTES: usize = 4096;
-/// Ends a connection whose request finds no memory for its body.
+/// End of a connection when there is no memory for a request body.
 const NO_MEMORY: ConnectionEnd = ConnectionEnd::WithStatus(StatusCode::SERVICE_UNAVAILABLE);
 
-/// A request body, with the memory that is reserved for it.
+/// A request body and the memory reserved for it.
 pub struct ReceivedBody<'c> {
     pub content: ReceivedContent,
     pub memory: MemoryPermit<'c>,
 }
 
-/// A request body as far as it was read.
+/// The part of a request body that was read.
 pub enum ReceivedContent {
     Complete(Bytes),
-    /// Too large to be buffered.
+    /// The body is too large to be buffered.
     Partial {
         received: BytesMut,
-        /// Decodes the bytes to come.
+        /// Decoder for the rest of the body.
         decoder: BodyDecoder,
-        /// The length of the complete body in bytes, if it is known.
+        /// Length of the complete body in bytes; `None` if unknown.
         length: Option<usize>,
     },
 }
 
 impl ReceivedContent {
-    /// The decoder of the bytes to come, if there are any.
-    pub fn into_unread(self) -> Option<BodyDecoder> {
+    /// Returns the decoder for the rest of the body; `None` if the body is complete.
+    pub fn into_decoder(self) -> Option<BodyDecoder> {
         match self {
             Self::Complete(_) => None,
             Self::Partial { decoder, .. } => Some(decoder),
@@ -50,15 +50,15 @@
     }
 }
 
-/// Reads a request's head.
+/// Reads the head of the next request.
 pub async fn read_head(socket: &mut ClientSocket<'_>) -> Result<RequestHead, ConnectionEnd> {
-    let mut scanned = 0;
+    let mut scanned_bytes = 0;
     loop {
         if !socket.buffer.is_empty() {
             if socket.state.stage.get() == Stage::Idle {
                 socket.state.enter(Stage::ReadingRequest);
             }
-            if let Some(head) = request_head::take_head(&mut socket.buffer, &mut scanned)? {
+            if let Some(head) = request_head::take_head(&mut socket.buffer, &mut scanned_bytes)? {
                 return Ok(head);
             }
         }
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads a complete body, or as much as shows that it is too large to be buffered.
+/// Reads the complete body. If the body is too large to be buffered, reads only as much as shows that.
 pub async fn read_body<'c>(
     socket: &mut ClientSocket<'c>,
     head: &RequestHead,
@@ -79,7 +79,7 @@
         let content = ReceivedContent::Partial { received: BytesMut::new(), decoder, length };
         return Ok(ReceivedBody { content, memory });
     }
-    // More is reserved as bytes arrive: an announced body may never come.
+    // Memory is reserved as bytes arrive, because an announced body may never come.
     let memory = body_memory.reserve(0).ok_or(NO_MEMORY)?;
     if head.expects_continue && length != Some(0) && socket.buffer.is_empty() {
         socket.send_continue().await;
@@ -87,12 +87,13 @@
     buffer_body(socket, head.framing, memory).await
 }
 
-/// Whether a body of this length is streamed without an attempt to buffer it.
+/// Returns whether a body of this length is streamed from the start.
 fn must_stream(length: usize, memory: &BodyMemory) -> bool {
-    length > MAX_AMPLE_BUFFER_BYTES || length > MAX_BUFFERED_BODY_BYTES && !memory.is_ample_for(length)
+    length > MAX_BUFFER_BYTES_WITH_HEADROOM
+        || length > MAX_BUFFERED_BODY_BYTES && !memory.has_headroom_for(length)
 }
 
-/// Buffers a body. The limit of one without a known length grows while memory is ample.
+/// Buffers a body. The limit for a body of unknown length grows while memory has headroom.
 async fn buffer_body<'c>(
     socket: &mut ClientSocket<'c>,
     framing: Framing,
@@ -104,17 +105,18 @@
     let mut body = BytesMut::new();
     let mut limit = MAX_BUFFERED_BODY_BYTES;
     loop {
-        // One byte beyond the limit shows that the body exceeds it.
-        let wanted = length.unwrap_or(limit + 1);
-        if decoder.decode(&mut socket.buffer, &mut body, wanted)? {
+        // One byte beyond the limit shows that the body exceeds the limit.
+        let max_output = length.unwrap_or(limit + 1);
+        if decoder.decode(&mut socket.buffer, &mut body, max_output)? {
             return Ok(ReceivedBody { content: ReceivedContent::Complete(body.freeze()), memory });
         }
         let needed = body.len().next_multiple_of(MAX_PIECE_BYTES);
-        body_memory.extend(&mut memory, needed).ok_or(NO_MEMORY)?;
+        body_memory.extend_to(&mut memory, needed).ok_or(NO_MEMORY)?;
         if length.is_none() && body.len() > limit {
-            if limit < MAX_AMPLE_BUFFER_BYTES && body_memory.is_ample_for(MAX_BUFFERED_BODY_BYTES) {
+            if limit < MAX_BUFFER_BYTES_WITH_HEADROOM && body_memory.has_headroom_for(MAX_BUFFERED_BODY_BYTES)
+            {
                 limit += MAX_BUFFERED_BODY_BYTES;
-                // The socket's buffer may hold more of it already.
+                // The socket's buffer may already hold more of the body.
                 continue;
             }
             let content = ReceivedContent::Partial { received: body, decoder, length };
--- a/src/node/connection/clients/response_writer.rs
+++ b/src/node/connection/clients/response_writer.rs
@@ -1,4 +1,4 @@
-//! Writes a final response to a client's connection, buffered or streamed.
+//! Writes final responses, buffered or streamed, to a client's connection.
 
 use crate::node::{
     connection::clients::{memory::MemoryPermit, socket::ClientSocket, state::Stage},
@@ -16,21 +16,22 @@
 };
 use tokio::{io::AsyncWriteExt, time::sleep};
 
-/// Wait before another look for free memory.
+/// Pause between two attempts to reserve memory.
 const MEMORY_BACKOFF: Duration = Duration::from_millis(20);
-/// The system's send buffer for a streamed response: what it holds for a slow client is memory, too.
+/// Size of the system's send buffer for a streamed response. It is limited because bytes that wait there for a slow
+/// client take memory as well.
 const SEND_BUFFER_BYTES: usize = 128 * 1024;
 
-/// How much of a response the client got.
+/// Result of writing a response to a client.
 pub enum Delivery {
-    /// A complete response, which ended the request in this way.
+    /// The client was sent a complete response, which ends the request with this outcome.
     Complete(metrics::RequestOutcome),
-    /// Only a part; nothing more may be sent on the connection.
+    /// The client was sent only part of a response, so nothing more may be sent on the connection.
     Truncated,
 }
 
 impl Delivery {
-    /// How the request ended for the client.
+    /// Returns the outcome of the request for the client.
     pub fn outcome(&self) -> metrics::RequestOutcome {
         match self {
             Self::Complete(outcome) => *outcome,
@@ -39,19 +40,20 @@
     }
 }
 
-/// How the stream of a response ended.
-enum StreamEnd {
+/// Outcome of forwarding a streamed response.
+enum StreamOutcome {
     Complete,
-    /// It broke after its first bytes were written.
+    /// The stream broke after its first bytes were written.
     Truncated,
-    /// It broke before that, so the client has not seen a byte of the response.
+    /// The stream broke before any byte of the response was written to the client.
     Unstarted,
 }
 
-/// Writes a response. `memory` is what the exchange holds for the request's body, and is counted for the stream.
+/// Writes a response. A streamed response uses `memory`, the reservation for the request's body, and reserves only what
+/// it needs beyond that.
 ///
 /// # Errors
-/// The client has disconnected.
+/// Returns an error if the client has disconnected.
 pub async fn write_response(
     socket: &mut ClientSocket<'_>,
     memory: &MemoryPermit<'_>,
@@ -69,30 +71,32 @@
         }
         ResponseBody::Streamed { length, pieces } => (length, pieces),
     };
-    // The bound on memory holds for responses, too: one that finds no memory waits at its endpoint.
+    // Responses count towards the memory limit as well. Without free memory the rest of the response waits at the
+    // endpoint.
     let stream_memory = reserve_stream_memory(socket, memory).await;
-    // Without it the system's default holds, which is larger.
+    // A failure leaves the system's default, which is larger.
     let _ = SockRef::from(&socket.tcp).set_send_buffer_size(SEND_BUFFER_BYTES);
     let is_chunked = length.is_none() && minor_version > 0;
     let end = ResponseStream { socket, is_chunked, unsent: head }.forward(pieces).await?;
     drop(stream_memory);
     match end {
-        StreamEnd::Complete => Ok(Delivery::Complete(outcome)),
-        StreamEnd::Unstarted => {
+        StreamOutcome::Complete => Ok(Delivery::Complete(outcome)),
+        StreamOutcome::Unstarted => {
             let failure = ClientResponse::without_body(StatusCode::BAD_GATEWAY);
             let text = failure.render(keep_alive, minor_version);
             socket.tcp.write_all(&text).await?;
             Ok(Delivery::Complete(failure.outcome()))
         }
-        StreamEnd::Truncated => {
-            // A reset, so that a client which takes a close for the body's end sees that the body is incomplete.
+        StreamOutcome::Truncated => {
+            // Turns the close into a reset, so that a client that takes a close for the end of the body sees that the
+            // body is incomplete.
             let _ = SockRef::from(&socket.tcp).set_linger(Some(Duration::ZERO));
             Ok(Delivery::Truncated)
         }
     }
 }
 
-/// Reserves what a stream takes beyond the memory that the exchange holds already.
+/// Reserves the memory that a stream needs beyond the bytes that the exchange already holds. Waits until it is free.
 async fn reserve_stream_memory<'c>(socket: &ClientSocket<'c>, held: &MemoryPermit<'_>) -> MemoryPermit<'c> {
     loop {
         match socket.context.memory.reserve(STREAM_MEMORY_BYTES.saturating_sub(held.bytes())) {
@@ -102,17 +106,17 @@
     }
 }
 
-/// A response that is forwarded as it arrives from the endpoint.
+/// A response that is forwarded to the client as it arrives from the endpoint.
 struct ResponseStream<'a, 'c> {
     socket: &'a mut ClientSocket<'c>,
     is_chunked: bool,
-    /// Bytes to be written next: at first the head, which goes out with the first bytes of the body, so that the client
-    /// can still get another response if the stream breaks before them.
+    /// Bytes to be written next. They begin with the head, which is written together with the first bytes of the body:
+    /// if the stream breaks before these, the client can still get another response.
     unsent: Vec<u8>,
 }
 
 impl ResponseStream<'_, '_> {
-    async fn forward(mut self, mut pieces: PieceReceiver) -> io::Result<StreamEnd> {
+    async fn forward(mut self, mut pieces: PieceReceiver) -> io::Result<StreamOutcome> {
         let mut has_started = false;
         loop {
             self.socket.state.enter(Stage::Processing);
@@ -130,17 +134,17 @@
                         self.unsent.extend_from_slice(b"0\r\n\r\n");
                     }
                     self.flush().await?;
-                    return Ok(StreamEnd::Complete);
+                    return Ok(StreamOutcome::Complete);
                 }
-                None if has_started => return Ok(StreamEnd::Truncated),
-                None => return Ok(StreamEnd::Unstarted),
+                None if has_started => return Ok(StreamOutcome::Truncated),
+                None => return Ok(StreamOutcome::Unstarted),
             }
         }
     }
 
     fn append(&mut self, data: &[u8]) {
         if self.is_chunked {
-            // Writing to memory does not fail.
+            // Writing to a vector does not fail.
             let _ = write!(self.unsent, "{:x}\r\n", data.len());
         }
         self.unsent.extend_from_slice(data);
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Writes all unsent bytes. The stage's time restarts with each write that makes progress.
+    /// Writes all unsent bytes and restarts the stage's time with each write that makes progress.
     async fn flush(&mut self) -> io::Result<()> {
         let mut rest = &self.unsent[..];
         while !rest.is_empty() {
--- a/src/node/connection/clients/socket.rs
+++ b/src/node/connection/clients/socket.rs
@@ -1,10 +1,10 @@
-//! A client's socket with the bytes that were read from it and not yet consumed.
+//! A client's socket and the buffer for received bytes.
 
 use crate::node::{
     connection::{
         clients::{
             context::ConnectionContext,
-            memory::{MAX_AMPLE_BUFFER_BYTES, MemoryPermit},
+            memory::{MAX_BUFFER_BYTES_WITH_HEADROOM, MemoryPermit},
             state::{ConnectionEnd, ConnectionState, Stage},
         },
         socket_input::has_input,
@@ -19,36 +19,36 @@
     net::TcpStream,
 };
 
-/// Announces that the client may send the body.
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// Bytes that are read at once while a connection closes.
+/// Interim response that asks the client to send the body.
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// Largest number of bytes read at once while a connection closes.
 const LINGER_READ_BYTES: usize = 4096;
-/// Most reads while a connection closes: 256 KiB in all.
+/// Highest number of reads while a connection closes: 256 KiB in total.
 const MAX_LINGER_READS: usize = 64;
 
-/// See the [module](self).
+/// A client's socket with a buffer for received bytes.
 pub struct ClientSocket<'c> {
     pub context: &'c ConnectionContext,
     pub tcp: TcpStream,
     pub state: &'c ConnectionState,
-    /// Bytes that were read and not yet consumed.
+    /// Bytes that were received and not yet consumed.
     pub buffer: BytesMut,
-    /// Memory reserved for bytes that were read ahead into the buffer while a request was open.
+    /// Memory reserved for bytes that are read into the buffer while the gateway works on a request.
     read_ahead_memory: MemoryPermit<'c>,
 }
 
-/// What a wake-up by the close signal means.
+/// Meaning of a wake-up by [`ConnectionState::close_signal`].
 enum CloseSignal {
-    /// It was meant for an earlier stage.
+    /// The close request belongs to an earlier stage and is void.
     Outdated,
-    /// A request has begun to arrive meanwhile; it is served.
+    /// Bytes of a request have arrived meanwhile, so the request is read and the close is dropped.
     InputPending,
-    /// The connection is to close.
+    /// The connection must close.
     Close(ConnectionEnd),
 }
 
 impl<'c> ClientSocket<'c> {
-    /// A socket that has just been accepted.
+    /// Wraps a newly accepted socket.
     pub fn new(context: &'c ConnectionContext, tcp: TcpStream, state: &'c ConnectionState) -> Self {
         let read_ahead_memory = context.memory.empty_permit();
         Self { context, tcp, state, buffer: BytesMut::new(), read_ahead_memory }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Frees the buffer and drops what it holds.
+    /// Frees the buffer and discards the bytes in it.
     pub fn release_buffer(&mut self) {
         self.buffer = BytesMut::new();
         self.read_ahead_memory = self.context.memory.empty_permit();
@@ -70,11 +70,11 @@
     /// Waits for bytes of a request and reads up to about `max_bytes` into the buffer.
     ///
     /// # Errors
-    /// The client is gone, or the connection was asked to close and no input is pending.
+    /// Returns an error if the client has disconnected, or a close was requested and no input is pending.
     pub async fn read(&mut self, max_bytes: usize) -> Result<(), ConnectionEnd> {
         loop {
             tokio::select! {
-                ready = self.tcp.readable() => ready.map_err(|_| ConnectionEnd::Silent)?,
+                ready = self.tcp.readable() => ready.map_err(|_| ConnectionEnd::WithoutResponse)?,
                 () = self.state.close_signal.notified() => match self.evaluate_close_signal() {
                     CloseSignal::Outdated => continue,
                     CloseSignal::InputPending => {}
@@ -83,13 +83,13 @@
             }
             self.buffer.reserve(max_bytes);
             match self.tcp.try_read_buf(&mut self.buffer) {
-                Ok(0) => return Err(ConnectionEnd::Silent),
+                Ok(0) => return Err(ConnectionEnd::WithoutResponse),
                 Ok(count) => {
-                    self.state.note_read(count);
+                    self.state.record_read(count);
                     return Ok(());
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => return Err(ConnectionEnd::Silent),
+                Err(_) => return Err(ConnectionEnd::WithoutResponse),
             }
         }
     }
@@ -102,32 +102,33 @@
             self.state.is_evicted.set(false);
             return CloseSignal::InputPending;
         }
-        // An evicted connection gets no last response: the capacity is needed at once.
+        // An evicted connection gets no last response, because its capacity is needed at once.
         if self.buffer.is_empty() || self.state.is_evicted.get() {
-            CloseSignal::Close(ConnectionEnd::Silent)
+            CloseSignal::Close(ConnectionEnd::WithoutResponse)
         } else {
             CloseSignal::Close(ConnectionEnd::WithStatus(StatusCode::REQUEST_TIMEOUT))
         }
     }
 
-    /// Tells a client that waits for it to send the body. A client that can't be told will be seen to be gone.
+    /// Asks a client that expects `100 Continue` to send the body. Ignores a failed write, because a later read detects
+    /// the disconnect.
     pub async fn send_continue(&mut self) {
-        let _ = self.tcp.write_all(CONTINUE).await;
+        let _ = self.tcp.write_all(CONTINUE_RESPONSE).await;
     }
 
-    /// Waits until the client has disconnected. What it sends meanwhile is read ahead within a limit: the system's
-    /// buffer is small, and an end behind a full one would stay unseen.
+    /// Waits until the client has disconnected. Meanwhile reads received bytes into the buffer, up to a limit, because
+    /// the end of the input would go unnoticed behind a full receive buffer, and the system's is small.
     ///
-    /// Cancel safe: what was read stays in the buffer.
+    /// Cancel safe: the bytes that were read stay in the buffer.
     pub async fn wait_for_disconnect(&mut self) {
         while self.can_read_ahead() {
             tokio::select! {
                 biased;
-                () = disconnected(&self.tcp) => return,
+                () = wait_for_peer_close(&self.tcp) => return,
                 ready = self.tcp.readable() => if ready.is_err() { return },
             }
             let needed = self.buffer.len() + MAX_PIECE_BYTES;
-            if self.context.memory.extend(&mut self.read_ahead_memory, needed).is_none() {
+            if self.context.memory.extend_to(&mut self.read_ahead_memory, needed).is_none() {
                 break;
             }
             self.buffer.reserve(MAX_PIECE_BYTES);
@@ -138,16 +139,16 @@
                 Err(_) => return,
             }
         }
-        disconnected(&self.tcp).await;
+        wait_for_peer_close(&self.tcp).await;
     }
 
     fn can_read_ahead(&self) -> bool {
-        self.buffer.len() + MAX_PIECE_BYTES <= MAX_AMPLE_BUFFER_BYTES
-            && self.context.memory.is_ample_for(MAX_PIECE_BYTES)
+        self.buffer.len() + MAX_PIECE_BYTES <= MAX_BUFFER_BYTES_WITH_HEADROOM
+            && self.context.memory.has_headroom_for(MAX_PIECE_BYTES)
     }
 
-    /// Ends the sending side and reads for a moment, so that the last response arrives. The time limit of the stage
-    /// ends the wait for a client that does not close.
+    /// Shuts down the sending side and discards input until the client closes, so that the last response arrives. The
+    /// number of reads and the time limit of [`Stage::Closing`] bound the wait.
     pub async fn linger(&mut self) {
         self.state.enter(Stage::Closing);
         if self.tcp.shutdown().await.is_err() {
@@ -164,10 +165,10 @@
     }
 }
 
-/// Waits until the client has closed or reset its connection. The system reports that apart from the input, so it is
-/// seen even behind bytes that nobody has read.
-async fn disconnected(socket: &TcpStream) {
-    // The runtime doesn't register for urgent data, so that only the end of the input makes this interest ready.
-    // A failure means that the runtime shuts down, and this task with it.
+/// Waits until the client has closed or reset the connection. The system reports this separately from input, so it is
+/// detected even while unread bytes are pending.
+async fn wait_for_peer_close(socket: &TcpStream) {
+    // The runtime doesn't register for urgent data, so only the end of the input makes this interest ready. An error
+    // means that the runtime is shutting down, and this task with it.
     let _ = socket.ready(Interest::PRIORITY).await;
 }
--- a/src/node/connection/clients/state.rs
+++ b/src/node/connection/clients/state.rs
@@ -1,4 +1,5 @@
-//! The stage of a client's connection, shared between its own task and those that watch over all connections.
+//! The state of a client's connection, shared between the task that serves the connection and the code that closes
+//! connections from outside: the listener, the time limits and the eviction.
 
 use crate::node::wire::{request_body::BodyError, request_head::HeadError};
 use fnv::FnvHashMap;
@@ -10,58 +11,58 @@
 };
 use tokio::{sync::Notify, task::AbortHandle};
 
-/// Longest time for a complete request, from the connection or the request's first byte, with an allowance for its
-/// body; also the longest time without a byte of it. A client may take 2 s for a head, and one that sends nothing is owed an
-/// error or a close within 3 s.
+/// Longest time to receive a request, plus an allowance for each received byte, and longest time between two reads of
+/// it. The time starts when the connection is accepted, and for later requests with the first byte. A client may take
+/// 2 s to send a head, and one that sends nothing must get an error or a close within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Slowest rate at which a request may arrive without running out of time; slow clients send 64 kB a second.
+/// Lowest rate at which a request may arrive without missing the deadline; slow clients send 64 kB a second.
 const MIN_BYTES_PER_SECOND: f64 = 48_000.0;
 
-/// All open connections by their id.
+/// All open connections by id.
 pub type ConnectionTable = FnvHashMap<u64, Rc<ConnectionState>>;
 
-/// The stage of a connection. The usual way is from `ReadingRequest` by `Processing`, and `WritingResponse` or
-/// `StreamingResponse`, to `Idle`, and from there with the next byte to `ReadingRequest`. A connection that is not kept
-/// open goes to `Closing` instead of `Idle`.
+/// The stage of a connection. A request usually passes through `ReadingRequest`, `Processing`, and `WritingResponse` or
+/// `StreamingResponse`. Then the connection is `Idle` until the first byte of the next request, or `Closing` if it is
+/// not kept open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// The first request is awaited, or a request is incomplete.
+    /// Waiting for the first request, or reading a request that is incomplete.
     ReadingRequest,
-    /// More of a streamed request body is awaited, or the rest of an unwanted one.
+    /// Waiting for more of a request body that is streamed or discarded.
     ReceivingBody,
-    /// The gateway works on a request, and the client waits.
+    /// The client waits for the gateway.
     Processing,
-    /// A buffered response is being written.
+    /// Writing a buffered response.
     WritingResponse,
-    /// A piece of a streamed response is being written.
+    /// Writing a piece of a streamed response.
     StreamingResponse,
     /// No request is open.
     Idle,
-    /// The gateway has ended its side and waits for the client to close.
+    /// The gateway has shut down its sending side and waits for the client to close.
     Closing,
 }
 
-/// A client's connection as the listener, the time limits and the eviction see it.
+/// The state of a client's connection, and the means to close it from outside its task.
 pub struct ConnectionState {
     pub stage: Cell<Stage>,
-    /// When the connection entered its stage, or last made progress with a streamed response.
+    /// Time at which the connection entered the stage, or last made progress with a streamed response.
     pub entered_at: Cell<Instant>,
-    /// When bytes of the present request last arrived.
+    /// Time at which bytes of the current request last arrived.
     pub last_read_at: Cell<Instant>,
-    /// Time by which the present request must be complete.
+    /// Time by which the current request must be complete.
     request_deadline: Cell<Instant>,
-    /// The connection is to close, provided that it has not left the stage that it entered at this time.
+    /// Value of `entered_at` when a close was last requested. The close request is void once `entered_at` has changed.
     close_requested_for: Cell<Option<Instant>>,
-    /// The close was requested to free capacity for another connection.
+    /// Whether the close was requested to free capacity for another connection.
     pub is_evicted: Cell<bool>,
-    /// Wakes the connection's task to look at the close request.
+    /// Wakes the connection's task to check for a close request.
     pub close_signal: Notify,
-    /// The connection's task, once it was spawned.
+    /// The connection's task; `None` until it is spawned.
     pub task: RefCell<Option<AbortHandle>>,
 }
 
 impl Default for ConnectionState {
-    /// The state of a connection that has just been accepted.
+    /// Returns the state of a newly accepted connection.
     fn default() -> Self {
         let now = Instant::now();
         Self {
@@ -78,7 +79,7 @@
 }
 
 impl ConnectionState {
-    /// Enters a stage, which makes an earlier close request void.
+    /// Enters a stage and restarts its time, which voids an earlier close request.
     pub fn enter(&self, stage: Stage) {
         let now = Instant::now();
         if stage == Stage::ReadingRequest {
@@ -90,36 +91,36 @@
         self.entered_at.set(now);
     }
 
-    /// Changes the stage without restarting its time, so that a close request made just before stays valid.
-    pub fn continue_in(&self, stage: Stage) {
+    /// Changes the stage without restarting its time, so that an earlier close request stays valid.
+    pub fn set_stage(&self, stage: Stage) {
         self.stage.set(stage);
     }
 
-    /// Records that bytes of a request have arrived, and extends its deadline by their allowance.
-    pub fn note_read(&self, bytes: usize) {
+    /// Records that bytes of a request have arrived, and extends the request's deadline in proportion to them.
+    pub fn record_read(&self, bytes: usize) {
         self.last_read_at.set(Instant::now());
         let allowance = Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND);
         self.request_deadline.set(self.request_deadline.get() + allowance);
     }
 
-    /// Extends the request's deadline by a time in which the gateway, not the client, held up its body.
-    pub fn exclude_wait(&self, started_at: Instant) {
+    /// Extends the request's deadline by a wait, just ended, in which the gateway and not the client delayed the body.
+    pub fn exclude_gateway_wait(&self, wait_started_at: Instant) {
         self.last_read_at.set(Instant::now());
-        self.request_deadline.set(self.request_deadline.get() + started_at.elapsed());
+        self.request_deadline.set(self.request_deadline.get() + wait_started_at.elapsed());
     }
 
-    /// Whether the request has missed its deadline, or no byte of it has arrived for too long.
+    /// Returns whether the current request has missed its deadline, or none of its bytes has arrived for too long.
     pub fn is_request_overdue(&self) -> bool {
         self.last_read_at.get().elapsed() > REQUEST_TIMEOUT || self.request_deadline.get() < Instant::now()
     }
 
-    /// Asks the connection's task to close it, unless it enters another stage first.
+    /// Asks the connection's task to close the connection. The task ignores this if it enters another stage first.
     pub fn request_close(&self) {
         self.close_requested_for.set(Some(self.entered_at.get()));
         self.close_signal.notify_one();
     }
 
-    /// Whether a close was requested in the present stage. An older request says nothing about it.
+    /// Returns whether a close was requested since the connection entered the stage. Earlier close requests are void.
     pub fn is_close_requested(&self) -> bool {
         self.close_requested_for.get() == Some(self.entered_at.get())
     }
@@ -132,12 +133,12 @@
     }
 }
 
-/// How a connection ends.
+/// Way in which the gateway ends a connection.
 #[derive(Debug)]
 pub enum ConnectionEnd {
-    /// Without a further response: the client is gone, or owed nothing.
-    Silent,
-    /// With this status as the last response.
+    /// Without a further response, because the client is gone or expects none.
+    WithoutResponse,
+    /// With a last response that has this status and no body.
     WithStatus(StatusCode),
 }
 
--- a/src/node/connection/clients/timeouts.rs
+++ b/src/node/connection/clients/timeouts.rs
@@ -1,29 +1,29 @@
-//! Time limits of clients' connections. One regular look at all connections is cheaper than a timer for each.
+//! Time limits of clients' connections. One periodic check of all connections is cheaper than a timer for each.
 
 use crate::node::connection::clients::state::{ConnectionState, ConnectionTable, Stage};
 use std::time::Duration;
 
-/// Time between two looks at the connections.
+/// Time between two checks of all connections.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time for a client to read a buffered response.
+/// Longest time for writing a buffered response to a client.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time without progress of a streamed response. The system accepts more bytes only after a good part of its
-/// buffer has drained, and slow clients read 64 kB a second.
+/// Longest time without progress of a streamed response. Slow clients read 64 kB a second, and the system accepts more
+/// bytes only after a good part of the send buffer has drained.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time for the client to close after the gateway has ended its side. An immediate close would reset the
-/// connection while data is unread, and might destroy the response on its way.
+/// Longest wait for the client to close after the gateway has shut down its sending side. If the gateway closed at
+/// once, unread data would turn the close into a reset, which may discard the response before the client reads it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time between two requests.
+/// Longest time between two requests on a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Ends the connections that have exceeded a limit of their stage.
+/// Closes or aborts the connections that have exceeded the time limit of their stage.
 pub fn enforce(connections: &ConnectionTable) {
     for connection in connections.values() {
-        enforce_on(connection);
+        enforce_on_connection(connection);
     }
 }
 
-fn enforce_on(connection: &ConnectionState) {
+fn enforce_on_connection(connection: &ConnectionState) {
     let time_in_stage = connection.entered_at.get().elapsed();
     match connection.stage.get() {
         Stage::ReadingRequest | Stage::ReceivingBody if connection.is_request_overdue() => {
--- a/tests/unit/eviction.rs
+++ b/tests/unit/eviction.rs
@@ -1,8 +1,8 @@
-//! Which connection gives way when the budget is used up.
+//! Selection of the connection to evict when the budget is used up.
 
 use super::*;
 
-/// A connection that has been in a stage, without a byte, for this many milliseconds.
+/// Creates a connection that has been in a stage, without receiving a byte, for this many milliseconds.
 fn connection(stage: Stage, millis: u64) -> Rc<ConnectionState> {
     let state = ConnectionState::default();
     let since = Instant::now() - Duration::from_millis(millis);
@@ -12,7 +12,7 @@
     Rc::new(state)
 }
 
-/// The position of the connection that is evicted.
+/// Evicts one connection and returns the position of the connection that is marked as evicted.
 fn evicted(connections: &[Rc<ConnectionState>]) -> Option<usize> {
     evict_one(&(0..).zip(connections.iter().cloned()).collect());
     connections.iter().position(|connection| connection.is_evicted.get())
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn larger_group_of_idle_and_reading_connections_gives_way() {
+fn larger_group_of_idle_and_reading_connections_is_evicted_first() {
     let mostly_reading = [
         connection(Stage::Idle, 5000),
         connection(Stage::ReadingRequest, 200),
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn silent_connection_is_evicted_if_no_idle_one_is_old_enough() {
+fn stalled_connection_is_evicted_if_no_idle_one_is_old_enough() {
     let connections =
         [connection(Stage::Idle, 100), connection(Stage::Idle, 100), connection(Stage::ReadingRequest, 300)];
     assert_eq!(evicted(&connections), Some(2));
 }
 
 #[test]
-fn eviction_under_way_prevents_another() {
+fn eviction_in_progress_prevents_another() {
     let connections = [connection(Stage::Idle, 300), connection(Stage::Idle, 400)];
     connections[0].is_evicted.set(true);
     assert_eq!(evicted(&connections), Some(0));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn closing_connection_is_ended_before_others_are_asked_to_close() {
+fn closing_connection_is_aborted_first() {
     let connections = [connection(Stage::Idle, 5000), connection(Stage::Closing, 200)];
     assert_eq!(evicted(&connections), None);
     assert!(!connections[0].is_close_requested());
