--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -105,11 +105,11 @@
         let headers = &head.headers;
         let class = parse_class(head, options)?;
         let plan =
-            required_header(headers, "x-plan", |name| options.plan_names.iter().position(|plan| plan == name))?;
-        let customer = required_header(headers, "x-customer", parse_customer)?;
-        let remaining_seconds = required_header(headers, "x-remaining", parse_remaining)?;
-        let quota = required_header(headers, "x-quota", |text| QuotaHeader::parse(text, options))?;
-        let transaction_id = required_header(headers, "x-txn", parse_transaction_id)?;
+            parse_header(headers, "x-plan", |name| options.plan_names.iter().position(|plan| plan == name))?;
+        let customer = parse_header(headers, "x-customer", parse_customer)?;
+        let remaining_seconds = parse_header(headers, "x-remaining", parse_remaining)?;
+        let quota = parse_header(headers, "x-quota", |text| QuotaHeader::parse(text, options))?;
+        let transaction_id = parse_header(headers, "x-txn", parse_transaction_id)?;
         let path_and_query = head.uri.path_and_query().cloned().ok_or(InvalidRequest::Target)?;
         Ok(Self {
             class,
@@ -133,7 +133,7 @@
 }
 
 /// Returns the parsed value of a header that must be present exactly once.
-fn required_header<'a, T>(
+fn parse_header<'a, T>(
     headers: &'a HeaderMap,
     name: &'static str,
     parse: impl FnOnce(&'a str) -> Option<T>,
@@ -153,7 +153,7 @@
 
 /// Returns the index of the class named in `x-lane`, which the first segment of the path must repeat.
 fn parse_class(head: &RequestHead, options: &Options) -> Result<usize, InvalidRequest> {
-    let name = required_header(&head.headers, "x-lane", Some)?;
+    let name = parse_header(&head.headers, "x-lane", Some)?;
     let class = options.class_names.iter().position(|class| class == name);
     let class = class.ok_or(InvalidRequest::Header("x-lane"))?;
     let is_path_of_class = head.uri.path().split('/').nth(1) == Some(name);
@@ -191,7 +191,7 @@
     if !headers.contains_key("x-resent") {
         return Ok(false);
     }
-    required_header(headers, "x-resent", |text| match text {
+    parse_header(headers, "x-resent", |text| match text {
         "0" => Some(false),
         "1" => Some(true),
         _ => None,
