--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -24,5 +24,5 @@
     let counter = config.counter.map_or("none".to_owned(), |address| address.to_string());
     info!(discovery = %config.discovery, %counter, "configuration reloaded");
     discovery_address.send_replace(config.discovery);
-    driver.counter_calls().move_to(config.counter);
+    driver.counter_calls().set_address(config.counter);
 }
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -1,4 +1,4 @@
-//! Carries out attempts, and reports to the policy how they ended.
+//! Carries out attempts and reports their ends to the policy.
 
 use crate::node::{
     connection::{
@@ -24,19 +24,19 @@
 use tokio::{sync::mpsc, task::AbortHandle};
 use tracing::debug;
 
-/// An attempt that the policy wants started.
-pub struct AttemptOrder {
-    /// The request that it is for.
+/// Parameters of an attempt that the policy starts.
+pub struct AttemptSpec {
+    /// Request that the attempt is for.
     pub request_id: RequestId,
-    /// Where to send it.
+    /// Endpoint that receives the attempt.
     pub endpoint: EndpointId,
-    /// How long its response may take; 0 means for as long as the client waits.
+    /// Maximum time until the response; 0 means as long as the client waits.
     pub timeout: Seconds,
-    /// Endpoints may forget the request's idempotency key from then on.
+    /// Time from which endpoints may forget the request's idempotency key; `None` if there is no such time.
     pub dedup_until: Option<Time>,
 }
 
-/// The attempts of all open requests.
+/// Starts, cancels and ends the attempts of all open requests.
 pub struct Attempts {
     policy: Rc<PolicyLoop>,
     clock: Rc<Clock>,
@@ -46,7 +46,7 @@
 }
 
 impl Attempts {
-    /// Attempts for the requests of `table` that go to `endpoints`.
+    /// Creates the attempts of the requests in `table`. They are sent through `endpoints`.
     pub fn new(
         policy: Rc<PolicyLoop>,
         clock: Rc<Clock>,
@@ -57,34 +57,35 @@
         Rc::new(Self { policy, clock, timers, table, endpoints })
     }
 
-    /// Starts an attempt, or reports it as not sent if its request no longer waits or the endpoint is unknown.
-    pub fn start(self: &Rc<Self>, now: Time, order: AttemptOrder) {
-        let target = self.endpoints.target(&order.endpoint);
-        let Some(mut request) = self.table.get_mut(&order.request_id) else { return };
-        let timeout = request.attempt_timeout(now, order.timeout);
+    /// Starts an attempt. Reports it as not sent if its request no longer waits, its endpoint is unknown or no time is
+    /// left.
+    pub fn start(self: &Rc<Self>, now: Time, spec: AttemptSpec) {
+        let target = self.endpoints.target(&spec.endpoint);
+        let Some(mut request) = self.table.get_mut(&spec.request_id) else { return };
+        let timeout = request.attempt_timeout(now, spec.timeout);
         let is_finished = !request.is_waiting();
         if let Some(target) = target.filter(|_| !is_finished && timeout > 0.0) {
-            self.launch(now, order, target, timeout, &mut request);
+            self.launch(now, spec, target, timeout, &mut request);
             return;
         }
         let number = request.add_unsent_attempt();
         drop(request);
-        self.release(&order.request_id);
-        self.policy.post(not_sent(order.request_id, number, order.endpoint, is_finished));
+        self.release(&spec.request_id);
+        self.policy.post(not_sent_event(spec.request_id, number, spec.endpoint, is_finished));
     }
 
     fn launch(
         self: &Rc<Self>,
         now: Time,
-        order: AttemptOrder,
+        spec: AttemptSpec,
         target: Target,
         timeout: Seconds,
         request: &mut OpenRequest,
     ) {
-        let AttemptOrder { request_id, endpoint, dedup_until, .. } = order;
-        // A streamed body is sent once at most, however long it takes.
+        let AttemptSpec { request_id, endpoint, dedup_until, .. } = spec;
+        // Only a buffered body can be sent again; a streamed one is sent at most once, however long it takes.
         if let (Some(until), RequestBody::Buffered(_)) = (dedup_until, &request.upstream().body) {
-            request.set_dedup_deadline(until);
+            request.set_dedup_until(until);
             self.timers.set(until, TimerPurpose::DedupEnd(request_id.clone()));
         }
         let number = request.next_attempt_number();
@@ -93,7 +94,7 @@
         let write_progress = WriteProgressHandle::default();
         let task = self.spawn(request_id.clone(), number, target, upstream, timeout, write_progress.clone());
         let timeout_timer = request
-            .is_complete()
+            .is_received()
             .then(|| self.timers.set(now + timeout, TimerPurpose::Attempt(request_id, number)));
         request.add_attempt(InFlightAttempt {
             endpoint,
@@ -132,8 +133,8 @@
         self.table.is_some_and(request_id, |request| request.may_send(self.clock.now()))
     }
 
-    /// Makes a streamed response the final one, and returns where its pieces go; `None` if the client has
-    /// another response, or has disconnected.
+    /// Delivers a streamed response as the final one and returns the sender of its pieces. `None` if the client
+    /// already has another response, or has disconnected.
     fn response_started(
         &self,
         request_id: &RequestId,
@@ -144,7 +145,7 @@
         request.attempt_mut(number)?;
         let (sender, pieces) = stream::channel();
         let outcome = request.deliver(FinalResponse::Streamed { length, pieces });
-        if outcome == DeliveryOutcome::NotOwed {
+        if outcome == DeliveryOutcome::NotWaiting {
             return None;
         }
         let attempt = request.attempt_mut(number)?;
@@ -173,7 +174,7 @@
         let is_finished = !request.is_waiting();
         drop(request);
         self.release(request_id);
-        // How long a streamed response takes depends on its client, so only the time to its start counts.
+        // The end of a streamed response depends on how fast its client reads, so only the time to its start counts.
         let ended_at = attempt.response_started_at.unwrap_or_else(|| self.clock.now());
         self.policy.post(Event::AttemptEnded {
             request_id: request_id.clone(),
@@ -187,8 +188,8 @@
         });
     }
 
-    /// Ends an attempt from this side with `status`, or with [`Status::NotSent`] if it was not written
-    /// completely: then it has not run, whatever ended it.
+    /// Cancels an attempt and reports its end with `status`, or with [`Status::NotSent`] if the endpoint can't have
+    /// run it because it was not written completely.
     pub fn cancel(&self, request_id: &RequestId, number: u32, status: Status) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         let Some(attempt) = request.attempt_mut(number) else { return };
@@ -198,9 +199,9 @@
         self.end(request_id, number, AttemptEnd::without_response(status));
     }
 
-    /// Releases what a request no longer needs. Once nothing may be sent for it, its unsent attempts are
-    /// cancelled, as they wait for a connection or are half written and must not run now. Once it is
-    /// finished, it is removed.
+    /// Releases what a request no longer needs. Once nothing may be sent for the request, cancels its unsent attempts:
+    /// they wait for a connection or are written partly, and must not run any more. Once the request is finished,
+    /// removes it.
     pub fn release(&self, request_id: &RequestId) {
         for number in self.attempts_to_cancel(request_id) {
             self.cancel(request_id, number, Status::Cancelled);
@@ -219,8 +220,8 @@
     }
 }
 
-/// The end of an attempt that was never started.
-fn not_sent(request_id: RequestId, attempt: u32, endpoint: EndpointId, is_finished: bool) -> Event {
+/// Returns the event for the end of an attempt that was never started.
+fn not_sent_event(request_id: RequestId, attempt: u32, endpoint: EndpointId, is_finished: bool) -> Event {
     Event::AttemptEnded {
         request_id,
         attempt,
--- a/src/node/runtime/clock.rs
+++ b/src/node/runtime/clock.rs
@@ -1,34 +1,35 @@
-//! The clock of all events.
+//! Clock that gives the time of all events.
 
 use oliverack::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Farthest moment that can be converted, from the start of the clock on.
+/// Latest time that can be converted to an [`Instant`], in seconds after the start of the clock.
 const MAX_SECONDS_AHEAD: f64 = 1e9;
 
-/// Unix time that never goes back: the system's clock is read once and continued by the monotonic clock. Unix
-/// time, as all gateways must agree on the windows of the quotas.
+/// Unix time that never goes back: the system clock is read once and continued by the monotonic clock. It is Unix
+/// time because all gateways must agree on the windows of the quotas.
 #[derive(Debug)]
 pub struct Clock {
     start: Instant,
-    start_unix: Time,
+    unix_time_at_start: Time,
 }
 
 impl Clock {
-    /// A clock that starts from the system's.
+    /// Creates a clock that starts at the time of the system clock.
     pub fn new() -> Self {
-        let start_unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
-        Self { start: Instant::now(), start_unix }
+        let unix_time_at_start =
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64();
+        Self { start: Instant::now(), unix_time_at_start }
     }
 
-    /// The current Unix time.
+    /// Returns the current Unix time, in seconds.
     pub fn now(&self) -> Time {
-        self.start_unix + self.start.elapsed().as_secs_f64()
+        self.unix_time_at_start + self.start.elapsed().as_secs_f64()
     }
 
-    /// Converts a Unix time to the monotonic clock.
+    /// Converts a Unix time to the monotonic clock. A time before the start of the clock becomes the start.
     pub fn instant(&self, at: Time) -> Instant {
-        let seconds_ahead = (at - self.start_unix).clamp(0.0, MAX_SECONDS_AHEAD);
+        let seconds_ahead = (at - self.unix_time_at_start).clamp(0.0, MAX_SECONDS_AHEAD);
         self.start + Duration::from_secs_f64(seconds_ahead)
     }
 }
--- a/src/node/runtime/counter_calls.rs
+++ b/src/node/runtime/counter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the counter, and their time limits.
+//! Makes the policy's calls to the counter and sets their timeouts.
 
 use crate::node::runtime::{
     counters::CounterClients,
@@ -13,35 +13,36 @@
     policy: Rc<PolicyLoop>,
     timers: Rc<Timers>,
     clients: CounterClients,
-    is_enabled: bool,
+    has_counter: bool,
     timeout: Seconds,
 }
 
 impl CounterCalls {
-    /// Calls to the counter at `addr`, if the settings have one.
+    /// Creates the calls to the counter at `address`. The address is ignored if the settings have no counter.
     pub fn new(
-        addr: Option<SocketAddr>,
+        address: Option<SocketAddr>,
         settings: &Settings,
         policy: Rc<PolicyLoop>,
         timers: Rc<Timers>,
     ) -> Self {
         let timeout = settings.counter_timeout;
-        let addr = addr.filter(|_| settings.has_counter);
-        let clients = CounterClients::new(addr, Duration::from_secs_f64(timeout));
-        Self { policy, timers, clients, is_enabled: settings.has_counter, timeout }
+        let address = address.filter(|_| settings.has_counter);
+        let clients = CounterClients::new(address, Duration::from_secs_f64(timeout));
+        Self { policy, timers, clients, has_counter: settings.has_counter, timeout }
     }
 
-    /// Connects to the counter before the first call needs it.
+    /// Connects to the counter, so that the first call finds a connection.
     pub fn connect(&self) {
-        self.clients.start(&self.policy.sender());
+        self.clients.connect(&self.policy.sender());
     }
 
-    /// Makes new calls to another address, where the settings have a counter.
-    pub fn move_to(&self, addr: Option<SocketAddr>) {
-        self.clients.move_to(addr.filter(|_| self.is_enabled), &self.policy.sender());
+    /// Sets the address for new calls; `None` removes the counter. Does nothing if the settings have no counter.
+    pub fn set_address(&self, address: Option<SocketAddr>) {
+        self.clients.set_address(address.filter(|_| self.has_counter), &self.policy.sender());
     }
 
-    /// Adds to a count; the policy is told of the total. Without a counter the call fails at once.
+    /// Adds `amount` to a count that expires after `ttl`. The policy receives the new total as an event. Without an
+    /// address of the counter, the call fails at once.
     pub fn add(&self, now: Time, counter: u64, amount: f64, ttl: Seconds) {
         let Some(client) = self.clients.client_for(counter) else {
             return self.policy.post(Event::CounterReplied {
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -1,5 +1,5 @@
-//! Composes the parts of the runtime and passes on between them: actions, due timers, endpoint lists, and what
-//! replica processes say. It decides nothing.
+//! Composes the parts of the runtime, and routes actions, due timers, endpoint lists and messages of replica processes
+//! to them. It makes no decisions of its own.
 
 use crate::node::{
     config::Config,
@@ -10,7 +10,7 @@
     },
     metrics::Metrics,
     runtime::{
-        attempts::{AttemptOrder, Attempts},
+        attempts::{AttemptSpec, Attempts},
         clock::Clock,
         counter_calls::CounterCalls,
         maintenance::Maintenance,
@@ -32,7 +32,7 @@
 use tokio::sync::Notify;
 use tracing::{error, info};
 
-/// The runtime of one gateway.
+/// Runtime of one gateway.
 pub struct Driver {
     clock: Rc<Clock>,
     timers: Rc<Timers>,
@@ -48,10 +48,11 @@
 }
 
 impl Driver {
-    /// The runtime of a gateway that starts with the endpoint list `cached_endpoints`, which may be out of date.
+    /// Creates the runtime of a gateway. It starts with the endpoint list `cached_endpoints`, which may be out of
+    /// date, and opens at most `endpoint_budget` connections to endpoints.
     ///
     /// # Errors
-    /// The settings are not usable.
+    /// The settings are invalid.
     pub fn new(
         config: &Config,
         cached_endpoints: Vec<ListedEndpoint>,
@@ -99,47 +100,47 @@
         Ok(driver)
     }
 
-    /// The open requests.
+    /// Returns the open requests.
     pub fn requests(&self) -> &Rc<Requests> {
         &self.requests
     }
 
-    /// The endpoints in maintenance.
+    /// Returns the part that handles maintenance of endpoints.
     pub fn maintenance(&self) -> &Maintenance {
         &self.maintenance
     }
 
-    /// The calls to the counter.
+    /// Returns the part that calls the counter.
     pub fn counter_calls(&self) -> &CounterCalls {
         &self.counter_calls
     }
 
-    /// The other processes of this gateway.
+    /// Returns the table of the other processes of this gateway.
     pub fn replicas(&self) -> &Rc<ReplicaTable> {
         &self.replicas
     }
 
-    /// How many processes serve this gateway.
+    /// Returns the numbers of the processes that serve this gateway.
     pub fn replica_counts(&self) -> &Rc<ReplicaCounts> {
         &self.replica_counts
     }
 
-    /// Notified when the policy wants discovery to be polled.
+    /// Returns the signal that the policy gives to have discovery polled.
     pub fn poll_requested(&self) -> &Rc<Notify> {
         &self.poll_requested
     }
 
-    /// How many endpoints there are, and how many of them receive nothing at present.
+    /// Returns the number of endpoints, and how many of them receive no requests at present.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.policy.endpoint_counts()
     }
 
-    /// Closes connections to endpoints that have been idle for too long.
+    /// Closes the connections to endpoints that have been idle for too long.
     pub fn close_idle_connections(&self) {
         self.endpoints.close_expired();
     }
 
-    /// Fires timers as they are due. Never returns.
+    /// Fires timers when they are due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             match self.timers.next_due() {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// The pool learns the endpoints' addresses, which are this gateway's own; the policy learns the rest.
+    /// Updates the pool with the addresses of the endpoints, and the policy with everything else.
     fn update_endpoints(&self, kind: ListKind, endpoints: Vec<ListedEndpoint>) {
         self.endpoints.update(kind != ListKind::Changes, &endpoints);
         let endpoints = endpoints.into_iter().map(|listed| listed.endpoint).collect();
@@ -177,7 +178,7 @@
     }
 }
 
-/// The connections to endpoints, of which `budget` may be open.
+/// Creates the pool of connections to endpoints, of which at most `budget` may be open.
 fn endpoint_pool(config: &Config, budget: usize, metrics: &Metrics) -> Rc<EndpointPool> {
     Rc::new(EndpointPool::new(
         budget,
@@ -191,7 +192,7 @@
     fn execute(&self, now: Time, action: Action) {
         match action {
             Action::StartAttempt { request_id, endpoint, timeout, dedup_until } => {
-                self.attempts.start(now, AttemptOrder { request_id, endpoint, timeout, dedup_until });
+                self.attempts.start(now, AttemptSpec { request_id, endpoint, timeout, dedup_until });
             }
             Action::Reject { request_id, retry_after } => self.requests.reject(&request_id, retry_after),
             Action::Fail { request_id } => self.requests.fail(&request_id),
--- a/src/node/runtime/maintenance.rs
+++ b/src/node/runtime/maintenance.rs
@@ -1,4 +1,4 @@
-//! The endpoints that operators have put into maintenance.
+//! Puts endpoints into maintenance and takes them out, as operators request.
 
 use crate::node::{
     connection::{endpoint_pool::EndpointPool, operators::MaintenanceError},
@@ -9,17 +9,17 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Applies what operators say about maintenance here, at the replica processes and in the file.
+/// Applies changes of maintenance in this process, in the replica processes and in the maintenance file.
 pub struct Maintenance {
     policy: Rc<PolicyLoop>,
     endpoints: Rc<EndpointPool>,
     replicas: Rc<ReplicaTable>,
-    /// `None` if there are no operator calls, or no folder for the file.
+    /// Maintenance file; `None` if there are no operator calls, or no folder for the file.
     file: Option<MaintenanceFile>,
 }
 
 impl Maintenance {
-    /// Maintenance of the endpoints of `policy`.
+    /// Creates the part that handles maintenance of the endpoints of `policy`.
     pub fn new(
         policy: Rc<PolicyLoop>,
         endpoints: Rc<EndpointPool>,
@@ -29,7 +29,7 @@
         Self { policy, endpoints, replicas, file }
     }
 
-    /// Restores the endpoints in maintenance that the last process has stored.
+    /// Restores the endpoints in maintenance that the last process stored. Logs a warning if the file can't be read.
     pub fn restore(&self) {
         let stored = self.file.as_ref().map_or(Ok(Vec::new()), MaintenanceFile::load);
         let endpoints = match stored {
@@ -44,11 +44,12 @@
         }
     }
 
-    /// Puts an endpoint into maintenance or takes it out, on the word of an operator. Stored before this
-    /// returns, as a confirmation must hold over an upgrade.
+    /// Puts an endpoint into maintenance or takes it out, as an operator requests. The change is stored before this
+    /// returns, as a confirmed change must survive an upgrade.
     ///
     /// # Errors
-    /// No endpoint has this id, or the change could not be stored and holds in this process alone.
+    /// No endpoint has this id, or the change could not be stored. A change that is not stored
+    /// is in effect, but lost when the running processes end.
     pub fn set_and_store(&self, id: &str, in_maintenance: bool) -> Result<(), MaintenanceError> {
         let endpoint: EndpointId = id.into();
         if !self.policy.is_known_endpoint(&endpoint) {
@@ -61,7 +62,7 @@
         file.store(endpoints.iter()).map_err(MaintenanceError::NotKept)
     }
 
-    /// Puts an endpoint into maintenance or takes it out, on the word of an operator or a replica process.
+    /// Puts an endpoint into maintenance or takes it out, in this process only.
     pub fn set(&self, endpoint: &EndpointId, in_maintenance: bool) {
         if in_maintenance {
             info!(endpoint = %endpoint, "endpoint put into maintenance");
--- a/src/node/runtime/mod.rs
+++ b/src/node/runtime/mod.rs
@@ -1,14 +1,15 @@
-//! Runs the policy on real time: feeds it events, executes its actions, and keeps the state that both need.
+//! Runs the policy in real time: feeds it events, executes its actions, and keeps the state that both need.
 //!
-//! [`driver::Driver`] is composed of parts that each own their state:
+//! [`driver::Driver`] composes these parts, each of which owns its state:
 //!
-//! - [`policy_loop`]: the policy, and the queue of the events that it has yet to handle;
+//! - [`policy_loop`]: the policy and the queue of its events;
 //! - [`requests`]: requests from their acceptance to their final response;
 //! - [`attempts`]: attempts from their start to their end;
-//! - [`request_table`]: the open requests and their attempts, as the two above share them;
-//! - [`counter_calls`]: calls to the counter;
+//! - [`request_table`] and [`open_request`]: the open requests and their attempts, shared by [`requests`] and
+//!   [`attempts`];
+//! - [`counter_calls`] and [`counters`]: calls to the counter, and the clients that make them;
 //! - [`maintenance`]: the endpoints that operators have put into maintenance;
-//! - [`timers`] and [`clock`]: time.
+//! - [`timers`] and [`clock`]: the timers, and the time of all events.
 
 pub mod attempts;
 pub mod clock;
--- a/src/node/runtime/open_request.rs
+++ b/src/node/runtime/open_request.rs
@@ -1,4 +1,4 @@
-//! One open request and its attempts.
+//! State of one open request and its attempts.
 
 use crate::node::{
     connection::{clients::FinalResponse, write_progress::WriteProgressHandle},
@@ -12,60 +12,62 @@
 
 /// An attempt that has not ended.
 pub struct InFlightAttempt {
-    /// The endpoint that it was sent to.
+    /// Endpoint that the attempt is sent to.
     pub endpoint: EndpointId,
-    /// When it was sent; for a request whose body comes in pieces, when the body was complete.
+    /// Time at which the attempt was sent or, if that is later, at which the request's body was received completely.
     pub sent_at: Time,
-    /// How long its response may take.
+    /// Maximum time from `sent_at` until the response.
     pub timeout: Seconds,
-    /// When the first bytes of a streamed response arrived.
+    /// Time at which a streamed response started; `None` before that and for responses that are not streamed.
     pub response_started_at: Option<Time>,
-    /// How much of its request has been written.
+    /// Progress of writing the request to the endpoint.
     pub write_progress: WriteProgressHandle,
-    /// The task that carries it out. Aborting the task closes the attempt's connection.
+    /// Task that carries out the attempt. Aborting the task closes the attempt's connection.
     pub task: AbortHandle,
-    /// Fires at the timeout. Not set before the request is complete and after the response has started.
+    /// Timer of the timeout; `None` before the request is received completely, and once a streamed response has
+    /// started.
     pub timeout_timer: Option<TimerKey>,
 }
 
 impl InFlightAttempt {
-    /// Whether the endpoint certainly has not begun to work on it.
+    /// Returns whether the endpoint certainly has not begun to run the attempt.
     fn is_unsent(&self) -> bool {
         self.response_started_at.is_none() && !self.write_progress.may_have_run()
     }
 }
 
-/// What became of a final response.
+/// Outcome of delivering a final response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeliveryOutcome {
-    /// It went to the client.
+    /// The client's connection received the response.
     Delivered,
-    /// The client has disconnected.
-    ClientGone,
-    /// The request already had its final response, or is owed none.
-    NotOwed,
+    /// The client has disconnected, which its connection has not reported yet.
+    ClientDisconnected,
+    /// The request already has its final response, or its client's disconnect has been reported.
+    NotWaiting,
 }
 
-/// A request that is owed its final response, or that still has attempts in flight.
+/// A request that waits for its final response or still has attempts in flight.
 pub struct OpenRequest {
-    /// Takes the final response; `None` once that was given, or is owed to nobody.
+    /// Sender of the final response; `None` once that was sent, or the client has disconnected.
     response: Option<oneshot::Sender<FinalResponse>>,
-    /// What its attempts send.
+    /// Request that the attempts send to endpoints.
     upstream: Rc<UpstreamRequest>,
-    /// How long the client waits, from the request's last byte on.
+    /// Time that the client waits for the response, from the request's last byte on.
     time_limit: Seconds,
-    /// When the client gives up; `None` while the body is still arriving.
+    /// Time at which the client gives up; `None` while the body is still arriving.
     deadline: Option<Time>,
-    /// Fires after the deadline. Set together with it.
+    /// Timer that fires shortly after the deadline; set together with it.
     deadline_timer: Option<TimerKey>,
-    /// Endpoints may forget the idempotency key from then on, so no attempt may be written any more.
+    /// Time from which endpoints may forget the idempotency key, so that no attempt may be written any more. Infinite
+    /// without such a limit.
     dedup_until: Time,
-    /// By attempt number; `None` once an attempt has ended.
+    /// Attempts, indexed by their number; `None` once an attempt has ended.
     attempts: Vec<Option<InFlightAttempt>>,
 }
 
 impl OpenRequest {
-    /// A request that has just been accepted.
+    /// Creates a request that was just accepted. `time_limit` runs from the request's last byte on.
     pub fn new(
         response: oneshot::Sender<FinalResponse>,
         upstream: Rc<UpstreamRequest>,
@@ -82,110 +84,111 @@
         }
     }
 
-    /// What its attempts send.
+    /// Returns the request that the attempts send to endpoints.
     pub fn upstream(&self) -> &Rc<UpstreamRequest> {
         &self.upstream
     }
 
-    /// Whether its client waits for the final response.
+    /// Returns whether the client waits for the final response.
     pub fn is_waiting(&self) -> bool {
         self.response.is_some()
     }
 
-    /// Whether no response is owed and no attempt is in flight.
+    /// Returns whether the client no longer waits and no attempt is in flight.
     pub fn is_finished(&self) -> bool {
         self.response.is_none() && self.attempts.iter().all(Option::is_none)
     }
 
-    /// Whether the request has arrived completely.
-    pub fn is_complete(&self) -> bool {
+    /// Returns whether the request was received completely.
+    pub fn is_received(&self) -> bool {
         self.deadline.is_some()
     }
 
-    /// Whether an attempt may still be written: the client waits, and endpoints would recognise a retry.
+    /// Returns whether an attempt may still be written: the client waits, and endpoints still recognize a retry by its
+    /// idempotency key.
     pub fn may_send(&self, now: Time) -> bool {
         self.is_waiting() && now < self.dedup_until
     }
 
-    /// Notes that endpoints may forget the request's idempotency key at `until`.
-    pub fn set_dedup_deadline(&mut self, until: Time) {
+    /// Sets the time from which endpoints may forget the request's idempotency key.
+    pub fn set_dedup_until(&mut self, until: Time) {
         self.dedup_until = until;
     }
 
-    /// Notes that the last byte has arrived, and returns the deadline that follows from it.
-    pub fn complete(&mut self, now: Time) -> Time {
+    /// Records that the request was received completely at `now`, and returns the deadline that follows from this.
+    pub fn mark_received(&mut self, now: Time) -> Time {
         let deadline = now + self.time_limit;
         self.deadline = Some(deadline);
         deadline
     }
 
-    /// Sets the timer that belongs to the deadline.
+    /// Sets the timer of the deadline.
     pub fn set_deadline_timer(&mut self, timer: TimerKey) {
         self.deadline_timer = Some(timer);
     }
 
-    /// The timer that belongs to the deadline.
+    /// Returns the timer of the deadline; `None` until the request is received completely.
     pub fn deadline_timer(&self) -> Option<TimerKey> {
         self.deadline_timer
     }
 
-    /// Notes that the client has disconnected; returns whether it was waiting.
-    pub fn abandon(&mut self) -> bool {
+    /// Records that the client has disconnected, and returns whether it was waiting.
+    pub fn mark_disconnected(&mut self) -> bool {
         self.response.take().is_some()
     }
 
-    /// Gives the final response, unless there was one before.
+    /// Sends the final response to the client, unless the client no longer waits.
     pub fn deliver(&mut self, response: FinalResponse) -> DeliveryOutcome {
-        let Some(sender) = self.response.take() else { return DeliveryOutcome::NotOwed };
+        let Some(sender) = self.response.take() else { return DeliveryOutcome::NotWaiting };
         debug!(request = ?self.upstream.transaction_id, response = response.name(), "final response");
         match sender.send(response) {
             Ok(()) => DeliveryOutcome::Delivered,
             // The client's connection reports the disconnect itself.
-            Err(_) => DeliveryOutcome::ClientGone,
+            Err(_) => DeliveryOutcome::ClientDisconnected,
         }
     }
 
-    /// How long an attempt sent at `now` may take: its own timeout, or the client's where it has none (0) or
-    /// a longer one.
+    /// Returns the timeout of an attempt sent at `now`: `timeout`, but not more than the time that the client still
+    /// waits. A `timeout` of 0 means that the attempt has no timeout of its own.
     pub fn attempt_timeout(&self, now: Time, timeout: Seconds) -> Seconds {
         let remaining = self.deadline.map_or(self.time_limit, |deadline| deadline - now);
         if timeout == 0.0 { remaining } else { timeout.min(remaining) }
     }
 
-    /// The number that the next attempt gets.
+    /// Returns the number of the next attempt, counted from 0.
     pub fn next_attempt_number(&self) -> u32 {
         self.attempts.len() as u32
     }
 
-    /// Adds the next attempt.
+    /// Adds an attempt under [`next_attempt_number`](Self::next_attempt_number).
     pub fn add_attempt(&mut self, attempt: InFlightAttempt) {
         self.attempts.push(Some(attempt));
     }
 
-    /// Adds the next attempt as one that was never sent, and returns its number.
+    /// Adds an attempt that has ended without being sent, and returns its number.
     pub fn add_unsent_attempt(&mut self) -> u32 {
         let number = self.next_attempt_number();
         self.attempts.push(None);
         number
     }
 
-    /// An attempt, unless it has ended.
+    /// Returns an attempt; `None` if it has ended.
     pub fn attempt_mut(&mut self, number: u32) -> Option<&mut InFlightAttempt> {
         self.attempts.get_mut(number as usize)?.as_mut()
     }
 
-    /// Removes an attempt, unless it has ended.
+    /// Removes and returns an attempt; `None` if it has ended.
     pub fn take_attempt(&mut self, number: u32) -> Option<InFlightAttempt> {
         self.attempts.get_mut(number as usize)?.take()
     }
 
-    /// The attempts in flight, with their numbers.
+    /// Returns the attempts in flight with their numbers.
     pub fn attempts_mut(&mut self) -> impl Iterator<Item = (u32, &mut InFlightAttempt)> {
         let numbered = (0..).zip(&mut self.attempts);
         numbered.filter_map(|(number, attempt)| Some((number, attempt.as_mut()?)))
     }
 
-    /// The numbers of the attempts that no endpoint can have begun to work on.
+    /// Returns the numbers of the attempts that no endpoint can have begun to run.
     pub fn unsent_attempts(&self) -> Vec<u32> {
         let numbered = (0..).zip(&self.attempts);
         let is_unsent =
--- a/src/node/runtime/policy_loop.rs
+++ b/src/node/runtime/policy_loop.rs
@@ -1,4 +1,4 @@
-//! Feeds the policy one event at a time and has its actions executed in order.
+//! Feeds the policy one event at a time and passes on its actions for execution, in order.
 
 use crate::node::{
     connection::events::{EventSender, EventSink},
@@ -13,22 +13,22 @@
 
 /// Executes the actions of the policy.
 pub trait ActionExecutor {
-    /// Executes one action that the policy decided on at `now`. Events that this leads to may be posted at
-    /// once: they are handled after the actions of the present event.
+    /// Executes one action that the policy decided on at `now`. Events that result from it may be posted at once: they
+    /// are handled after the actions of the current event.
     fn execute(&self, now: Time, action: Action);
 }
 
-/// The policy, with the queue of events that it has yet to handle.
+/// The policy and the queue of its events.
 pub struct PolicyLoop {
     gateway: RefCell<Gateway>,
     clock: Rc<Clock>,
     pending: RefCell<VecDeque<Event>>,
     is_processing: Cell<bool>,
-    /// Weak, as executors hold the loop to post events to it.
+    /// Weak reference, as the executor holds the loop to post events.
     executor: Weak<dyn ActionExecutor>,
 }
 
-/// Marks the loop as idle when it is dropped, also by a panic of the policy: other requests go on.
+/// Marks the loop as idle when dropped. A panic of the policy drops it, too, so that other requests are still served.
 struct ProcessingGuard<'a>(&'a Cell<bool>);
 
 impl Drop for ProcessingGuard<'_> {
@@ -38,7 +38,7 @@
 }
 
 impl PolicyLoop {
-    /// A loop over `gateway` whose actions `executor` executes.
+    /// Creates a loop that runs `gateway` and passes its actions to `executor`.
     pub fn new(gateway: Gateway, clock: Rc<Clock>, executor: Weak<dyn ActionExecutor>) -> Rc<Self> {
         Rc::new(Self {
             gateway: RefCell::new(gateway),
@@ -49,12 +49,12 @@
         })
     }
 
-    /// The handle by which connections post events.
+    /// Returns a handle by which connections post events.
     pub fn sender(self: &Rc<Self>) -> EventSender {
         self.clone()
     }
 
-    /// Has the policy handle an event. If it is already handling one, the event waits in the queue.
+    /// Passes an event to the policy. If the policy is already handling one, the event waits in the queue.
     pub fn post(&self, event: Event) {
         self.pending.borrow_mut().push_back(event);
         if self.is_processing.replace(true) {
@@ -77,22 +77,22 @@
         }
     }
 
-    /// Whether the policy has an endpoint of this id.
+    /// Returns whether the policy has an endpoint with this id.
     pub fn is_known_endpoint(&self, endpoint: &EndpointId) -> bool {
         self.gateway.borrow().is_known_endpoint(endpoint)
     }
 
-    /// How many endpoints there are, and how many of them receive nothing at present.
+    /// Returns the number of endpoints, and how many of them receive no requests at present.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.gateway.borrow().endpoint_counts(self.clock.now())
     }
 
-    /// The endpoints that operators have put into maintenance.
+    /// Returns the endpoints that operators have put into maintenance.
     pub fn endpoints_in_maintenance(&self) -> Vec<EndpointId> {
         self.gateway.borrow().endpoints_in_maintenance().cloned().collect()
     }
 
-    /// What a successor in a hot restart should know.
+    /// Returns the state that a successor in a hot restart takes over.
     pub fn snapshot(&self) -> HandoverSnapshot {
         self.gateway.borrow().snapshot()
     }
--- a/src/node/runtime/requests.rs
+++ b/src/node/runtime/requests.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' requests and gives each its one final response.
+//! Accepts the requests of clients and gives each exactly one final response.
 
 use crate::node::{
     connection::clients::{FinalResponse, RequestHandler},
@@ -17,11 +17,11 @@
 use tokio::sync::oneshot;
 use tracing::debug;
 
-/// How long after its deadline a request is failed if the policy has given no final response. The policy's
-/// own answer and the attempts' timeouts, which are cut to the deadline, come before.
+/// Time after its deadline at which a request without a final response is failed. The policy's response and the
+/// timeouts of the attempts, which are cut to the deadline, come first.
 const DEADLINE_GRACE: Seconds = 0.004;
 
-/// The open requests, from their acceptance to their final responses.
+/// Handles the open requests, from their acceptance to their final response.
 pub struct Requests {
     policy: Rc<PolicyLoop>,
     clock: Rc<Clock>,
@@ -31,7 +31,7 @@
 }
 
 impl Requests {
-    /// Requests that are kept in `table` and served by `attempts`.
+    /// Creates the handler of the requests in `table`, which are served by `attempts`.
     pub fn new(
         policy: Rc<PolicyLoop>,
         clock: Rc<Clock>,
@@ -42,17 +42,17 @@
         Rc::new(Self { policy, clock, timers, table, attempts })
     }
 
-    /// How many requests wait for their final response.
+    /// Returns the number of requests that wait for their final response.
     pub fn waiting_count(&self) -> usize {
         self.table.waiting_count()
     }
 
-    /// Gives the final response: rejected.
+    /// Rejects a request, unless its client no longer waits.
     pub fn reject(&self, request_id: &RequestId, retry_after: Seconds) {
         self.respond(request_id, FinalResponse::Rejected { retry_after });
     }
 
-    /// Gives the final response: failed.
+    /// Fails a request, unless its client no longer waits.
     pub fn fail(&self, request_id: &RequestId) {
         self.respond(request_id, FinalResponse::Failed);
     }
@@ -60,19 +60,19 @@
     /// Fails every open request, as the process is about to be killed.
     pub fn fail_all(&self) {
         for request_id in self.table.ids() {
-            self.fail_and_close(request_id);
+            self.fail_and_notify_policy(request_id);
         }
     }
 
-    /// Fails a request that has no response although its deadline has passed.
+    /// Fails a request that still has no final response after its deadline.
     pub fn fail_at_deadline(&self, request_id: RequestId) {
         if self.table.is_some_and(&request_id, OpenRequest::is_waiting) {
-            self.fail_and_close(request_id);
+            self.fail_and_notify_policy(request_id);
         }
     }
 
-    /// Fails a request without being asked by the policy, which therefore learns that no response is owed.
-    fn fail_and_close(&self, request_id: RequestId) {
+    /// Fails a request without an action of the policy, and notifies the policy that the client no longer waits.
+    fn fail_and_notify_policy(&self, request_id: RequestId) {
         self.fail(&request_id);
         self.policy.post(Event::ClientDisconnected { request_id });
     }
@@ -81,7 +81,7 @@
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         let outcome = request.deliver(response);
         drop(request);
-        if outcome != DeliveryOutcome::NotOwed {
+        if outcome != DeliveryOutcome::NotWaiting {
             self.attempts.release(request_id);
         }
     }
@@ -94,8 +94,8 @@
         let deadline = self.clock.now() + request.remaining_seconds;
         let (response, receiver) = oneshot::channel();
         let upstream = Rc::new(request.upstream);
-        let open = OpenRequest::new(response, upstream.clone(), request.remaining_seconds);
-        self.table.insert(request_id.clone(), open);
+        let open_request = OpenRequest::new(response, upstream.clone(), request.remaining_seconds);
+        self.table.insert(request_id.clone(), open_request);
         if matches!(upstream.body, RequestBody::Buffered(_)) {
             self.request_body_received(&request_id);
         }
@@ -115,11 +115,11 @@
 
     fn request_body_received(&self, request_id: &RequestId) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
-        if request.is_complete() {
+        if request.is_received() {
             return;
         }
         let now = self.clock.now();
-        let deadline = request.complete(now);
+        let deadline = request.mark_received(now);
         let purpose = TimerPurpose::Deadline(request_id.clone());
         request.set_deadline_timer(self.timers.set(deadline + DEADLINE_GRACE, purpose));
         for (number, attempt) in request.attempts_mut() {
@@ -133,7 +133,7 @@
 
     fn client_disconnected(&self, request_id: &RequestId) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
-        let was_waiting = request.abandon();
+        let was_waiting = request.mark_disconnected();
         drop(request);
         if was_waiting {
             self.attempts.release(request_id);
--- a/src/node/runtime/timers.rs
+++ b/src/node/runtime/timers.rs
@@ -1,4 +1,4 @@
-//! Timers in the order in which they are due.
+//! Pending timers, ordered by the time at which they are due.
 
 use crate::node::connection::counter::{call::CallId, client::CounterClient};
 use oliverack::{RequestId, Time};
@@ -9,24 +9,25 @@
 };
 use tokio::sync::Notify;
 
-/// What a timer is for.
+/// Purpose of a timer, which decides what happens when it fires.
 pub enum TimerPurpose {
-    /// The policy set it, with this token.
+    /// Timer that the policy set with this token.
     Policy(u64),
-    /// Timeout of the numbered attempt.
+    /// Timeout of the attempt with this number.
     Attempt(RequestId, u32),
-    /// The client no longer waits.
+    /// Deadline of the request: its client no longer waits.
     Deadline(RequestId),
-    /// Endpoints may have forgotten the request's idempotency key.
+    /// Time from which endpoints may forget the request's idempotency key.
     DedupEnd(RequestId),
     /// Timeout of a counter call.
     CounterCall(Rc<CounterClient>, CallId),
 }
 
-/// Identifies a timer. Keys are ordered by due time, and timers due at once in the order of their setting.
+/// Identifies a timer. Keys are ordered by due time, and at the same due time in the order in which the timers were
+/// set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
-    /// The bits of the due time: those of non-negative floats are ordered as the floats.
+    /// Bits of the due time. For non-negative floats, they have the same order as the floats.
     due_bits: u64,
     sequence_number: u64,
 }
@@ -41,17 +42,17 @@
     }
 }
 
-/// The timers that are set.
+/// Timers that are set and have not fired.
 #[derive(Default)]
 pub struct Timers {
     pending: RefCell<BTreeMap<TimerKey, TimerPurpose>>,
     last_sequence_number: Cell<u64>,
     /// Notified when a timer is set that is due before all others.
-    earlier_timer: Notify,
+    earlier_timer_set: Notify,
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer and returns the key to cancel it. A negative `due` counts as 0.
     pub fn set(&self, due: Time, purpose: TimerPurpose) -> TimerKey {
         self.last_sequence_number.set(self.last_sequence_number.get() + 1);
         let key = TimerKey::new(due, self.last_sequence_number.get());
@@ -59,18 +60,18 @@
         let is_earliest = pending.first_key_value().is_none_or(|(first, _)| key < *first);
         pending.insert(key, purpose);
         if is_earliest {
-            self.earlier_timer.notify_one();
+            self.earlier_timer_set.notify_one();
         }
         key
     }
 
-    /// Cancels a timer, unless it has fired.
+    /// Cancels a timer. Does nothing if it has fired or was cancelled.
     pub fn cancel(&self, key: TimerKey) {
         self.pending.borrow_mut().remove(&key);
     }
 
-    /// When the next timer is due. Timeouts of counter calls that have ended are dropped, as they need not
-    /// wake the process.
+    /// Returns the time at which the next timer is due. Drops the timeouts of counter calls that have ended, so that
+    /// they don't wake the process.
     pub fn next_due(&self) -> Option<Time> {
         let mut pending = self.pending.borrow_mut();
         while let Some(first) = pending.first_entry() {
@@ -84,14 +85,14 @@
         None
     }
 
-    /// Removes the next timer, whether or not it is due.
+    /// Removes the next timer and returns its purpose, whether or not it is due.
     pub fn pop_next(&self) -> Option<TimerPurpose> {
         self.pending.borrow_mut().pop_first().map(|(_, purpose)| purpose)
     }
 
     /// Waits until a timer is set that is due before all others.
     pub async fn wait_for_earlier(&self) {
-        self.earlier_timer.notified().await;
+        self.earlier_timer_set.notified().await;
     }
 }
 
--- a/tests/unit/open_request.rs
+++ b/tests/unit/open_request.rs
@@ -1,4 +1,4 @@
-//! One open request: its time limits, its one final response, and its attempts.
+//! Tests of an open request: its time limits, its one final response, and its attempts.
 
 use super::*;
 use crate::node::wire::stream::RequestBody;
@@ -23,7 +23,7 @@
     (OpenRequest::new(sender, upstream(), TIME_LIMIT), receiver)
 }
 
-fn attempt(response_started_at: Option<Time>) -> InFlightAttempt {
+fn in_flight_attempt(response_started_at: Option<Time>) -> InFlightAttempt {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     InFlightAttempt {
         endpoint: "w0".into(),
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn attempt_timeout_is_cut_to_the_time_that_the_client_still_waits() {
+fn attempt_timeout_is_cut_to_remaining_client_wait() {
     let (mut request, _receiver) = open_request();
-    // The body is still arriving: the time of the client has not begun.
+    // The body is still arriving, so the client's time limit has not started.
     assert_eq!(request.attempt_timeout(100.0, 0.0), TIME_LIMIT);
     assert_eq!(request.attempt_timeout(100.0, 0.5), 0.5);
-    assert!(!request.is_complete());
-    assert_eq!(request.complete(100.0), 102.0);
-    assert!(request.is_complete());
+    assert!(!request.is_received());
+    assert_eq!(request.mark_received(100.0), 102.0);
+    assert!(request.is_received());
     assert_eq!(request.attempt_timeout(101.0, 0.0), 1.0);
     assert_eq!(request.attempt_timeout(101.0, 0.5), 0.5);
     assert_eq!(request.attempt_timeout(101.75, 0.5), 0.25);
@@ -52,31 +52,31 @@
 }
 
 #[test]
-fn only_the_first_response_is_delivered() {
+fn only_first_response_is_delivered() {
     let (mut request, mut receiver) = open_request();
     assert!(request.is_waiting() && !request.is_finished());
     assert_eq!(request.deliver(FinalResponse::Served(Bytes::new())), DeliveryOutcome::Delivered);
-    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::NotOwed);
+    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::NotWaiting);
     assert!(!request.is_waiting() && request.is_finished());
     assert!(matches!(receiver.try_recv(), Ok(FinalResponse::Served(_))));
 }
 
 #[test]
-fn response_to_a_client_that_is_gone_is_not_delivered() {
+fn response_to_disconnected_client_is_not_delivered() {
     let (mut request, receiver) = open_request();
     drop(receiver);
-    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::ClientGone);
+    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::ClientDisconnected);
     let (mut request, _receiver) = open_request();
-    assert!(request.abandon());
-    assert!(!request.abandon());
-    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::NotOwed);
+    assert!(request.mark_disconnected());
+    assert!(!request.mark_disconnected());
+    assert_eq!(request.deliver(FinalResponse::Failed), DeliveryOutcome::NotWaiting);
 }
 
 #[test]
-fn nothing_may_be_sent_after_the_response_or_the_dedup_deadline() {
+fn nothing_may_be_sent_after_response_or_dedup_time() {
     let (mut request, _receiver) = open_request();
     assert!(request.may_send(1e9));
-    request.set_dedup_deadline(50.0);
+    request.set_dedup_until(50.0);
     assert!(request.may_send(49.5));
     assert!(!request.may_send(50.0));
     request.deliver(FinalResponse::Failed);
@@ -86,11 +86,11 @@
 #[test]
 fn attempts_are_numbered_in_order_and_end_once() {
     let (mut request, _receiver) = open_request();
-    request.add_attempt(attempt(None));
+    request.add_attempt(in_flight_attempt(None));
     assert_eq!(request.add_unsent_attempt(), 1);
-    request.add_attempt(attempt(Some(11.0)));
+    request.add_attempt(in_flight_attempt(Some(11.0)));
     assert_eq!(request.next_attempt_number(), 3);
-    // The second was never sent, and the third has a response, so an endpoint works on it.
+    // The second attempt was never sent, and the response to the third one has started.
     assert_eq!(request.unsent_attempts(), [0]);
     let in_flight: Vec<u32> = request.attempts_mut().map(|(number, _)| number).collect();
     assert_eq!(in_flight, [0, 2]);
--- a/tests/unit/policy_loop.rs
+++ b/tests/unit/policy_loop.rs
@@ -1,4 +1,4 @@
-//! The order of events and actions.
+//! Tests of the order of events and actions.
 
 use super::*;
 use oliverack::{ListKind, Settings};
@@ -7,7 +7,7 @@
     panic::{AssertUnwindSafe, catch_unwind},
 };
 
-/// Records when it begins and ends to execute an action. During the first one it runs `during_first`.
+/// Records the begin and the end of each action. Runs `during_first` while it executes the first one.
 struct RecordingExecutor {
     policy: OnceCell<Rc<PolicyLoop>>,
     during_first: fn(&PolicyLoop),
@@ -26,12 +26,12 @@
     }
 }
 
-/// Posts an event that the policy answers with one timer.
+/// Posts an event to which the policy responds with one timer.
 fn post_failed_poll(policy: &PolicyLoop) {
     PolicyLoop::post(policy, Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
 }
 
-fn start(during_first: fn(&PolicyLoop)) -> (Rc<RecordingExecutor>, Rc<PolicyLoop>) {
+fn loop_with_executor(during_first: fn(&PolicyLoop)) -> (Rc<RecordingExecutor>, Rc<PolicyLoop>) {
     let mut settings = Settings::default();
     settings.discovery_is_polled = true;
     let gateway = Gateway::new(settings, 1).expect("usable settings");
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn event_posted_while_an_action_is_executed_is_handled_after_it() {
-    let (executor, policy) = start(|policy| {
+fn event_posted_during_action_is_handled_after_it() {
+    let (executor, policy) = loop_with_executor(|policy| {
         post_failed_poll(policy);
         post_failed_poll(policy);
     });
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn loop_goes_on_after_a_panic() {
-    let (executor, policy) = start(|policy| {
+fn loop_continues_after_panic() {
+    let (executor, policy) = loop_with_executor(|policy| {
         post_failed_poll(policy);
-        panic!("as in a fault of an action");
+        panic!("simulated panic of an action");
     });
     assert!(catch_unwind(AssertUnwindSafe(|| post_failed_poll(&policy))).is_err());
-    // The event that was queued behind the panic is handled with the next one.
+    // The event that was queued before the panic is handled with the next one.
     post_failed_poll(&policy);
     assert_eq!(*executor.log.borrow(), ["begin", "begin", "end", "begin", "end"]);
 }
--- a/tests/unit/request_table.rs
+++ b/tests/unit/request_table.rs
@@ -1,4 +1,4 @@
-//! Ids, transaction ids and the removal of finished requests.
+//! Tests of request ids, transaction ids and the removal of finished requests.
 
 use super::*;
 use crate::node::{
@@ -10,8 +10,9 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Opens a request with this transaction id, whose client waits for as long as the receiver lives.
-fn open(
+/// Opens a request with this transaction id, whose client waits until the receiver is dropped. `None` if the
+/// transaction id is taken.
+fn open_request(
     table: &RequestTable,
     transaction_id: &'static str,
 ) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)> {
@@ -31,22 +32,22 @@
 }
 
 #[test]
-fn transaction_id_is_taken_until_its_request_is_removed() {
+fn transaction_id_stays_reserved_until_request_is_removed() {
     let table = RequestTable::default();
-    let (first, _receiver) = open(&table, "t-1").expect("a free transaction id");
-    assert!(open(&table, "t-1").is_none());
-    let (second, _other_receiver) = open(&table, "t-2").expect("a free transaction id");
+    let (first, _receiver) = open_request(&table, "t-1").expect("a free transaction id");
+    assert!(open_request(&table, "t-1").is_none());
+    let (second, _other_receiver) = open_request(&table, "t-2").expect("a free transaction id");
     assert_ne!(first, second);
-    table.get_mut(&first).expect("open").abandon();
-    assert!(open(&table, "t-1").is_none());
+    table.get_mut(&first).expect("open").mark_disconnected();
+    assert!(open_request(&table, "t-1").is_none());
     assert!(table.remove_finished(&first).is_some());
-    assert!(open(&table, "t-1").is_some_and(|(third, _)| third != first));
+    assert!(open_request(&table, "t-1").is_some_and(|(third, _)| third != first));
 }
 
 #[test]
 fn only_finished_requests_are_removed() {
     let table = RequestTable::default();
-    let (id, _receiver) = open(&table, "t-1").expect("a free transaction id");
+    let (id, _receiver) = open_request(&table, "t-1").expect("a free transaction id");
     assert!(table.remove_finished(&id).is_none());
     assert_eq!((table.ids(), table.waiting_count()), (vec![id.clone()], 1));
     table.get_mut(&id).expect("open").deliver(FinalResponse::Failed);
