--- a/src/command_line.rs
+++ b/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line and runs its commands.
 
 use crate::{
     logging::{self, LogError},
@@ -12,11 +12,11 @@
 use std::{fs, io, path::PathBuf};
 use thiserror::Error;
 
-/// A gateway that holds customers to shared quotas in front of a common back end.
+/// A gateway that enforces shared quotas per customer in front of a common back end.
 ///
-/// Without a command it serves clients until SIGTERM, with the configuration file that the environment variable
-/// NODE_CONFIG names. The variable OLIVERACK_LOG sets the log: a level (error, warn, info, debug, trace) and a format
-/// (text, json), separated by a comma; "info,text" by default.
+/// Without a command, serves clients until SIGTERM or SIGINT. The environment variable NODE_CONFIG names the
+/// configuration file. The environment variable OLIVERACK_LOG sets the log's level (error, warn, info, debug, trace)
+/// and format (text, json), separated by a comma; the default is "info,text".
 #[derive(Debug, Parser)]
 #[command(name = "oliverack", version)]
 pub struct CommandLine {
@@ -26,53 +26,53 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Checks a configuration file: says what is wrong with it, with the path of the key, and names unknown keys.
+    /// Checks a configuration file: prints the first error with the path of its key, or the unknown keys.
     Check {
-        /// The configuration file.
+        /// Path of the configuration file.
         file: PathBuf,
     },
     /// Prints the JSON schema of the configuration file.
     Schema,
 }
 
-/// Why a command has failed.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The gateway has failed.
+    /// The gateway can't start, or can't go on.
     #[error(transparent)]
     Run(NodeError),
-    /// The log can't be started.
+    /// The log settings are invalid.
     #[error(transparent)]
     Log(LogError),
-    /// A file can't be read.
+    /// The configuration file to check can't be read.
     #[error("{}: {error}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// Error of reading the file.
         error: io::Error,
     },
-    /// A file contains a configuration that can't be used.
+    /// The configuration file to check is invalid.
     #[error("{}: {error}", path.display())]
     Check {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with the configuration.
+        /// Error found in the configuration.
         error: CheckError,
     },
-    /// Output can't be written.
-    #[error("output: {0}")]
+    /// The output can't be written.
+    #[error("can't write the output: {0}")]
     Output(io::Error),
     /// The schema can't be serialized.
-    #[error("the schema: {0}")]
+    #[error("can't serialize the schema: {0}")]
     Schema(serde_json::Error),
 }
 
 impl CommandLine {
-    /// Runs the command, which prints to `output`.
+    /// Runs the command, or the gateway if there is none. Commands print to `output`.
     ///
     /// # Errors
-    /// The command has failed.
+    /// The command has failed, or the gateway can't start or go on.
     pub fn run(self, output: &mut dyn io::Write) -> Result<(), CommandError> {
         match self.command {
             None => {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! oliverack: the decisions of a gateway that holds customers to shared quotas before a common back end.
+//! The decisions of a gateway that enforces shared quotas per customer in front of a common back end.
 //!
 //! The crate does no I/O and reads no clock: feed [`Gateway::handle`] one [`Event`] at a time with the
-//! current time, and carry out the [`Action`]s it appends. In a page:
+//! current time, and execute the [`Action`]s that it appends.
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! The structured log on standard error: one line for each event, with fields.
+//! Sets up the structured log: one line with fields for each event, on standard error.
 
 use std::{
     env::{self, VarError},
@@ -8,17 +8,17 @@
 use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 
-/// The environment variable that sets the log.
+/// Environment variable with the level and the format of the log.
 const LOG_VARIABLE: &str = "OLIVERACK_LOG";
 
-/// The format of a line.
+/// Format of the log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Format {
     Text,
     Json,
 }
 
-/// What is logged, and how.
+/// Level and format of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LogSettings {
     level: LevelFilter,
@@ -31,15 +31,17 @@
     }
 }
 
-/// The variable has a part that is neither a level nor a format.
+/// Error for a part of the environment variable that is neither a level nor a format.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{LOG_VARIABLE}: {0:?} is neither a level (error, warn, info, debug, trace) nor a form (text, json)")]
+#[error(
+    "{LOG_VARIABLE}: {0:?} is neither a level (error, warn, info, debug, trace) nor a format (text, json)"
+)]
 pub struct LogError(String);
 
 impl FromStr for LogSettings {
     type Err = LogError;
 
-    /// Parses a level and a format, separated by a comma. Each may be missing.
+    /// Parses a level and a format, in any order and separated by a comma. A missing one has its default.
     fn from_str(text: &str) -> Result<Self, LogError> {
         let mut settings = Self::default();
         for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
@@ -58,17 +60,17 @@
     }
 }
 
-/// Starts the log as the environment sets it.
+/// Starts the log with the settings from the environment.
 ///
 /// # Errors
-/// The variable has a part that is neither a level nor a format.
+/// The environment variable has a part that is neither a level nor a format.
 pub fn start() -> Result<(), LogError> {
     let settings = match env::var(LOG_VARIABLE) {
         Ok(text) => text.parse()?,
         Err(VarError::NotPresent) => LogSettings::default(),
         Err(VarError::NotUnicode(text)) => return Err(LogError(text.to_string_lossy().into_owned())),
     };
-    // Errors of the log itself would go to the same standard error that can't be written.
+    // Errors of writing to standard error can't be reported: they would be written to standard error, too.
     let log = tracing_subscriber::fmt()
         .with_max_level(settings.level)
         .with_writer(io::stderr)
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! oliverack: the gateway on real sockets, as a program.
+//! The `oliverack` program: runs the gateway on real sockets.
 #![deny(unsafe_code)]
 
 mod command_line;
--- a/src/node/assembly.rs
+++ b/src/node/assembly.rs
@@ -1,4 +1,4 @@
-//! Builds the parts of the process, none of which runs yet.
+//! Builds the parts of the process from its configuration. It starts none of them.
 
 use crate::node::{
     config::Config,
@@ -12,39 +12,39 @@
 use std::{net::SocketAddr, rc::Rc};
 use tokio::net::TcpListener;
 
-/// Request and response bodies in transit may take one part of the memory in this many.
+/// The memory of the process divided by this is the limit for request and response bodies in transit.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// The process as it is built from its configuration.
+/// The parts of a gateway process.
 pub struct Node {
     /// The configuration, without the endpoint list.
     pub config: Config,
-    /// The driver of the policy.
+    /// Driver of the policy.
     pub driver: Rc<Driver>,
-    /// The connections of clients.
+    /// Connections of clients.
     pub clients: Rc<ClientListener>,
-    /// What operators read.
+    /// Metrics that operators read.
     pub metrics: Rc<Metrics>,
-    /// Where clients connect.
+    /// Listener for clients.
     pub listener: TcpListener,
-    /// The address of that listener.
+    /// Address of the listener for clients, with the port that it is bound to.
     pub address: SocketAddr,
-    /// Where operators call, if they may.
+    /// Listener for operators; `None` if there are no operator calls.
     pub operator_listener: Option<TcpListener>,
 }
 
 impl Node {
-    /// Opens the listeners, divides the descriptors, and builds the driver.
+    /// Opens the listeners and builds the other parts.
     ///
     /// # Errors
-    /// A listener can't be opened, or the settings are not usable.
+    /// A listener can't be opened, or the settings are invalid.
     pub async fn build(mut config: Config) -> Result<Self, NodeError> {
         let listener = open_listener(&config).await?;
         let address = listener.local_addr().map_err(NodeError::Listen)?;
         let operator_listener = open_operator_listener(&config).await?;
         let budget = DescriptorBudget::new(&config);
         let metrics = Metrics::new(config.options.class_names.len());
-        // Later lists replace it, so it is not kept.
+        // Taken out of the configuration, as discovery replaces the list and the memory is freed.
         let cached_endpoints = std::mem::take(&mut config.cached_endpoints);
         let driver = Driver::new(&config, cached_endpoints, budget.endpoints, &metrics)
             .map_err(NodeError::Settings)?;
--- a/src/node/listener.rs
+++ b/src/node/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket, where the platform holds it and hands it down.
+//! Takes over a listening socket for clients that the process inherits from the platform.
 
 use socket2::SockRef;
 use std::{
@@ -7,24 +7,30 @@
 };
 use tokio::net::TcpListener;
 
-/// The first descriptor beside standard input, output and error.
+/// Lowest descriptor that is not standard input, output or error.
 const FIRST_FREE_DESCRIPTOR: RawFd = 3;
 
-/// Takes over the listening socket that the platform holds. Closing it closes this process's copy only.
+/// Takes over the inherited listening socket `fd`. The platform holds the socket as well, so closing it here closes
+/// only this process's copy.
 ///
 /// # Errors
 /// The descriptor is not that of a listening socket.
 pub fn inherit_listener(fd: RawFd) -> io::Result<TcpListener> {
-    // Checked first: to take over a descriptor that another part of the process owns would close it.
+    // Checked before the takeover: a listener made of a descriptor that another part of the process owns would close
+    // it when dropped.
     let link = fs::read_link(format!("/proc/self/fd/{fd}"))?;
     if fd < FIRST_FREE_DESCRIPTOR || !link.to_string_lossy().starts_with("socket:") {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "NODE_ACCEPT_FD names no socket"));
+        return Err(io::Error::new(io::ErrorKind::InvalidInput, "NODE_ACCEPT_FD is not an inherited socket"));
     }
-    // SAFETY: it is open (seen above), was inherited for this use alone, and nothing else here owns it.
+    // SAFETY: the descriptor is open, as checked above. It was inherited for this use only, so nothing else in the
+    // process owns it.
     #[allow(unsafe_code)]
     let listener = unsafe { std::net::TcpListener::from_raw_fd(fd) };
     if !SockRef::from(&listener).is_listener()? {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "NODE_ACCEPT_FD does not listen"));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidInput,
+            "the socket of NODE_ACCEPT_FD is not listening",
+        ));
     }
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -1,20 +1,20 @@
-//! The metrics that operators read at `/stats`. Each figure is counted at one place or read from live state.
+//! The metrics that operators read at `/stats`. Each value is either counted at one place or read from live state.
 
 use oliverack::EndpointCounts;
 use std::{cell::Cell, fmt::Write, rc::Rc};
 
-/// How a request ended, as its client saw it.
+/// Outcome of a request as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The client has a successful response.
+    /// The client received a successful response.
     Served,
-    /// The request was rejected without running.
+    /// The request was rejected, and no endpoint has run it.
     Rejected,
-    /// The client has an error.
+    /// The client received an error or an incomplete response.
     Failed,
 }
 
-/// A count that only grows.
+/// A count that never decreases.
 #[derive(Default)]
 struct Counter(Cell<u64>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The ended requests of one class, by outcome.
+/// Counts of the ended requests of one class, by outcome.
 #[derive(Default)]
 struct OutcomeCounters {
     served: Counter,
@@ -46,36 +46,37 @@
     }
 }
 
-/// The outcomes by the names of their metrics, in the order in which operators see them.
+/// Names of the metrics and the outcomes that they count, in the order of the output.
 const OUTCOME_METRICS: [(&str, RequestOutcome); 3] = [
     ("success", RequestOutcome::Served),
     ("overload", RequestOutcome::Rejected),
     ("error", RequestOutcome::Failed),
 ];
 
-/// The counters and gauges, from 0 at the start of the process.
+/// Counters and gauges of one process. Counters start at 0 with the process.
 pub struct Metrics {
-    /// By class.
+    /// Counters by class index.
     outcomes: Vec<OutcomeCounters>,
     in_flight: Cell<u64>,
-    /// Attempts whose requests were written completely to endpoints.
+    /// Number of attempts whose request was written to an endpoint completely.
     pub dispatches: Rc<Cell<u64>>,
 }
 
 impl Metrics {
-    /// Metrics for so many classes.
+    /// Creates metrics for `class_count` classes, all at 0.
     pub fn new(class_count: usize) -> Rc<Self> {
         let outcomes = (0..class_count).map(|_| OutcomeCounters::default()).collect();
         Rc::new(Self { outcomes, in_flight: Cell::new(0), dispatches: Rc::default() })
     }
 
-    /// Counts a request of this class as in flight until the guard is dropped.
+    /// Counts a request of the class at index `class` as in flight until the guard is dropped.
     pub fn request_started(self: &Rc<Self>, class: usize) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightGuard { metrics: self.clone(), class }
     }
 
-    /// The metrics in Prometheus' text format.
+    /// Renders the metrics in the Prometheus text format. `class_names` are the values of the label `type`, in the
+    /// order of the classes.
     pub fn render(&self, class_names: &[String], endpoints: EndpointCounts) -> String {
         let mut text = String::with_capacity(1024);
         for (name, outcome) in OUTCOME_METRICS {
@@ -108,14 +109,14 @@
     label.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-/// A request in flight. Dropped without an outcome if its client has disconnected.
+/// A request in flight. If the client disconnects, the guard is dropped without counting an outcome.
 pub struct InFlightGuard {
     metrics: Rc<Metrics>,
     class: usize,
 }
 
 impl InFlightGuard {
-    /// Counts the request's outcome, and the request as no longer in flight.
+    /// Counts the outcome of the request, and drops the guard.
     pub fn end(self, outcome: RequestOutcome) {
         if let Some(counters) = self.metrics.outcomes.get(self.class) {
             counters.counter(outcome).increment();
--- a/src/node/operator_calls.rs
+++ b/src/node/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Carries out the calls of operators.
+//! Executes the calls of operators.
 
 use crate::node::{
     connection::{
@@ -10,15 +10,15 @@
 };
 use std::rc::Rc;
 
-/// The state that operators read and change.
+/// State that operators read and change.
 pub struct OperatorCalls {
-    /// Holds the state of the endpoints.
+    /// Driver that holds the state of the endpoints.
     pub driver: Rc<Driver>,
-    /// Tells whether clients are accepted.
+    /// Connections of clients, which tell whether new ones are accepted.
     pub clients: Rc<ClientListener>,
-    /// What operators read.
+    /// Metrics that operators read.
     pub metrics: Rc<Metrics>,
-    /// Names of the request classes, by index.
+    /// Names of the classes, by class index.
     pub class_names: Vec<String>,
 }
 
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -5,8 +5,8 @@
 use tokio::{signal::unix::Signal, sync::watch};
 use tracing::{info, warn};
 
-/// On each SIGHUP, reads the configuration and moves discovery and counter to the addresses in it. All else in
-/// it holds for the life of the process. A file that can't be used changes nothing.
+/// Loads the configuration on each SIGHUP and applies its addresses of discovery and the counter. Other changes take
+/// effect only with a restart, and an invalid configuration changes nothing.
 pub async fn reload_on_hangup(
     mut hangup: Signal,
     discovery_address: watch::Sender<SocketAddr>,
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -1,8 +1,8 @@
-//! Graceful shutdown: from SIGTERM to the end of the process.
+//! Shuts the process down gracefully, from SIGTERM to its end.
 //!
 //! The platform kills the process some time after SIGTERM, so each phase ends at a fixed time before the kill.
-//! Where a successor takes new clients, the listener is closed at once, and open connections are served for
-//! longer: their clients lose nothing by a close only while they have no request in flight.
+//! If a successor accepts new clients, the listener is closed at once and open connections are served for longer:
+//! a client loses nothing by the close of its connection only while it has no request in flight.
 
 use crate::node::{connection::clients::ClientListener, runtime::driver::Driver};
 use std::{rc::Rc, time::Duration};
@@ -11,45 +11,46 @@
     time::{Instant, sleep_until, timeout_at},
 };
 
-/// How long new connections are accepted after SIGTERM. They still arrive for up to 0.4 s.
+/// Time after SIGTERM during which new connections are accepted. They still arrive for up to 0.4 s.
 const ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// How long after SIGTERM open connections may bring requests: those accepted last need some time.
+/// Time after SIGTERM during which open connections may bring requests. It is longer than [`ACCEPT_TIME`], as the
+/// connections accepted last need some time.
 const REQUEST_TIME: Duration = Duration::from_millis(650);
-/// Time from SIGTERM to SIGKILL, beside the longest time that a client waits.
+/// Time from SIGTERM to SIGKILL, without the longest client wait that the platform adds.
 const KILL_TIME_BESIDE_CLIENT_WAIT: Duration = Duration::from_millis(700);
-/// The part of the longest client wait that the platform adds to the kill time, at most.
+/// Maximum of the longest client wait that the platform adds to the time from SIGTERM to SIGKILL.
 const MAX_CLIENT_WAIT: Duration = Duration::from_secs(3);
-/// Where there is a successor: how long before SIGKILL open connections stop bringing requests.
+/// Time before SIGKILL until which open connections may bring requests if there is a successor.
 const LAST_REQUESTS_BEFORE_KILL: Duration = Duration::from_millis(1200);
-/// How long before SIGKILL requests that are still open are failed.
+/// Time before SIGKILL at which requests that are still open are failed.
 const FAIL_OPEN_BEFORE_KILL: Duration = Duration::from_millis(400);
-/// How long before SIGKILL the process ends, whatever is open.
+/// Time before SIGKILL at which the process ends, even with open connections.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(200);
 
-/// How long after SIGTERM the process is killed, where clients wait for `longest_client_wait` seconds at most.
+/// Returns the time from SIGTERM to SIGKILL if clients wait for a response for at most `longest_client_wait` seconds.
 pub fn time_to_kill(longest_client_wait: f64) -> Duration {
     let wait = Duration::try_from_secs_f64(longest_client_wait).unwrap_or(MAX_CLIENT_WAIT);
     KILL_TIME_BESIDE_CLIENT_WAIT + wait.min(MAX_CLIENT_WAIT)
 }
 
-/// What the process is doing during its shutdown.
+/// Phase of the shutdown.
 enum Phase {
-    /// New connections still arrive: they are accepted and served, and closed after their response.
+    /// New connections are accepted, and each is closed after its response.
     Serve(TcpListener),
-    /// New connections are refused. Open ones may still bring requests.
+    /// New connections are refused. Open connections may still bring requests.
     RefuseConnections,
-    /// Idle connections are closed, and requests in flight get their responses.
-    AnswerInFlight,
-    /// Requests that are still open are failed, so that each client has a response before the kill.
+    /// Idle connections are closed. Requests in flight still get their responses.
+    DrainRequests,
+    /// Open requests are failed, so that each client has a response before SIGKILL.
     FailOpenRequests,
-    /// Nothing is left to do.
+    /// The process may exit.
     Ended,
 }
 
-/// When each phase ends.
+/// Times at which the phases end.
 struct Schedule {
     accept_until: Instant,
-    /// When idle connections are closed, at the earliest.
+    /// Earliest time at which idle connections are closed.
     close_from: Instant,
     requests_until: Instant,
     responses_until: Instant,
@@ -82,8 +83,8 @@
 }
 
 impl Shutdown {
-    /// Begins the shutdown of a process that will be killed after `kill_after`: from now on each response
-    /// closes its connection.
+    /// Begins the shutdown of a process that will be killed after `kill_after`. From now on, each connection is closed
+    /// after its response.
     pub fn begin(driver: Rc<Driver>, clients: Rc<ClientListener>, kill_after: Duration) -> Self {
         let start = Instant::now();
         clients.begin_shutdown();
@@ -92,7 +93,7 @@
         Self { driver, clients, has_successor, schedule }
     }
 
-    /// Completes the shutdown; afterwards the process may exit.
+    /// Runs the phases of the shutdown. The process may exit when this returns.
     pub async fn complete(self, listener: TcpListener) {
         let mut phase = if self.has_successor {
             drop(listener);
@@ -104,7 +105,7 @@
             phase = match phase {
                 Phase::Serve(listener) => self.serve(&listener).await,
                 Phase::RefuseConnections => self.refuse_connections().await,
-                Phase::AnswerInFlight => self.answer_in_flight().await,
+                Phase::DrainRequests => self.drain_requests().await,
                 Phase::FailOpenRequests => self.fail_open_requests().await,
                 Phase::Ended => return,
             }
@@ -122,10 +123,10 @@
             return Phase::Ended;
         }
         sleep_until(self.schedule.close_from).await;
-        Phase::AnswerInFlight
+        Phase::DrainRequests
     }
 
-    async fn answer_in_flight(&self) -> Phase {
+    async fn drain_requests(&self) -> Phase {
         self.clients.close_connections();
         if self.all_connections_closed_by(self.schedule.responses_until).await {
             Phase::Ended
@@ -140,7 +141,7 @@
         Phase::Ended
     }
 
-    /// Waits until no connection is open; whether that happened by the deadline.
+    /// Waits until no connection is open, or until `deadline`. Returns whether all connections are closed.
     async fn all_connections_closed_by(&self, deadline: Instant) -> bool {
         let all_closed = async {
             while self.clients.connection_count() > 0 {
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -1,5 +1,5 @@
-//! The life of the process: reads the configuration, builds the parts, runs them until the process is told to
-//! stop, and shuts down.
+//! Runs the process: loads the configuration, builds and starts the parts, serves until a signal asks to stop, and
+//! shuts down.
 
 use crate::node::{
     assembly::Node,
@@ -15,7 +15,7 @@
 };
 use tracing::info;
 
-/// The signals that stop the process.
+/// The signals that stop the process: SIGTERM and SIGINT.
 struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -34,22 +34,23 @@
     }
 }
 
-/// Why the process no longer serves.
-enum ServeEnd {
-    /// It was told to stop.
+/// Reason why the process stops serving.
+enum StopReason {
+    /// A signal asked the process to stop.
     StopRequested,
-    /// A task that it needs has ended. A restart is better than to go on without it.
+    /// An essential task has ended. The process ends, too, so that it is restarted instead of running without the
+    /// task.
     TaskEnded(EssentialTask),
 }
 
-/// Runs the gateway until it is told to stop.
+/// Runs the gateway with the configuration that the environment names, until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// It can't start, or a task that it needs has ended.
+/// The gateway can't start, or an essential task has ended.
 pub fn run_configured() -> Result<(), NodeError> {
     let config = Config::load().map_err(NodeError::Config)?;
-    // Not a LocalSet on a runtime: there each wake of a task from a task costs a write to the event loop's
-    // own descriptor and a turn of the loop to read it.
+    // A local runtime instead of a LocalSet on a runtime: there, each wake of a task by another task costs a write to
+    // the event loop's own descriptor and an iteration of the loop to read it.
     let runtime = runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
     runtime.map_err(NodeError::System)?.block_on(run(config))
 }
@@ -60,18 +61,18 @@
     let mut node = Node::build(config).await?;
     let mut tasks = Tasks::spawn(&mut node, hangup).await;
     match serve(&node, &mut tasks, &mut stop_signals).await {
-        ServeEnd::StopRequested => {}
-        ServeEnd::TaskEnded(task) => return Err(NodeError::TaskEnded(task)),
+        StopReason::StopRequested => {}
+        StopReason::TaskEnded(task) => return Err(NodeError::TaskEnded(task)),
     }
     shut_down(node).await;
     Ok(())
 }
 
-async fn serve(node: &Node, tasks: &mut Tasks, stop_signals: &mut StopSignals) -> ServeEnd {
+async fn serve(node: &Node, tasks: &mut Tasks, stop_signals: &mut StopSignals) -> StopReason {
     tokio::select! {
-        () = node.clients.accept(&node.listener) => ServeEnd::StopRequested,
-        () = stop_signals.recv() => ServeEnd::StopRequested,
-        task = tasks.first_end() => ServeEnd::TaskEnded(task),
+        () = node.clients.accept(&node.listener) => StopReason::StopRequested,
+        () = stop_signals.recv() => StopReason::StopRequested,
+        task = tasks.wait_for_first_end() => StopReason::TaskEnded(task),
     }
 }
 
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that run for the life of the process.
+//! Starts the tasks that run until the process ends.
 
 use crate::node::{
     assembly::Node,
@@ -23,27 +23,27 @@
 };
 use tracing::info;
 
-/// Time between two searches for connections to endpoints that have been idle for too long.
+/// Interval at which connections to endpoints that have been idle for too long are closed.
 const IDLE_CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The essential tasks. They end by a panic only.
+/// Handles of the essential tasks. A task ends only by a panic.
 pub struct Tasks {
     discovery: JoinHandle<()>,
     timers: JoinHandle<()>,
     reload: JoinHandle<()>,
     idle_connections: JoinHandle<()>,
     client_time_limits: JoinHandle<()>,
-    /// The servers of operators and of replica processes; empty where there are no operator calls.
+    /// Servers of operators and of replica processes; empty if there are no operator calls.
     operators_and_replicas: JoinSet<()>,
 }
 
 impl Tasks {
-    /// Takes over from the predecessor, if there is one, and starts the tasks.
+    /// Takes over the state of a predecessor, if there is one, and starts the tasks.
     pub async fn spawn(node: &mut Node, hangup: Signal) -> Self {
         let driver = &node.driver;
         let mut operators_and_replicas = JoinSet::new();
         if node.operator_listener.is_some() {
-            join_replicas(driver, &mut operators_and_replicas).await;
+            connect_to_replicas(driver, &mut operators_and_replicas).await;
         }
         driver.counter_calls().connect();
         let (discovery_address, discovery_addresses) = watch::channel(node.config.discovery);
@@ -62,8 +62,8 @@
         tasks
     }
 
-    /// Waits until one of the tasks ends.
-    pub async fn first_end(&mut self) -> EssentialTask {
+    /// Waits until one of the tasks ends, and returns which one.
+    pub async fn wait_for_first_end(&mut self) -> EssentialTask {
         tokio::select! {
             _ = &mut self.discovery => EssentialTask::Discovery,
             _ = &mut self.timers => EssentialTask::Timers,
@@ -75,9 +75,9 @@
     }
 }
 
-/// Takes over what a predecessor hands over, or else what the last process has stored, and listens for
-/// successors.
-async fn join_replicas(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
+/// Takes over the state of the predecessors and listens for successors. Without a predecessor, restores the endpoints
+/// in maintenance that the last process stored.
+async fn connect_to_replicas(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
     let handler: peer_connection::SharedHandler = driver.clone();
     let takeover = predecessor::connect_to_predecessors(driver.replicas(), &handler).await;
     if !takeover.has_predecessor {
--- a/tests/unit/metrics.rs
+++ b/tests/unit/metrics.rs
@@ -1,20 +1,20 @@
-//! The text of the metrics.
+//! Tests of the values and the text of the metrics.
 
 use super::*;
 
 #[test]
-fn classes_start_at_zero_and_each_request_is_counted_once() {
+fn counters_start_at_zero_and_count_each_request_once() {
     let metrics = Metrics::new(2);
     let render = || metrics.render(&["a".into(), "b\"\\".into()], EndpointCounts { listed: 3, avoided: 1 });
     for line in ["svc_success{type=\"a\"} 0", "svc_error{type=\"b\\\"\\\\\"} 0", "svc_dispatches 0"] {
-        assert!(render().lines().any(|l| l == line), "{line}");
+        assert!(render().lines().any(|rendered| rendered == line), "{line}");
     }
-    let (one, two, gone) =
+    let (served, rejected, disconnected) =
         (metrics.request_started(0), metrics.request_started(1), metrics.request_started(1));
     assert!(render().contains("\nsvc_concurrent 3\n"));
-    one.end(RequestOutcome::Served);
-    two.end(RequestOutcome::Rejected);
-    drop(gone);
+    served.end(RequestOutcome::Served);
+    rejected.end(RequestOutcome::Rejected);
+    drop(disconnected);
     for line in [
         "svc_success{type=\"a\"} 1",
         "svc_overload{type=\"a\"} 0",
@@ -24,17 +24,17 @@
         "svc_targets 3",
         "svc_targets_disabled 1",
     ] {
-        assert!(render().lines().any(|l| l == line), "{line}");
+        assert!(render().lines().any(|rendered| rendered == line), "{line}");
     }
 }
 
 #[test]
-fn text_has_the_bytes_that_earlier_versions_showed() {
+fn text_is_the_same_as_in_earlier_versions() {
     let metrics = Metrics::new(2);
     metrics.request_started(0).end(RequestOutcome::Served);
     metrics.request_started(1).end(RequestOutcome::Rejected);
     metrics.request_started(1).end(RequestOutcome::Failed);
-    let waiting = metrics.request_started(0);
+    let in_flight = metrics.request_started(0);
     metrics.dispatches.set(4);
     let expected = r#"# TYPE svc_success counter
 svc_success{type="lookup"} 1
@@ -55,6 +55,6 @@
 svc_targets_disabled 1
 "#;
     let text = metrics.render(&["lookup".into(), "submit".into()], EndpointCounts { listed: 3, avoided: 1 });
-    drop(waiting);
+    drop(in_flight);
     assert_eq!(text, expected);
 }
