--- a/src/node/connection/discovery/call.rs
+++ b/src/node/connection/discovery/call.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{
     connection::{
-        discovery::error::DiscoveryError, http_client::HttpClient, response_body::BufferLimits,
+        discovery::error::DiscoveryError, http_connection::HttpConnection, response_body::BufferLimits,
         write_progress::WriteProgressHandle,
     },
     wire::stream::OutgoingBody,
@@ -41,7 +41,7 @@
     /// the call has come once it has a connection, and `kept_connection` holds the connection after a success.
     pub async fn make(
         self,
-        kept_connection: &mut Option<HttpClient>,
+        kept_connection: &mut Option<HttpConnection>,
         progress: &WriteProgressHandle,
     ) -> Result<Bytes, DiscoveryError> {
         let usable = kept_connection.take().and_then(|mut kept| kept.is_ready().then_some(kept));
@@ -50,7 +50,7 @@
         let deadline = Instant::now() + time_limit;
         let mut connection = match usable {
             Some(connection) => connection,
-            None => HttpClient::connect(self.address, CONNECT_TIMEOUT)
+            None => HttpConnection::connect(self.address, CONNECT_TIMEOUT)
                 .await
                 .map_err(|_| DiscoveryError::Connect)?,
         };
@@ -78,7 +78,7 @@
 
     async fn exchange(
         self,
-        connection: &mut HttpClient,
+        connection: &mut HttpConnection,
         request: Request<OutgoingBody>,
         time_limit: Duration,
     ) -> Result<Response<Bytes>, DiscoveryError> {
--- a/src/node/connection/discovery/follower.rs
+++ b/src/node/connection/discovery/follower.rs
@@ -3,7 +3,7 @@
 use crate::node::{
     connection::{
         discovery::{call::ListCall, error::DiscoveryError},
-        http_client::HttpClient,
+        http_connection::HttpConnection,
         write_progress::WriteProgressHandle,
     },
     wire::endpoint_list::{EndpointList, ListedEndpoint},
@@ -76,7 +76,7 @@
     address: SocketAddr,
     state: FollowerState,
     /// The connection on which the last list came.
-    connection: Option<HttpClient>,
+    connection: Option<HttpConnection>,
     /// The version of the known list; `None` if the complete list must be asked for.
     version: Option<u64>,
     /// The wait after the next failed call.
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -1,9 +1,9 @@
-//! Attempts: each sends a request to an endpoint once, and reports how that ended.
+//! Makes attempts: sends a request to an endpoint once and returns the result.
 
 use crate::node::{
     connection::{
         endpoint_pool::{EndpointPool, Target},
-        http_client::ExchangeError,
+        http_connection::ExchangeError,
         response_body::BufferLimits,
         write_progress::WriteProgressHandle,
     },
@@ -20,21 +20,21 @@
 use std::time::Duration;
 use tokio::{sync::mpsc, time::sleep};
 
-/// Larger responses, and slower ones of unknown length, are streamed.
+/// Limits of buffered responses. A longer one, or one of unknown length that takes longer, is streamed.
 const BUFFER_LIMITS: BufferLimits =
     BufferLimits { max_bytes: MAX_BUFFERED_BODY_BYTES, max_time: Duration::from_millis(50) };
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug)]
-pub struct AttemptEnd {
+pub struct AttemptResult {
     pub status: Status,
-    /// The response's body; empty if it was streamed.
+    /// Response body; empty if there was no response or it was streamed.
     pub body: Bytes,
     pub load: LoadReport,
 }
 
-impl AttemptEnd {
-    /// An attempt that got no response.
+impl AttemptResult {
+    /// Returns the result of an attempt that got no response.
     pub fn without_response(status: Status) -> Self {
         Self { status, body: Bytes::new(), load: LoadReport::default() }
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// What a response's head says about the attempt.
+/// Returns the attempt's status according to the response's head.
 fn attempt_status(status: StatusCode, headers: &HeaderMap) -> Status {
     let is_rejection = headers.get("x-turned-away").is_some_and(|value| value == "1");
     match status.as_u16() {
@@ -57,38 +57,47 @@
     }
 }
 
-/// An attempt that is under way.
+/// Attempt that is in progress.
 struct EndpointAttempt<'a, S, O> {
     pool: &'a EndpointPool,
     target: &'a Target,
     upstream: &'a UpstreamRequest,
-    wait_seconds: f64,
+    timeout_seconds: f64,
     progress: &'a WriteProgressHandle,
-    may_start: S,
+    may_send: S,
     open_stream: O,
 }
 
 impl EndpointPool {
-    /// Sends a request to an endpoint once, provided that `may_start` still allows it when the connection is up. The
-    /// endpoint is told that the gateway waits `wait_seconds`. A large response goes to the stream that `open_stream`
-    /// returns for its length.
+    /// Sends a request to an endpoint once, if `may_send` still returns true when the connection is open. The request
+    /// tells the endpoint that the gateway waits for `timeout_seconds`; the caller enforces this timeout.
+    ///
+    /// A response beyond the buffer limits goes to the stream that `open_stream` returns, given the length if it is
+    /// known. `progress` shows how much of the request has been written.
     pub async fn attempt(
         &self,
         target: &Target,
         upstream: &UpstreamRequest,
-        wait_seconds: f64,
+        timeout_seconds: f64,
         progress: &WriteProgressHandle,
-        may_start: impl Fn() -> bool,
+        may_send: impl Fn() -> bool,
         open_stream: impl Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         if !upstream.body.is_available() {
-            return AttemptEnd::without_response(Status::NotSent);
+            return AttemptResult::without_response(Status::NotSent);
         }
-        let attempt =
-            EndpointAttempt { pool: self, target, upstream, wait_seconds, progress, may_start, open_stream };
+        let attempt = EndpointAttempt {
+            pool: self,
+            target,
+            upstream,
+            timeout_seconds,
+            progress,
+            may_send,
+            open_stream,
+        };
         match attempt.run().await {
-            Ok(response) => AttemptEnd::from_response(response),
-            Err(status) => AttemptEnd::without_response(status),
+            Ok(response) => AttemptResult::from_response(response),
+            Err(status) => AttemptResult::without_response(status),
         }
     }
 }
@@ -98,10 +107,10 @@
     S: Fn() -> bool,
     O: Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
 {
-    /// Nothing is sent a second time: only a reused connection on which not one byte was written is replaced by
-    /// another one.
+    /// Sends the request on an idle or new connection and reads the response. Never sends any byte of the request
+    /// twice: tries another connection only if a reused one failed before the first byte was written.
     async fn run(&self) -> Result<Response<Bytes>, Status> {
-        if let Some(wait) = self.pool.time_to_reuse(self.target) {
+        if let Some(wait) = self.pool.time_until_reuse(self.target) {
             sleep(wait).await;
         }
         loop {
@@ -109,16 +118,16 @@
                 Some(connection) => connection,
                 None => self.pool.connect(self.target).await?,
             };
-            self.progress.attach(connection.client.progress());
-            connection.client.progress().count_sent_in(&self.pool.dispatches);
+            self.progress.attach(connection.http.progress());
+            connection.http.progress().count_request_in(&self.pool.dispatches);
             let idle = connection.idle_since.elapsed();
             let request = self.build_request()?;
             let open_stream = |parts: &Parts, length| self.open_stream_if_wanted(parts, length);
-            let exchange = connection.client.exchange(request, BUFFER_LIMITS, &open_stream);
+            let exchange = connection.http.exchange(request, BUFFER_LIMITS, &open_stream);
             let error = match exchange.await {
                 Ok(response) => {
                     if connection.is_reused {
-                        self.pool.idle_limit.note_success(idle);
+                        self.pool.idle_limit.record_success(idle);
                     }
                     self.pool.check_in(self.target, connection);
                     return Ok(response);
@@ -131,9 +140,9 @@
                     return Err(Status::ConnectFailed);
                 }
                 ExchangeError::NoResponse => {
-                    let has_response_started = connection.client.progress().has_response_started();
+                    let has_response_started = connection.http.progress().has_response_started();
                     if connection.is_reused && !has_response_started {
-                        self.pool.idle_limit.note_reset(idle);
+                        self.pool.idle_limit.record_reset(idle);
                     }
                     return Err(Status::Reset);
                 }
@@ -141,17 +150,17 @@
         }
     }
 
-    /// The request for a connection that is up. The endpoint and the request are checked once more, because the
-    /// connection may have taken long; from here on to the first byte nothing is awaited.
+    /// Builds the request for an open connection. Checks the endpoint and the request again, because opening the
+    /// connection may have taken long. Nothing is awaited between this check and the first byte.
     fn build_request(&self) -> Result<Request<OutgoingBody>, Status> {
-        if !self.pool.is_current(self.target) || !(self.may_start)() {
+        if !self.pool.is_current(self.target) || !(self.may_send)() {
             return Err(Status::NotSent);
         }
-        // A streamed body that an earlier connection has taken can't be sent on another one.
-        self.upstream.build_attempt_request(self.wait_seconds).ok_or(Status::ConnectFailed)
+        // A streamed body that was given to an earlier connection can't be sent on another one.
+        self.upstream.build_attempt_request(self.timeout_seconds).ok_or(Status::ConnectFailed)
     }
 
-    /// Opens the stream for a served response that is not too long; no other has a body that matters.
+    /// Opens the stream for a successful response that is not too long. Bodies of other responses are not needed.
     fn open_stream_if_wanted(&self, parts: &Parts, length: Option<u64>) -> Option<mpsc::Sender<Piece>> {
         let fits = length.is_none_or(|length| length <= MAX_BODY_BYTES as u64);
         if parts.status == StatusCode::OK && fits { (self.open_stream)(length) } else { None }
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -1,7 +1,7 @@
-//! Connections to the endpoints, kept and reused within a budget.
+//! Pool of connections to the endpoints, reused between attempts and limited to a budget.
 
 use crate::node::{
-    connection::{http_client::HttpClient, idle_limit::IdleLimit},
+    connection::{http_connection::HttpConnection, idle_limit::IdleLimit},
     wire::endpoint_list::ListedEndpoint,
 };
 use fnv::FnvHashMap;
@@ -13,13 +13,15 @@
     time::{Duration, Instant},
 };
 
-/// Shortest time between a response and the next request on its connection. An endpoint may send a response twice, some
-/// milliseconds apart; one that arrives after the next request was sent would be taken for that request's response.
+/// Shortest time between a response and the next request on the same connection. An endpoint may send a response
+/// twice, some milliseconds apart; a copy that arrives after the next request was sent would be taken for its
+/// response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// How far below the endpoints' own idle time-out the gateway closes: a request that crosses a close is lost.
+/// Time before the endpoints' own idle timeout at which the gateway closes an idle connection. A request that is sent
+/// while the endpoint closes the connection is lost.
 const IDLE_LIMIT_MARGIN: Duration = Duration::from_secs(2);
 
-/// A connection's place in the budget, given back when the connection closes.
+/// Connection's share of the budget, returned when the connection is dropped.
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl Drop for ConnectionSlot {
@@ -28,49 +30,49 @@
     }
 }
 
-/// A connection that may carry a request.
+/// Connection that may carry a request.
 pub(super) struct PooledConnection {
-    pub(super) client: HttpClient,
-    /// The endpoint's incarnation that it was opened to.
+    pub(super) http: HttpConnection,
+    /// Incarnation of the endpoint that the connection was opened to.
     incarnation: u64,
-    /// Since when it has been idle, or open if it has carried no request.
+    /// Time at which the last response ended, or the connection was opened if it has carried no request.
     pub(super) idle_since: Instant,
-    /// It has carried a request before.
+    /// True if the connection has carried a request before.
     pub(super) is_reused: bool,
     _slot: ConnectionSlot,
 }
 
-/// An endpoint according to the endpoint list.
+/// Endpoint according to the endpoint list.
 struct KnownEndpoint {
     address: SocketAddr,
     started: f64,
-    /// A number of its own for each start of an endpoint, and for another endpoint at the same address.
+    /// Unique number, renewed when the endpoint restarts, changes its address, or enters or leaves maintenance.
     incarnation: u64,
-    /// New requests may be sent to it.
+    /// True if new requests may be sent to the endpoint.
     is_running: bool,
 }
 
-/// The idle connections to one endpoint, the longest idle first; never empty.
+/// Idle connections to one endpoint, the longest idle first; never empty.
 type IdleConnections = Vec<PooledConnection>;
 
-/// See the [module](self).
+/// Pool of connections to the endpoints of the endpoint list.
 pub struct EndpointPool {
     endpoints: RefCell<FnvHashMap<EndpointId, KnownEndpoint>>,
-    /// Has no entry for an endpoint without idle connections, which most of a long list are.
+    /// Idle connections by endpoint. Endpoints without any have no entry, because most of a long list have none.
     idle: RefCell<FnvHashMap<EndpointId, IdleConnections>>,
     last_incarnation: Cell<u64>,
     open_connections: Rc<Cell<usize>>,
-    /// Most connections of all processes of this gateway together.
+    /// Most connections of all processes of this gateway together, idle or in use.
     max_connections: usize,
-    /// This process's part of them.
+    /// Most connections of this process, a share of `max_connections`.
     process_max_connections: Cell<usize>,
     pub(super) idle_limit: IdleLimit,
     connect_timeout: Duration,
-    /// Attempts that were written completely.
+    /// Number of attempts whose request was written completely.
     pub(super) dispatches: Rc<Cell<u64>>,
 }
 
-/// An endpoint's incarnation that an attempt goes to.
+/// Endpoint, in a certain incarnation, that an attempt is sent to.
 #[derive(Clone)]
 pub struct Target {
     id: EndpointId,
@@ -79,7 +81,8 @@
 }
 
 impl EndpointPool {
-    /// Holds at most `max_connections`. Endpoints close connections that are idle for `endpoint_idle_timeout`.
+    /// Returns an empty pool that opens at most `max_connections`. Endpoints close connections that have been idle
+    /// for `endpoint_idle_timeout`, so the pool closes them earlier.
     pub fn new(
         max_connections: usize,
         endpoint_idle_timeout: Duration,
@@ -100,8 +103,9 @@
         }
     }
 
-    /// Applies a full endpoint list, or the entries of one that have changed. Endpoints that a full list does not name,
-    /// or that are gone, are forgotten and their idle connections closed.
+    /// Applies a full endpoint list, or the changed entries of one. Removes endpoints that are gone or that a full
+    /// list doesn't contain. Closes the idle connections of endpoints that are removed, restarted, moved or not
+    /// running.
     pub fn update(&self, is_full: bool, list: &[ListedEndpoint]) {
         let mut endpoints = self.endpoints.borrow_mut();
         let mut idle = self.idle.borrow_mut();
@@ -110,7 +114,7 @@
         for entry in list {
             let id = &entry.endpoint.id;
             let known = endpoints.remove_entry(id).or_else(|| previous.remove_entry(id));
-            // A known id is kept, so that each is held in memory once.
+            // The known id is kept, so that each id is in memory only once.
             let (id, known) = match known {
                 Some((id, known)) => (id, Some(known)),
                 None => (id.clone(), None),
@@ -130,7 +134,7 @@
         }
     }
 
-    /// The endpoint according to its entry; `None` if it is gone or has no address.
+    /// Returns the endpoint according to its entry, or `None` if it is gone or has no address.
     fn apply_entry(&self, entry: &ListedEndpoint, known: Option<&KnownEndpoint>) -> Option<KnownEndpoint> {
         let address = entry.address.or(known.map(|known| known.address))?;
         if entry.endpoint.lifecycle == Lifecycle::Gone {
@@ -151,8 +155,8 @@
         self.last_incarnation.get()
     }
 
-    /// Operators have put an endpoint into maintenance or taken it out, and may restart it: its connections are of no
-    /// further use.
+    /// Closes an endpoint's idle connections and keeps those in use from being reused. Called when operators put it
+    /// into maintenance or take it out, as they may restart it meanwhile.
     pub fn retire_connections(&self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(id) {
             endpoint.incarnation = self.new_incarnation();
@@ -160,14 +164,14 @@
         }
     }
 
-    /// The target for an attempt at an endpoint; `None` if the endpoint list does not name it.
+    /// Returns the target for an attempt on an endpoint, or `None` if the endpoint list doesn't contain it.
     pub fn target(&self, id: &EndpointId) -> Option<Target> {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.get(id)?;
         Some(Target { id: id.clone(), address: endpoint.address, incarnation: endpoint.incarnation })
     }
 
-    /// Closes idle connections that are dead or have been idle for too long.
+    /// Closes idle connections that have failed or been idle for too long.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain_mut(|connection| self.is_usable(connection));
@@ -176,18 +180,19 @@
     }
 
     fn is_usable(&self, connection: &mut PooledConnection) -> bool {
-        self.idle_limit.allows(connection.idle_since.elapsed()) && connection.client.is_ready()
+        self.idle_limit.allows(connection.idle_since.elapsed()) && connection.http.is_ready()
     }
 
-    /// Whether a request may still be sent to the target: the endpoint is running, in the same incarnation.
+    /// Checks whether a request may still be sent to the target: its endpoint is running in the same incarnation.
     pub(super) fn is_current(&self, target: &Target) -> bool {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.get(&target.id);
         endpoint.is_some_and(|known| known.is_running && known.incarnation == target.incarnation)
     }
 
-    /// Takes an idle connection to the target: the one that was used last, so that the others stay idle and are closed.
-    /// Dead ones on the way are closed.
+    /// Takes the most recently used idle connection to the target, so that surplus connections stay idle until they
+    /// are closed. Closes unusable connections that it finds on the way. Returns `None` if no connection may be
+    /// reused.
     pub(super) fn check_out(&self, target: &Target) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         loop {
@@ -205,9 +210,9 @@
         }
     }
 
-    /// Time until an idle connection may be reused, if none may yet: the wait costs the endpoint less than a new
-    /// connection.
-    pub(super) fn time_to_reuse(&self, target: &Target) -> Option<Duration> {
+    /// Returns the time until an idle connection to the target may be reused. Returns `None` if one may be reused
+    /// already or there is none. Waiting costs the endpoint less than a new connection.
+    pub(super) fn time_until_reuse(&self, target: &Target) -> Option<Duration> {
         let idle = self.idle.borrow();
         let connections = idle.get(&target.id)?.iter();
         let current = connections.filter(|connection| connection.incarnation == target.incarnation);
@@ -215,27 +220,28 @@
         REUSE_DELAY.checked_sub(longest_idle)
     }
 
-    /// Keeps a connection after a response, if its endpoint may still get requests.
+    /// Keeps a connection for reuse after a response. Closes it if its endpoint is no longer running in the same
+    /// incarnation, or if it can't carry another request.
     pub(super) fn check_in(&self, target: &Target, mut connection: PooledConnection) {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.get(&target.id);
         let is_current =
             endpoint.is_some_and(|known| known.is_running && known.incarnation == connection.incarnation);
-        if is_current && connection.client.is_ready() {
+        if is_current && connection.http.is_ready() {
             connection.idle_since = Instant::now();
             connection.is_reused = true;
             self.idle.borrow_mut().entry(target.id.clone()).or_default().push(connection);
         }
     }
 
-    /// Shares the budget with the other processes of this gateway.
+    /// Divides the budget evenly among this gateway's processes. Closes idle connections beyond this process's share.
     pub fn set_process_count(&self, process_count: usize) {
         let max_connections = (self.max_connections / process_count).max(1);
         self.process_max_connections.set(max_connections);
         while self.open_connections.get() > max_connections && self.close_longest_idle() {}
     }
 
-    /// Closes the longest idle connection of all; false if there is none.
+    /// Closes the longest idle connection of all endpoints. Returns false if no connection is idle.
     fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let longest = idle.iter().min_by_key(|(_, connections)| connections[0].idle_since);
@@ -248,7 +254,8 @@
         true
     }
 
-    /// A place for one more connection. If the budget is used up, the longest idle connection gives way.
+    /// Reserves a slot for one more connection. Closes the longest idle connection if the budget is used up. Returns
+    /// `None` if it is used up and no connection is idle.
     fn reserve_slot(&self) -> Option<ConnectionSlot> {
         let is_full = self.open_connections.get() >= self.process_max_connections.get();
         if is_full && !self.close_longest_idle() {
@@ -261,12 +268,13 @@
     /// Opens a new connection.
     ///
     /// # Errors
-    /// The budget is used up, which says nothing about the endpoint, or the connection did not come up.
+    /// Returns [`Status::NotSent`] if the budget is used up, which says nothing about the endpoint, or
+    /// [`Status::ConnectFailed`] if the connection could not be opened.
     pub(super) async fn connect(&self, target: &Target) -> Result<PooledConnection, Status> {
         let slot = self.reserve_slot().ok_or(Status::NotSent)?;
-        let client = HttpClient::connect(target.address, self.connect_timeout).await;
+        let http = HttpConnection::connect(target.address, self.connect_timeout).await;
         Ok(PooledConnection {
-            client: client.map_err(|_| Status::ConnectFailed)?,
+            http: http.map_err(|_| Status::ConnectFailed)?,
             incarnation: target.incarnation,
             idle_since: Instant::now(),
             is_reused: false,
--- a/src/node/connection/http_client.rs
+++ b/src/node/connection/http_connection.rs
@@ -1,13 +1,13 @@
-//! One HTTP connection to an endpoint, which knows how much of a request has been written to it.
+//! HTTP/1 connections to endpoints and discovery that record how much of each request has been written.
 //!
-//! The connection has no task of its own: its owner polls it during an exchange. Dropping it closes the socket at once,
-//! and nothing is sent a second time behind the owner's back.
+//! A connection has no task of its own: the exchange polls it. Dropping it closes the socket at once. No request is
+//! retried here.
 
 use crate::node::{
     connection::{
         response_body::{BufferLimits, OpenStream, read_body},
         socket_input::has_input,
-        write_progress::{CountedSocket, WriteProgress},
+        write_progress::{CountingSocket, WriteProgress},
     },
     wire::{limits::MAX_HEAD_BYTES, stream::OutgoingBody},
 };
@@ -31,72 +31,73 @@
     time::{Sleep, sleep, timeout},
 };
 
-/// Longest time from a response's first byte to the end of its head; slow endpoints write in small pieces.
+/// Longest time from a response's first byte to the end of its head. Slow endpoints write the head in small pieces.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How an exchange failed, by what it says about whether the request may have run.
+/// Failure of an exchange, by whether the endpoint may have run the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ExchangeError {
-    /// It can't have run, and may be sent on another connection.
+    /// The request can't have run and may be sent on another connection.
     #[error("the connection was closed before the request's first byte was written")]
     NotWritten,
-    /// It can't have run.
-    #[error("the connection broke before the request's last byte was written")]
+    /// The request can't have run.
+    #[error("the connection failed before the request's last byte was written")]
     PartlyWritten,
-    /// It may have run.
-    #[error("the connection broke, or brought no valid response, after the request's last byte")]
+    /// The request may have run.
+    #[error("the request was written, but no complete and valid response was received")]
     NoResponse,
 }
 
-/// How an exchange failed, as hyper shows it.
-enum Interruption {
-    /// hyper gave the request back untouched.
+/// Failure of an exchange before it is classified by how much of the request was written.
+enum UnclassifiedFailure {
+    /// hyper returned the request unsent.
     RequestReturned,
+    /// The connection failed, or the response was invalid, unwanted or too slow.
     Broken,
 }
 
-/// See the [module](self).
-pub struct HttpClient {
+/// HTTP/1 connection that carries one request at a time.
+pub struct HttpConnection {
     sender: SendRequest<OutgoingBody>,
-    /// hyper's side of the connection, which reads and writes when it is polled.
-    driver: Pin<Box<Connection<TokioIo<CountedSocket>, OutgoingBody>>>,
+    /// hyper's connection future, which reads and writes when polled.
+    driver: Pin<Box<Connection<TokioIo<CountingSocket>, OutgoingBody>>>,
     progress: Rc<WriteProgress>,
     socket: Rc<TcpStream>,
 }
 
-impl HttpClient {
-    /// Connects within a time limit.
+impl HttpConnection {
+    /// Opens a connection.
     ///
     /// # Errors
-    /// The connection did not come up.
-    pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
-        let socket = timeout(limit, TcpStream::connect(address)).await??;
+    /// The connection was refused, or was not open after `connect_timeout`.
+    pub async fn connect(address: SocketAddr, connect_timeout: Duration) -> io::Result<Self> {
+        let socket = timeout(connect_timeout, TcpStream::connect(address)).await??;
         socket.set_nodelay(true)?;
         let socket = Rc::new(socket);
         let progress = Rc::new(WriteProgress::default());
-        let counted = CountedSocket { socket: socket.clone(), progress: progress.clone() };
-        let handshake = Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(counted));
+        let counting_socket = CountingSocket { socket: socket.clone(), progress: progress.clone() };
+        let handshake = Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(counting_socket));
         let (sender, driver) = handshake.await.map_err(io::Error::other)?;
         Ok(Self { sender, driver: Box::pin(driver), progress, socket })
     }
 
-    /// The progress of the present request, which stays readable after the connection is gone.
+    /// Returns the write progress of the current request. It stays readable after the connection is dropped.
     pub fn progress(&self) -> Rc<WriteProgress> {
         self.progress.clone()
     }
 
-    /// Whether the idle connection can carry a request. Input that arrived without a request would be taken for the
-    /// next response, so a connection with such input can't.
+    /// Checks whether the idle connection can carry a request. It can't if input has arrived without a request,
+    /// because that would be taken for the next response.
     pub fn is_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         !has_input(&self.socket) && self.driver.as_mut().poll(&mut cx).is_pending() && self.sender.is_ready()
     }
 
     /// Sends a request and reads the response. A body beyond `limits` goes to the stream that `open_stream` returns;
-    /// the response is then returned with an empty body, once the stream has ended.
+    /// then the response is returned after the end of the stream, with an empty body.
     ///
     /// # Errors
-    /// The connection broke, or brought no valid response.
+    /// The connection failed, the response was invalid, or no stream was opened for a body beyond `limits`.
     pub async fn exchange(
         &mut self,
         request: Request<OutgoingBody>,
@@ -109,21 +110,21 @@
         let has_head = Cell::new(false);
         let response = pin!(async {
             let response = response.await.map_err(|mut error| match error.take_message() {
-                Some(_) => Interruption::RequestReturned,
-                None => Interruption::Broken,
+                Some(_) => UnclassifiedFailure::RequestReturned,
+                None => UnclassifiedFailure::Broken,
             })?;
             has_head.set(true);
             let (parts, body) = response.into_parts();
             let body = read_body(&parts, body, limits, open_stream).await;
-            let body = body.map_err(|_| Interruption::Broken)?;
+            let body = body.map_err(|_| UnclassifiedFailure::Broken)?;
             Ok(Response::from_parts(parts, body))
         });
         let result = drive(&mut self.driver, &self.progress, &has_head, response).await;
-        result.map_err(|interruption| self.classify(&interruption))
+        result.map_err(|failure| self.classify(&failure))
     }
 
-    fn classify(&self, interruption: &Interruption) -> ExchangeError {
-        let is_returned = matches!(interruption, Interruption::RequestReturned);
+    fn classify(&self, failure: &UnclassifiedFailure) -> ExchangeError {
+        let is_returned = matches!(failure, UnclassifiedFailure::RequestReturned);
         if self.progress.is_completely_written() {
             ExchangeError::NoResponse
         } else if is_returned || self.progress.is_unwritten() {
@@ -134,18 +135,18 @@
     }
 }
 
-/// Polls the connection until the response is read, the connection ends before the response's head, or that head takes
-/// too long. Once the head has arrived, what follows it is still read after the connection's end.
+/// Polls the connection until the response is read, the connection ends before the response's head, or the head takes
+/// too long. After the head has arrived, the rest of the response is read even if the connection has ended.
 async fn drive(
-    driver: &mut Pin<Box<Connection<TokioIo<CountedSocket>, OutgoingBody>>>,
+    driver: &mut Pin<Box<Connection<TokioIo<CountingSocket>, OutgoingBody>>>,
     progress: &WriteProgress,
     has_head: &Cell<bool>,
-    mut response: Pin<&mut impl Future<Output = Result<Response<Bytes>, Interruption>>>,
-) -> Result<Response<Bytes>, Interruption> {
+    mut response: Pin<&mut impl Future<Output = Result<Response<Bytes>, UnclassifiedFailure>>>,
+) -> Result<Response<Bytes>, UnclassifiedFailure> {
     let mut is_closed = false;
     let mut head_timer: Option<Pin<Box<Sleep>>> = None;
     poll_fn(|cx| {
-        // hyper's connection must not be polled after its end.
+        // hyper's connection future must not be polled after it has completed.
         if !is_closed {
             is_closed = driver.as_mut().poll(cx).is_ready();
         }
@@ -156,12 +157,12 @@
             return Poll::Pending;
         }
         if is_closed {
-            return Poll::Ready(Err(Interruption::Broken));
+            return Poll::Ready(Err(UnclassifiedFailure::Broken));
         }
         // Most heads arrive in one read and need no timer.
         if progress.has_response_started() {
             let timer = head_timer.get_or_insert_with(|| Box::pin(sleep(HEAD_TIMEOUT)));
-            return timer.as_mut().poll(cx).map(|()| Err(Interruption::Broken));
+            return timer.as_mut().poll(cx).map(|()| Err(UnclassifiedFailure::Broken));
         }
         Poll::Pending
     })
--- a/src/node/connection/idle_limit.rs
+++ b/src/node/connection/idle_limit.rs
@@ -1,12 +1,15 @@
-//! Learns how long an idle connection may be kept. A middlebox may drop idle connections far sooner than the endpoint
-//! closes them, and shows that only by a reset of the next request, which may then have run.
+//! Adapts how long an idle connection may be kept for reuse.
+//!
+//! A middlebox may drop idle connections far sooner than the endpoint closes them. The gateway sees that only when
+//! the next request on the connection is reset, and that request may have run.
 
 use std::{cell::Cell, time::Duration};
 
-/// Shortest limit: within it the next request of a burst arrives, and a new connection costs the endpoint work.
+/// Lower bound of the limit. The next request of a burst arrives within it, and a new connection costs the endpoint
+/// work.
 const MIN_IDLE_LIMIT: Duration = Duration::from_millis(50);
 
-/// The longest time for which an idle connection is reused: halved by resets, raised by successful reuse.
+/// Idle time up to which a connection may be reused. Resets lower it, successful reuse raises it again.
 #[derive(Debug)]
 pub struct IdleLimit {
     current: Cell<Duration>,
@@ -14,26 +17,28 @@
 }
 
 impl IdleLimit {
-    /// A limit that starts at its maximum.
+    /// Returns a limit that starts at `max` and never exceeds it.
     pub fn new(max: Duration) -> Self {
         Self { current: Cell::new(max), max }
     }
 
-    /// Whether a connection that has been idle for this long may be reused.
+    /// Checks whether a connection that has been idle for this long may be reused.
     pub fn allows(&self, idle: Duration) -> bool {
         idle < self.current.get()
     }
 
-    /// A connection carried a request after being idle for this long.
-    pub fn note_success(&self, idle: Duration) {
+    /// Records that a connection carried a request after being idle for this long. Raises the limit by a quarter if
+    /// the idle time was at least half of it.
+    pub fn record_success(&self, idle: Duration) {
         let current = self.current.get();
         if idle >= current / 2 {
             self.current.set((current * 5 / 4).min(self.max));
         }
     }
 
-    /// A connection was reset without a response after being idle for this long.
-    pub fn note_reset(&self, idle: Duration) {
+    /// Records that a connection was reset without a response after being idle for this long. Lowers the limit to
+    /// half of that time, but not below the minimum.
+    pub fn record_reset(&self, idle: Duration) {
         let lowered = (idle / 2).max(MIN_IDLE_LIMIT);
         self.current.set(lowered.min(self.current.get()));
     }
--- a/src/node/connection/mod.rs
+++ b/src/node/connection/mod.rs
@@ -1,5 +1,7 @@
-//! Connections to clients, endpoints, the counter, discovery and operators. They report through small traits and know
-//! nothing about their users.
+//! Connections to clients, endpoints, the counter, discovery and operators.
+//!
+//! Connections report through small traits such as [`events::EventSink`], so that this layer doesn't depend on the
+//! code that uses it.
 
 pub mod clients;
 pub mod counter;
@@ -7,7 +9,7 @@
 pub mod endpoint_attempt;
 pub mod endpoint_pool;
 pub mod events;
-pub mod http_client;
+pub mod http_connection;
 pub mod idle_limit;
 pub mod operators;
 pub mod response_body;
--- a/src/node/connection/response_body.rs
+++ b/src/node/connection/response_body.rs
@@ -1,4 +1,4 @@
-//! Reads the bodies of endpoints' responses: small ones into a buffer, large or slow ones as a stream.
+//! Reads response bodies: short ones into a buffer, long or slow ones as a stream.
 
 use crate::node::wire::stream::Piece;
 use bytes::{Bytes, BytesMut};
@@ -16,51 +16,54 @@
     time::{sleep, timeout},
 };
 
-/// Longest time without a byte of a buffered body. One that stalls is given up: the request's time is better spent on
-/// another attempt.
+/// Longest wait for the next data of a buffered body. A body that stalls for longer is abandoned, because another
+/// attempt makes better use of the request's remaining time.
 const BUFFER_STALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest time without a byte of a streamed body. It is longer because no other attempt can replace it.
+/// Longest wait for the next data of a streamed body. Longer than for a buffered body, because no other attempt can
+/// replace a stream that has begun.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a response body was not read to its end.
+/// Failure to read a response body to its end.
 #[derive(Debug, Error)]
 pub enum ResponseBodyError {
-    #[error("only the connection's close marks the body's end, and the head does not announce it")]
-    UnmarkedEnd,
-    #[error("no byte of the body for {0:?}")]
+    #[error(
+        "the body has neither a length nor chunks, and the head does not announce that the connection closes"
+    )]
+    UnannouncedClose,
+    #[error("no data of the body arrived for {0:?}")]
     Stalled(Duration),
-    #[error("the body broke: {0}")]
+    #[error("the body could not be read: {0}")]
     Broken(#[from] hyper::Error),
-    #[error("the body does not fit into the buffer, and nobody takes a stream of it")]
+    #[error("the body exceeds the buffer limits, and no stream was opened for it")]
     NotStreamed,
-    #[error("the receiver of the stream is gone")]
+    #[error("the receiver of the streamed body was dropped")]
     ReceiverGone,
 }
 
-/// What of a response body is buffered; anything beyond is streamed.
+/// Limits up to which a response body is buffered. A body beyond either of them is streamed.
 #[derive(Debug, Clone, Copy)]
 pub struct BufferLimits {
     pub max_bytes: usize,
-    /// Longest time for a body of unknown length. Within it the body may turn out to be small, and a break can be
-    /// repaired by another attempt.
+    /// Longest time for buffering a body of unknown length. Within it the body may turn out to be short, and after a
+    /// failure another attempt can still replace it.
     pub max_time: Duration,
 }
 
 impl BufferLimits {
-    /// Whether a body of this length may be buffered; of an unknown one that is not known yet.
-    fn allow(&self, length: Option<u64>) -> bool {
+    /// Checks whether a body of this length may be buffered. A body of unknown length may be, up to the limits.
+    fn can_buffer(&self, length: Option<u64>) -> bool {
         length.is_none_or(|length| length <= self.max_bytes as u64)
     }
 }
 
-/// Opens the stream for a body that exceeds the limits, given the response's head and the body's length if that is
-/// known. `None` if nobody takes it.
+/// Opens the stream for a body that exceeds the limits, given the response's head and the body's length if it is
+/// known. Returns `None` if the body is not wanted.
 pub type OpenStream<'a> = dyn Fn(&Parts, Option<u64>) -> Option<mpsc::Sender<Piece>> + 'a;
 
-/// Reads a body to its end: buffered, or empty if it was streamed.
+/// Reads a body to its end. Returns the buffered body, or an empty one if it was streamed.
 ///
 /// # Errors
-/// The body broke or stalled, or nobody wants it.
+/// The body was cut off or stalled, or no stream was opened for it, or the stream's receiver was dropped.
 pub async fn read_body(
     parts: &Parts,
     mut body: Incoming,
@@ -68,8 +71,8 @@
     open_stream: &OpenStream<'_>,
 ) -> Result<Bytes, ResponseBodyError> {
     let length = body.size_hint().exact();
-    if length.is_none() && !is_end_marked(parts) {
-        return Err(ResponseBodyError::UnmarkedEnd);
+    if length.is_none() && !is_end_detectable(parts) {
+        return Err(ResponseBodyError::UnannouncedClose);
     }
     let buffered = match buffer_body(&mut body, length, limits).await? {
         Buffered::Complete(bytes) => return Ok(bytes),
@@ -80,18 +83,19 @@
     Ok(Bytes::new())
 }
 
-/// Whether a body without a length shows its end. A close that the head does not announce may as well be a break.
-fn is_end_marked(parts: &Parts) -> bool {
+/// Checks whether the end of a body without a length can be told from a failure. A close of the connection marks the
+/// end only in HTTP/1.0 or if the head announces it.
+fn is_end_detectable(parts: &Parts) -> bool {
     let connection = parts.headers.get(CONNECTION);
     parts.headers.contains_key(TRANSFER_ENCODING)
         || parts.version == Version::HTTP_10
         || connection.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
 }
 
-/// A body as far as it was buffered.
+/// Buffered part of a body.
 enum Buffered {
     Complete(Bytes),
-    /// It exceeds the limits.
+    /// The body exceeds the limits; the rest is still to be read.
     Partial(Bytes),
 }
 
@@ -100,11 +104,11 @@
     length: Option<u64>,
     limits: BufferLimits,
 ) -> Result<Buffered, ResponseBodyError> {
-    let capacity = length.filter(|_| limits.allow(length)).unwrap_or(0);
+    let capacity = length.filter(|_| limits.can_buffer(length)).unwrap_or(0);
     let mut bytes = BytesMut::with_capacity(capacity as usize);
     let time_limit = sleep(limits.max_time);
     tokio::pin!(time_limit);
-    while limits.allow(length) && bytes.len() <= limits.max_bytes {
+    while limits.can_buffer(length) && bytes.len() <= limits.max_bytes {
         let frame = tokio::select! {
             biased;
             frame = timeout(BUFFER_STALL_TIMEOUT, body.frame()) => {
@@ -121,7 +125,7 @@
     Ok(Buffered::Partial(bytes.freeze()))
 }
 
-/// Sends what is buffered and the rest of the body, then the end mark.
+/// Sends the buffered part and the rest of the body to the stream, then marks the stream's end.
 async fn stream_body(
     body: &mut Incoming,
     buffered: Bytes,
--- a/src/node/connection/write_progress.rs
+++ b/src/node/connection/write_progress.rs
@@ -1,6 +1,7 @@
-//! How much of a request has been written to a connection, observed by the socket that the bytes go through.
+//! Records how much of a request has been written to a connection, by observing the bytes that go through its socket.
 //!
-//! It decides whether an attempt may have run: an endpoint starts to work on a request with its last byte.
+//! The progress tells whether an attempt may have run, because an endpoint starts to work on a request only after it
+//! has received the last byte.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,24 +15,24 @@
     net::TcpStream,
 };
 
-/// The progress of the present request on a connection.
+/// Progress of the current request on a connection.
 #[derive(Debug, Default)]
 pub struct WriteProgress {
-    /// Length of the request's body, if it is known from the start.
+    /// Length of the request's body; `None` if it is not known in advance.
     body_length: Cell<Option<usize>>,
-    /// Set once the last byte of a streamed body was handed over.
+    /// Flag that a streamed body sets after handing over its last byte; `None` if the body is buffered.
     is_body_finished: RefCell<Option<Rc<Cell<bool>>>>,
     written_bytes: Cell<usize>,
-    /// Length of the request with its head, known from the first write on, which begins with the complete head.
+    /// Length of head and body, known after the first write, which begins with the complete head. Always `None` if
+    /// the body's length is not known in advance.
     request_length: Cell<Option<usize>>,
-    /// The first bytes of the final response have arrived.
     has_response_started: Cell<bool>,
-    /// Incremented when the request is written completely.
-    sent_counter: RefCell<Option<Rc<Cell<u64>>>>,
+    /// Count to be incremented once the next request is written completely.
+    sent_requests: RefCell<Option<Rc<Cell<u64>>>>,
 }
 
 impl WriteProgress {
-    /// Starts over for a new request. `is_body_finished` belongs to a streamed body.
+    /// Resets the progress for a new request. `is_body_finished` is the flag of a streamed body.
     pub fn start_request(&self, body_length: Option<usize>, is_body_finished: Option<Rc<Cell<bool>>>) {
         self.body_length.set(body_length);
         self.is_body_finished.replace(is_body_finished);
@@ -40,48 +41,48 @@
         self.has_response_started.set(false);
     }
 
-    /// Sets the counter to be incremented when the next request is written completely.
-    pub fn count_sent_in(&self, counter: &Rc<Cell<u64>>) {
-        self.sent_counter.replace(Some(counter.clone()));
+    /// Counts the next request in `sent_requests` once it is written completely.
+    pub fn count_request_in(&self, sent_requests: &Rc<Cell<u64>>) {
+        self.sent_requests.replace(Some(sent_requests.clone()));
     }
 
-    /// Whether not one byte of the request was written.
+    /// Checks whether no byte of the request was written.
     pub fn is_unwritten(&self) -> bool {
         self.written_bytes.get() == 0
     }
 
-    /// Whether the last byte of the request was written, so that the endpoint may work on it.
+    /// Checks whether the last byte of the request was written, so that the endpoint may have started to work on it.
     pub fn is_completely_written(&self) -> bool {
         match self.request_length.get() {
             Some(length) => self.written_bytes.get() >= length,
-            // The end mark of a chunked body follows its last byte at once.
+            // The final chunk is written immediately after the last byte of a chunked body.
             None => self.is_body_finished.borrow().as_ref().is_some_and(|is_finished| is_finished.get()),
         }
     }
 
-    /// Whether bytes of the final response have arrived.
+    /// Checks whether bytes of the final response have arrived.
     pub fn has_response_started(&self) -> bool {
         self.has_response_started.get()
     }
 
-    fn note_written(&self, bytes: usize) {
+    fn record_written(&self, bytes: usize) {
         self.written_bytes.set(self.written_bytes.get() + bytes);
         if self.is_completely_written() {
-            if let Some(counter) = self.sent_counter.take() {
-                counter.set(counter.get() + 1);
+            if let Some(sent_requests) = self.sent_requests.take() {
+                sent_requests.set(sent_requests.get() + 1);
             }
         }
     }
 
-    /// An interim response (1xx) is not the final one.
-    fn note_read(&self, bytes: &[u8]) {
+    /// Records bytes that were read. An interim response (1xx) doesn't count as the final one.
+    fn record_read(&self, bytes: &[u8]) {
         if !bytes.is_empty() && !bytes.starts_with(b"HTTP/1.1 1") {
             self.has_response_started.set(true);
         }
     }
 
-    /// Works out the request's length from the bytes of its first write.
-    fn note_write_offered(&self, bytes: &[u8]) {
+    /// Computes the request's length from the bytes offered to its first write. Later writes change nothing.
+    fn record_first_write(&self, bytes: &[u8]) {
         if self.request_length.get().is_some() {
             return;
         }
@@ -93,14 +94,14 @@
     }
 }
 
-/// A socket that records the progress. It offers no vectored writes, so that hyper hands over the head, with what it
-/// has of the body, in one buffer.
-pub struct CountedSocket {
+/// Socket that records the write progress. It doesn't support vectored writes, so that hyper writes the head,
+/// together with what it has of the body, from one buffer.
+pub struct CountingSocket {
     pub socket: Rc<TcpStream>,
     pub progress: Rc<WriteProgress>,
 }
 
-impl AsyncRead for CountedSocket {
+impl AsyncRead for CountingSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -112,7 +113,7 @@
                 Ok(count) => {
                     output.advance(count);
                     let filled = output.filled();
-                    self.progress.note_read(&filled[filled.len() - count..]);
+                    self.progress.record_read(&filled[filled.len() - count..]);
                     return Poll::Ready(Ok(()));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -122,13 +123,13 @@
     }
 }
 
-impl AsyncWrite for CountedSocket {
+impl AsyncWrite for CountingSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.progress.note_write_offered(bytes);
+        self.progress.record_first_write(bytes);
         loop {
             match self.socket.try_write(bytes) {
                 Ok(count) => {
-                    self.progress.note_written(count);
+                    self.progress.record_written(count);
                     return Poll::Ready(Ok(count));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -143,28 +144,28 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The close that follows ends it.
+        // Closing the socket, which follows, also shuts down its write side.
         Poll::Ready(Ok(()))
     }
 }
 
-/// A view of a request's progress for those that wait for it from outside, such as its time-out. It is empty until the
-/// request has a connection.
+/// Handle by which others, such as the attempt's timeout, read a request's progress. Empty until the request has a
+/// connection.
 #[derive(Debug, Clone, Default)]
 pub struct WriteProgressHandle(Rc<RefCell<Option<Rc<WriteProgress>>>>);
 
 impl WriteProgressHandle {
-    /// Follows the progress on a connection from now on.
+    /// Sets the connection's progress that this handle shows from now on.
     pub fn attach(&self, progress: Rc<WriteProgress>) {
         self.0.replace(Some(progress));
     }
 
-    /// Whether the request was written completely, so that the endpoint may work on it.
+    /// Checks whether the request was written completely, so that the endpoint may have started to work on it.
     pub fn may_have_run(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|progress| progress.is_completely_written())
     }
 
-    /// Whether bytes of the final response have arrived.
+    /// Checks whether bytes of the final response have arrived.
     pub fn has_response_started(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|progress| progress.has_response_started())
     }
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -3,7 +3,7 @@
 use crate::node::{
     connection::{
         clients::FinalResponse,
-        endpoint_attempt::AttemptEnd,
+        endpoint_attempt::AttemptResult,
         endpoint_pool::{EndpointPool, Target},
         write_progress::WriteProgressHandle,
     },
@@ -160,7 +160,7 @@
         (outcome == DeliveryOutcome::Delivered).then_some(sender)
     }
 
-    fn end(&self, request_id: &RequestId, number: u32, end: AttemptEnd) {
+    fn end(&self, request_id: &RequestId, number: u32, end: AttemptResult) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         let Some(attempt) = request.take_attempt(number) else { return };
         let endpoint = attempt.endpoint;
@@ -196,7 +196,7 @@
         attempt.task.abort();
         let status = if attempt.write_progress.may_have_run() { status } else { Status::NotSent };
         drop(request);
-        self.end(request_id, number, AttemptEnd::without_response(status));
+        self.end(request_id, number, AttemptResult::without_response(status));
     }
 
     /// Releases what a request no longer needs. Once nothing may be sent for the request, cancels its unsent attempts:
--- a/tests/unit/idle_limit.rs
+++ b/tests/unit/idle_limit.rs
@@ -1,4 +1,4 @@
-//! How resets and successes on reused connections move the limit of idle time.
+//! Adjustment of the idle limit by resets and successes on reused connections.
 
 use super::*;
 
@@ -9,32 +9,32 @@
 }
 
 #[test]
-fn reset_halves_the_idle_time_that_is_allowed() {
+fn reset_lowers_limit_to_half_of_idle_time() {
     let limit = IdleLimit::new(MAX);
     assert!(limit.allows(millis(7999)) && !limit.allows(MAX));
-    limit.note_reset(millis(1000));
+    limit.record_reset(millis(1000));
     assert!(limit.allows(millis(499)) && !limit.allows(millis(500)));
 }
 
 #[test]
-fn resets_never_raise_the_limit_nor_lower_it_below_its_minimum() {
+fn reset_neither_raises_limit_nor_undercuts_minimum() {
     let limit = IdleLimit::new(MAX);
-    limit.note_reset(millis(0));
+    limit.record_reset(millis(0));
     assert!(limit.allows(MIN_IDLE_LIMIT - millis(1)) && !limit.allows(MIN_IDLE_LIMIT));
-    limit.note_reset(millis(6000));
+    limit.record_reset(millis(6000));
     assert!(!limit.allows(MIN_IDLE_LIMIT));
 }
 
 #[test]
-fn only_success_after_a_long_idle_time_raises_the_limit_up_to_its_maximum() {
+fn success_after_long_idle_time_raises_limit_up_to_maximum() {
     let limit = IdleLimit::new(MAX);
-    limit.note_reset(millis(8000));
-    limit.note_success(millis(1999));
+    limit.record_reset(millis(8000));
+    limit.record_success(millis(1999));
     assert!(!limit.allows(millis(4000)));
-    limit.note_success(millis(2000));
+    limit.record_success(millis(2000));
     assert!(limit.allows(millis(4999)) && !limit.allows(millis(5000)));
     for _ in 0..5 {
-        limit.note_success(millis(7000));
+        limit.record_success(millis(7000));
     }
     assert!(limit.allows(millis(7999)) && !limit.allows(MAX));
 }
