--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -1,7 +1,8 @@
-//! The operators' HTTP API: one request a connection, answered from live state.
+//! Server of the operators' HTTP API, which answers one request per connection.
 //!
-//! Nothing here waits for clients, endpoints or the counter. Connections have descriptors set aside for them; a caller
-//! that holds one without a complete request gives way to others.
+//! Requests are answered from the gateway's current state and never wait for clients, endpoints or the counter. A
+//! number of descriptors is reserved for these connections. When all are in use, the oldest connection is closed for
+//! a new one.
 
 use crate::node::{config::Config, hot_restart::maintenance_file::MaintenanceFileError};
 use bytes::Bytes;
@@ -23,54 +24,54 @@
     time::{Instant, sleep, sleep_until, timeout},
 };
 
-/// Most connections at once: the descriptors set aside, less the listener and one connection just accepted.
+/// Most connections at once: the reserved descriptors less the listener and one connection that was just accepted.
 const MAX_CONCURRENT_CALLS: usize = Config::OPERATOR_DESCRIPTORS - 2;
-/// Longest time for a call, from the connection to the last byte of the response.
+/// Longest time for a call, from accepting the connection to the last byte of the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The oldest call may give way to a new one after this time.
+/// Shortest time that a call gets before it may be aborted in favor of a new one.
 const MIN_CALL_TIME: Duration = Duration::from_millis(100);
-/// Wait after a failure to accept.
+/// Delay after a failure to accept a connection.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Longest head of a request; hyper takes no smaller limit.
+/// Longest request head. hyper accepts no smaller limit.
 const MAX_HEAD_BYTES: usize = 8192;
 
 type OperatorResponse = Response<Full<Bytes>>;
 
-/// Why an endpoint could not be put into maintenance or taken out.
+/// Failure to put an endpoint into maintenance or to take it out.
 #[derive(Debug, Error)]
 pub enum MaintenanceError {
-    #[error("no worker has this id")]
+    #[error("no endpoint has this id")]
     UnknownEndpoint,
-    /// The change holds in this process, but the next one would not know it.
-    #[error("not kept: {0}")]
-    NotKept(MaintenanceFileError),
+    /// The change is in effect in this process, but would be lost in the next one.
+    #[error("in effect, but not stored for the next process: {0}")]
+    NotStored(MaintenanceFileError),
 }
 
-/// What operators may ask for.
+/// Operations that the API offers, implemented by the node.
 pub trait Operations {
-    /// Whether clients are accepted.
+    /// Checks whether the gateway accepts clients.
     fn is_accepting(&self) -> bool;
-    /// The current metrics in Prometheus' text format.
+    /// Returns the current metrics in Prometheus' text format.
     fn render_metrics(&self) -> String;
-    /// Puts an endpoint into maintenance, or takes it out.
+    /// Puts an endpoint into maintenance or takes it out.
     ///
     /// # Errors
     /// The endpoint is unknown, or the change could not be stored.
     fn set_maintenance(&self, id: &str, in_maintenance: bool) -> Result<(), MaintenanceError>;
 }
 
-/// The server of the operators' API.
-pub struct Operators {
+/// Server of the operators' API.
+pub struct OperatorServer {
     pub operations: Box<dyn Operations>,
 }
 
-/// A call that is being served.
+/// Call that is being served.
 struct OpenCall {
     started_at: Instant,
     task: JoinHandle<()>,
 }
 
-/// A call according to its path.
+/// Call requested by a path.
 enum OperatorCall<'a> {
     HealthCheck,
     Metrics,
@@ -79,7 +80,7 @@
 }
 
 impl<'a> OperatorCall<'a> {
-    /// `None` if there is no such call.
+    /// Parses a request's path. Returns `None` if no call has this path.
     fn parse(path: &'a str) -> Option<Self> {
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         match segments.as_slice() {
@@ -99,8 +100,8 @@
     }
 }
 
-impl Operators {
-    /// Serves calls until it is cancelled.
+impl OperatorServer {
+    /// Serves calls until the task is cancelled.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut open_calls = VecDeque::new();
         loop {
@@ -110,12 +111,12 @@
             };
             open_calls.retain(|call: &OpenCall| !call.task.is_finished());
             if open_calls.len() >= MAX_CONCURRENT_CALLS {
-                end_oldest(&mut open_calls).await;
+                abort_oldest(&mut open_calls).await;
             }
-            let operators = self.clone();
+            let server = self.clone();
             let task = spawn_local(async move {
-                // A call that is incomplete by then gets no response.
-                let _ = timeout(CALL_TIMEOUT, operators.serve_connection(socket)).await;
+                // A call that exceeds its time gets no response.
+                let _ = timeout(CALL_TIMEOUT, server.serve_connection(socket)).await;
             });
             open_calls.push_back(OpenCall { started_at: Instant::now(), task });
         }
@@ -124,15 +125,15 @@
     async fn serve_connection(&self, socket: TcpStream) {
         let service = service_fn(async |request| Ok::<_, Infallible>(self.respond(&request)));
         let mut server = http1::Builder::new();
-        // The call as a whole has a time limit, so its head needs none.
+        // The time limit of the whole call covers the head.
         server.keep_alive(false).max_buf_size(MAX_HEAD_BYTES).header_read_timeout(None);
-        // After an error the caller is gone, or has got hyper's response to what is not HTTP.
+        // On an error the operator has disconnected, or has received hyper's response to invalid HTTP.
         let _ = server.serve_connection(TokioIo::new(socket), service).await;
     }
 
     fn respond(&self, request: &Request<Incoming>) -> OperatorResponse {
         let Some(call) = OperatorCall::parse(request.uri().path()) else {
-            return text_response(StatusCode::NOT_FOUND, "no such call\n");
+            return text_response(StatusCode::NOT_FOUND, "unknown path\n");
         };
         if *request.method() != call.method() {
             return method_not_allowed(&call.method());
@@ -155,7 +156,7 @@
 
     fn set_maintenance(&self, encoded_id: &str, in_maintenance: bool) -> OperatorResponse {
         let Ok(id) = percent_decode_str(encoded_id).decode_utf8() else {
-            return text_response(StatusCode::BAD_REQUEST, "the id is no text\n");
+            return text_response(StatusCode::BAD_REQUEST, "the endpoint id is not valid UTF-8\n");
         };
         match self.operations.set_maintenance(&id, in_maintenance) {
             Ok(()) if in_maintenance => text_response(StatusCode::OK, "out\n"),
@@ -165,8 +166,8 @@
     }
 }
 
-/// Ends the oldest call, once it has had its minimum time.
-async fn end_oldest(open_calls: &mut VecDeque<OpenCall>) {
+/// Aborts the oldest call once [`MIN_CALL_TIME`] has passed since it was accepted.
+async fn abort_oldest(open_calls: &mut VecDeque<OpenCall>) {
     if let Some(oldest) = open_calls.pop_front() {
         sleep_until(oldest.started_at + MIN_CALL_TIME).await;
         oldest.task.abort();
@@ -176,12 +177,12 @@
 fn error_status(error: &MaintenanceError) -> StatusCode {
     match error {
         MaintenanceError::UnknownEndpoint => StatusCode::NOT_FOUND,
-        MaintenanceError::NotKept(_) => StatusCode::INTERNAL_SERVER_ERROR,
+        MaintenanceError::NotStored(_) => StatusCode::INTERNAL_SERVER_ERROR,
     }
 }
 
 fn method_not_allowed(allowed: &Method) -> OperatorResponse {
-    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "no such method here\n");
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
     // A method's name is always a valid header value.
     if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
         response.headers_mut().insert(ALLOW, allowed);
--- a/src/node/runtime/maintenance.rs
+++ b/src/node/runtime/maintenance.rs
@@ -59,7 +59,7 @@
         self.set(&endpoint, in_maintenance);
         let Some(file) = &self.file else { return Ok(()) };
         let endpoints = self.policy.endpoints_in_maintenance();
-        file.store(endpoints.iter()).map_err(MaintenanceError::NotKept)
+        file.store(endpoints.iter()).map_err(MaintenanceError::NotStored)
     }
 
     /// Puts an endpoint into maintenance or takes it out, in this process only.
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -5,7 +5,7 @@
     config::Config,
     connection::{
         discovery::follower::{self, Discovery},
-        operators::Operators,
+        operators::OperatorServer,
     },
     error::EssentialTask,
     hot_restart::{peer_connection, predecessor, successor},
@@ -114,7 +114,7 @@
         metrics: node.metrics.clone(),
         class_names: node.config.options.class_names.clone(),
     });
-    tasks.spawn_local(Rc::new(Operators { operations }).serve(listener));
+    tasks.spawn_local(Rc::new(OperatorServer { operations }).serve(listener));
 }
 
 async fn close_idle_connections(driver: Rc<Driver>) {
