--- a/src/node/connection/counter/call.rs
+++ b/src/node/connection/counter/call.rs
@@ -1,4 +1,4 @@
-//! One call to the counter, from its first byte to its end.
+//! State of one call to the counter.
 
 use crate::node::connection::{
     counter::{
@@ -10,34 +10,34 @@
 use oliverack::{Event, Status};
 use std::time::Instant;
 
-/// Identifies a call within its client.
+/// Number of a call, unique within its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallId(pub u64);
 
-/// What a call is for.
+/// Purpose of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallKind {
-    /// Keeps the connection from idling out; nobody awaits its reply.
+    /// Keeps the counter from closing an idle connection. The policy doesn't await the reply.
     Ping,
-    /// Adds to a counter; the policy awaits the reply.
+    /// Adds to a counter. The policy awaits the reply.
     Add { id: CallId, counter: u64 },
 }
 
-/// How far a call has come.
+/// Progress of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallStage {
-    /// Nothing was written, so the counter can't have carried it out.
+    /// Nothing was written, so the counter can't have executed the call.
     Unwritten,
-    /// So many bytes were written; the rest must follow, as the next call is written behind it.
+    /// Only the first `bytes` were written. The rest must be written before the next call.
     PartlyWritten { bytes: usize },
-    /// All of it was written.
+    /// The whole call was written.
     AwaitingReply,
-    /// Its time ran out after so many bytes were written, and the policy was notified. The rest is still written, and
-    /// the reply is discarded.
+    /// The call reached its timeout after `bytes` were written, and the policy was notified. The rest is still
+    /// written, and the reply is discarded.
     TimedOut { bytes: usize },
 }
 
-/// See the [module](self).
+/// Call to the counter that is waiting to be written or for its reply.
 #[derive(Debug)]
 pub struct Call {
     kind: CallKind,
@@ -47,12 +47,12 @@
 }
 
 impl Call {
-    /// A call that adds `amount` to a counter, which is kept for `ttl` seconds if it is new.
+    /// Returns a call that adds `amount` to a counter, which is kept for `ttl` seconds if it is new.
     pub fn add(id: CallId, counter: u64, amount: f64, ttl: f64) -> Self {
         Self::new(CallKind::Add { id, counter }, protocol::add_line(counter, amount, ttl))
     }
 
-    /// A call that keeps the connection from idling out.
+    /// Returns a call that keeps the counter from closing an idle connection.
     pub fn ping() -> Self {
         Self::new(CallKind::Ping, protocol::PING.to_vec())
     }
@@ -61,37 +61,37 @@
         Self { kind, started_at: Instant::now(), line, stage: CallStage::Unwritten }
     }
 
-    /// When the call was made.
+    /// Returns the time at which the call was created.
     pub fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Whether this is the call with the given id.
+    /// Checks whether the call has the given id. Pings have none.
     pub fn has_id(&self, wanted: CallId) -> bool {
         matches!(self.kind, CallKind::Add { id, .. } if id == wanted)
     }
 
-    /// Whether the call adds to the given counter.
+    /// Checks whether the call adds to the given counter.
     pub fn adds_to(&self, wanted: u64) -> bool {
         matches!(self.kind, CallKind::Add { counter, .. } if counter == wanted)
     }
 
-    /// Whether the policy awaits the reply.
+    /// Checks whether the policy awaits the reply.
     pub fn is_awaited(&self) -> bool {
         self.kind != CallKind::Ping && !matches!(self.stage, CallStage::TimedOut { .. })
     }
 
-    /// Whether nothing of the call was written.
+    /// Checks whether no byte of the call was written.
     pub fn is_unwritten(&self) -> bool {
         self.stage == CallStage::Unwritten
     }
 
-    /// The part of the call that is still to be written.
+    /// Returns the part of the call that is still to be written.
     pub fn unwritten_part(&self) -> &[u8] {
         &self.line[self.written_bytes()..]
     }
 
-    /// Notes that so many further bytes were written.
+    /// Records that `new_bytes` further bytes were written.
     pub fn record_written(&mut self, new_bytes: usize) {
         let bytes = self.written_bytes() + new_bytes;
         self.stage = match self.stage {
@@ -101,8 +101,8 @@
         };
     }
 
-    /// Notes that the call's time ran out.
-    pub fn time_out(&mut self) {
+    /// Marks the call as timed out, so that it is no longer awaited.
+    pub fn mark_timed_out(&mut self) {
         self.stage = CallStage::TimedOut { bytes: self.written_bytes() };
     }
 
@@ -114,8 +114,9 @@
         }
     }
 
-    /// The call's status and the counter's total that a reply gives. `None` if it is not the reply to such a call.
-    pub fn status_of_reply(&self, reply: &CounterReply) -> Option<(Status, f64)> {
+    /// Returns the call's status and the counter's total according to a reply, or `None` if a call of this kind can't
+    /// get such a reply.
+    pub fn match_reply(&self, reply: &CounterReply) -> Option<(Status, f64)> {
         match (reply, self.kind) {
             (CounterReply::Pong, CallKind::Ping) => Some((Status::Ok, 0.0)),
             (CounterReply::Total(total), CallKind::Add { .. }) => Some((Status::Ok, *total)),
@@ -124,8 +125,8 @@
         }
     }
 
-    /// The call's status after its connection ended by `error`. Only a call that was written completely can have been
-    /// carried out. If the reply was invalid it belonged to the oldest call, so that one was.
+    /// Returns the call's status after its connection ended with `error`. Only a call that was written completely can
+    /// have been executed. An invalid reply belongs to the oldest call, which therefore has been executed.
     pub fn status_after(&self, error: &CounterError, is_oldest: bool) -> Status {
         if !self.unwritten_part().is_empty() {
             Status::ConnectFailed
@@ -138,29 +139,29 @@
         }
     }
 
-    /// What to notify the policy of when the call ends; `None` if the policy does not await it.
-    pub fn end(&self, status: Status, total: f64) -> Option<CallEnd> {
+    /// Returns the result to report to the policy, or `None` if the policy doesn't await the call.
+    pub fn result(&self, status: Status, total: f64) -> Option<CallResult> {
         match self.kind {
             CallKind::Add { counter, .. } if self.is_awaited() => {
-                Some(CallEnd { counter, status, total, started_at: self.started_at })
+                Some(CallResult { counter, status, total, started_at: self.started_at })
             }
             _ => None,
         }
     }
 }
 
-/// The end of a call that the policy awaits.
+/// Result of a call that the policy awaits.
 #[derive(Debug)]
-pub struct CallEnd {
+pub struct CallResult {
     counter: u64,
-    /// How the call ended.
+    /// Whether the amount was added, or how the call failed.
     pub status: Status,
     total: f64,
     started_at: Instant,
 }
 
-impl CallEnd {
-    /// Notifies the policy.
+impl CallResult {
+    /// Reports the result to the policy.
     pub fn post(self, events: &EventSender) {
         let elapsed = self.started_at.elapsed().as_secs_f64();
         let Self { counter, status, total, .. } = self;
--- a/src/node/connection/counter/client_context.rs
+++ b/src/node/connection/counter/client_context.rs
@@ -1,4 +1,4 @@
-//! What the connections of one client of the counter share.
+//! State shared by the connections of one counter client.
 
 use crate::node::connection::counter::error::CounterError;
 use std::{
@@ -9,32 +9,33 @@
 };
 use tracing::warn;
 
-/// Longest time for a connection to be made, in call timeouts.
-const CONNECT_TIMEOUT_CALLS: u32 = 5;
-/// Time without a reply after which a connection is replaced, in call timeouts. The counter rejects calls long before
-/// its queue takes so long, so a connection that is silent for longer is dead.
-const REPLY_TIMEOUT_CALLS: u32 = 4;
-/// Least time between two warnings about failed connections of one client.
+/// Connect timeout as a multiple of the call timeout.
+const CONNECT_TIMEOUT_FACTOR: u32 = 5;
+/// Reply timeout, after which a connection is replaced, as a multiple of the call timeout. The counter rejects calls
+/// long before its queue gets that long, so a connection that is silent for longer is dead.
+const REPLY_TIMEOUT_FACTOR: u32 = 4;
+/// Shortest time between two warnings about failed connections of one client.
 const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// See the [module](self).
+/// State shared by the connections of one counter client.
 pub struct ClientContext {
-    /// Where the counter listens.
+    /// Address of the counter.
     pub address: SocketAddr,
-    /// Time after which the policy no longer awaits a call.
+    /// Time after which the policy no longer awaits a call's reply.
     pub call_timeout: Duration,
     is_retired: Cell<bool>,
     last_warning_at: Cell<Option<Instant>>,
 }
 
 impl ClientContext {
-    /// The context of a client that is not retired.
+    /// Returns the context of a client that is not retired.
     pub fn new(address: SocketAddr, call_timeout: Duration) -> Rc<Self> {
         let is_retired = Cell::new(false);
         Rc::new(Self { address, call_timeout, is_retired, last_warning_at: Cell::new(None) })
     }
 
-    /// Whether the client makes no connection again. Each connection ends when no call is awaited on it.
+    /// Checks whether the client is retired. Then each connection ends once no call is awaited on it, and no
+    /// connection is opened again.
     pub fn is_retired(&self) -> bool {
         self.is_retired.get()
     }
@@ -44,14 +45,14 @@
         self.is_retired.set(true);
     }
 
-    /// Longest time for a connection to be made.
+    /// Returns the longest time for opening a connection.
     pub fn connect_timeout(&self) -> Duration {
-        self.call_timeout * CONNECT_TIMEOUT_CALLS
+        self.call_timeout * CONNECT_TIMEOUT_FACTOR
     }
 
-    /// Time without a reply after which a connection is replaced.
+    /// Returns the time without a reply after which a connection is replaced.
     pub fn reply_timeout(&self) -> Duration {
-        self.call_timeout * REPLY_TIMEOUT_CALLS
+        self.call_timeout * REPLY_TIMEOUT_FACTOR
     }
 
     /// Logs the failure of a connection, at most once in [`WARNING_INTERVAL`].
--- a/src/node/connection/counter/connection.rs
+++ b/src/node/connection/counter/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the counter, which is made again whenever it ends.
+//! Connection to the counter that reconnects after a failure.
 
 use crate::node::connection::{
     counter::{
@@ -25,64 +25,65 @@
     time::{MissedTickBehavior, interval, sleep, sleep_until, timeout},
 };
 
-/// Interval of pings, well under the shortest idle time after which the counter closes a connection.
+/// Interval of pings. Must be well under the shortest idle time after which the counter closes a connection.
 const PING_INTERVAL: Duration = Duration::from_secs(2);
-/// Wait before the first attempt to connect again.
+/// Backoff before the first reconnect after a failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
-/// Longest wait before an attempt to connect again.
+/// Longest backoff before a reconnect.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Size of the buffer that one read fills.
+/// Size of the buffer for one read.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// Where a connection stands.
+/// State of a connection.
 enum ConnectionState {
-    /// It is made when a call needs it.
+    /// The connection was not started yet. The client starts it in advance, or the first call does.
     NotStarted,
-    /// It is being made.
+    /// The connection is being opened.
     Connecting,
-    /// Calls are written to it.
+    /// The connection is open; calls are written to this half of the socket.
     Connected(Rc<OwnedWriteHalf>),
-    /// It has failed. It is made again after a backoff, unless the client is retired.
+    /// The connection has ended. It is opened again after a backoff, unless the client is retired.
     Disconnected,
 }
 
-/// What a connection waits for, besides input.
+/// Conditions, besides input, that an open connection waits for.
 struct PendingWork {
-    /// A part of a call is still to be written.
+    /// True if a part of a call is still to be written.
     has_unwritten: bool,
-    /// When the reply to the oldest call is overdue; `None` if there is no call.
+    /// Time at which the reply to the oldest call is overdue; `None` if there is no call.
     reply_overdue_at: Option<Instant>,
 }
 
-/// See the [module](self).
+/// Connection to the counter with the calls that are pending on it.
 pub struct CounterConnection {
     context: Rc<ClientContext>,
     state: RefCell<ConnectionState>,
     calls: RefCell<CallQueue>,
-    /// Wakes the task that writes and reads.
+    /// Wakes the task that writes calls and reads replies.
     wake: Notify,
 }
 
 impl CounterConnection {
-    /// A connection that is not made yet.
+    /// Returns a connection that is not open yet.
     pub fn new(context: Rc<ClientContext>) -> Rc<Self> {
         let state = RefCell::new(ConnectionState::NotStarted);
         Rc::new(Self { context, state, calls: RefCell::default(), wake: Notify::new() })
     }
 
-    /// Connects, and keeps connected until the client is retired.
+    /// Spawns the task that opens the connection, and reopens it until the client is retired.
     pub fn start(self: &Rc<Self>, events: &EventSender) {
         self.state.replace(ConnectionState::Connecting);
         spawn_local(self.clone().maintain(events.clone()));
     }
 
-    /// Makes the task look at the calls and the client's state again.
+    /// Makes the connection's task check the calls and the client's state again.
     pub fn wake(&self) {
         self.wake.notify_one();
     }
 
-    /// Writes a call, at once if the connection is made and its socket has room for it.
-    pub fn call(self: &Rc<Self>, call: Call, events: &EventSender) {
+    /// Queues a call, and writes it immediately if the connection is open and its socket accepts it. Starts the
+    /// connection if it was not started yet.
+    pub fn send(self: &Rc<Self>, call: Call, events: &EventSender) {
         self.calls.borrow_mut().push(call);
         if matches!(*self.state.borrow(), ConnectionState::NotStarted) {
             self.start(events);
@@ -91,58 +92,58 @@
         }
     }
 
-    /// Ends a call whose time ran out, if it is awaited here; whether it was.
+    /// Ends a call that has reached the call timeout. Returns false if it is not awaited on this connection.
     pub fn expire(&self, id: CallId, events: &EventSender) -> bool {
-        let Some(end) = self.calls.borrow_mut().expire(id) else { return false };
+        let Some(result) = self.calls.borrow_mut().expire(id) else { return false };
         if self.context.is_retired() {
             self.wake();
         }
-        end.post(events);
+        result.post(events);
         true
     }
 
-    /// Disconnects and ends all calls, each with the status that follows from `error` and how far it had come.
+    /// Disconnects and ends all calls, each with the status that follows from `error` and the call's progress.
     pub fn disconnect(&self, error: &CounterError, events: &EventSender) {
         if !matches!(*self.state.borrow(), ConnectionState::NotStarted) {
             self.state.replace(ConnectionState::Disconnected);
         }
-        let ends = self.calls.borrow_mut().end_all(error);
-        for end in ends {
-            end.post(events);
+        let results = self.calls.borrow_mut().end_all(error);
+        for result in results {
+            result.post(events);
         }
     }
 
-    /// Whether calls can be written.
+    /// Checks whether the connection is open.
     pub fn is_connected(&self) -> bool {
         matches!(*self.state.borrow(), ConnectionState::Connected(_))
     }
 
-    /// How many calls wait to be written or answered.
+    /// Returns the number of calls that are still to be written or have no reply.
     pub fn call_count(&self) -> usize {
         self.calls.borrow().len()
     }
 
-    /// Whether the oldest call has been without a reply for longer than `limit`.
+    /// Checks whether the oldest call has been without a reply for longer than `limit`.
     pub fn is_overdue(&self, limit: Duration) -> bool {
         self.calls.borrow().is_overdue(limit)
     }
 
-    /// Whether the policy awaits any call.
+    /// Checks whether the policy awaits the reply to any call.
     pub fn has_awaited_calls(&self) -> bool {
         self.calls.borrow().has_awaited()
     }
 
-    /// Whether the policy awaits a call that adds to this counter.
+    /// Checks whether the policy awaits the reply to a call that adds to this counter.
     pub fn awaits_counter(&self, counter: u64) -> bool {
         self.calls.borrow().awaits_counter(counter)
     }
 
-    /// Whether the policy awaits this call.
+    /// Checks whether the policy awaits the reply to this call.
     pub fn awaits_call(&self, id: CallId) -> bool {
         self.calls.borrow().awaits_call(id)
     }
 
-    /// Writes what the socket takes, if the connection is made.
+    /// Writes as much of the calls as the socket accepts, if the connection is open.
     fn write_calls(&self) -> Result<(), CounterError> {
         match &*self.state.borrow() {
             ConnectionState::Connected(writer) => self.calls.borrow_mut().write_to(writer),
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Makes the connection again and again until the client is retired.
+    /// Opens the connection, and reopens it after each failure, until the client is retired.
     async fn maintain(self: Rc<Self>, events: EventSender) {
         let mut backoff = MIN_BACKOFF;
         loop {
@@ -162,7 +163,7 @@
             self.context.warn(&error);
             sleep(backoff).await;
             backoff = (backoff * 2).min(MAX_BACKOFF);
-            // Calls made meanwhile are unwritten; they are written to the new connection, or expire.
+            // Calls queued during the backoff are unwritten: they are written to the new connection, or expire.
             self.state.replace(ConnectionState::Connecting);
         }
     }
@@ -193,7 +194,7 @@
         let mut received = BytesMut::new();
         let mut buffer = [0; READ_BUFFER_BYTES];
         let mut ping_timer = interval(PING_INTERVAL);
-        // After a stall of this process one ping is enough.
+        // One ping is enough after a stall of this process, however many intervals have passed.
         ping_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let pending = self.prepare_to_wait()?;
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Writes what can be written before the connection waits.
+    /// Writes what can be written before the connection waits. Returns the conditions to wait for.
     fn prepare_to_wait(&self) -> Result<PendingWork, CounterError> {
         let reply_timeout = self.context.reply_timeout();
         if self.is_overdue(reply_timeout) {
@@ -238,8 +239,8 @@
         })
     }
 
-    /// Takes the next reply out of what was received; whether there was a complete one. After an invalid one no later
-    /// reply could be matched to its call, so it is an error.
+    /// Takes the next reply out of the received bytes and ends the call that it answers. Returns false if no reply is
+    /// complete. An invalid reply is an error, because later replies could not be matched to their calls.
     fn take_reply(&self, received: &mut BytesMut, events: &EventSender) -> Result<bool, CounterError> {
         let Some(length) = received.iter().position(|byte| *byte == b'\n') else {
             return if received.len() > MAX_REPLY_BYTES {
@@ -250,9 +251,9 @@
         };
         let line = received.split_to(length + 1);
         let reply = protocol::parse(&line[..length]).ok_or(CounterError::UnexpectedReply)?;
-        let end = self.calls.borrow_mut().answer_oldest(&reply)?;
-        if let Some(end) = end {
-            end.post(events);
+        let result = self.calls.borrow_mut().answer_oldest(&reply)?;
+        if let Some(result) = result {
+            result.post(events);
         }
         Ok(true)
     }
--- a/src/node/connection/counter/error.rs
+++ b/src/node/connection/counter/error.rs
@@ -1,15 +1,15 @@
-//! Why a connection to the counter ended.
+//! Errors of connections to the counter.
 
 use std::io;
 use thiserror::Error;
 
-/// Why a connection to the counter ended or could not be made.
+/// Reason for which a connection to the counter ended or could not be opened.
 #[derive(Debug, Error)]
 pub enum CounterError {
-    /// The connection was not made in time.
+    /// The connection was not open in time.
     #[error("timed out")]
     ConnectTimeout,
-    /// A reply is so late that the counter no longer reads from the connection.
+    /// The oldest call has had no reply for so long that the connection is taken for dead.
     #[error("timed out")]
     ReplyOverdue,
     /// A call could not be written.
@@ -18,13 +18,13 @@
     /// The counter closed the connection.
     #[error("unexpected end of file")]
     Closed,
-    /// A line that is no reply, or not one to the oldest call.
+    /// The counter sent a line that is not a reply, or not one to the oldest call.
     #[error("invalid data")]
     UnexpectedReply,
-    /// A line longer than any reply.
+    /// The counter sent a line that is longer than any reply.
     #[error("invalid data")]
     ReplyTooLong,
-    /// The client has been retired, and no call is awaited on the connection any more.
+    /// The client was retired, and either no call is awaited on the connection or the client was closed.
     #[error("connection aborted")]
     Retired,
     /// The socket failed.
@@ -33,7 +33,7 @@
 }
 
 impl CounterError {
-    /// The counter was silent for too long.
+    /// Checks whether the counter didn't respond in time.
     pub fn is_timeout(&self) -> bool {
         match self {
             Self::ConnectTimeout | Self::ReplyOverdue => true,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The counter sent something else than the reply to the oldest call.
+    /// Checks whether the counter sent something other than a reply to the oldest call.
     pub fn is_invalid_reply(&self) -> bool {
         matches!(self, Self::UnexpectedReply | Self::ReplyTooLong)
     }
--- a/src/node/connection/counter/mod.rs
+++ b/src/node/connection/counter/mod.rs
@@ -1,8 +1,8 @@
-//! The client of the counter.
+//! Client of the counter.
 //!
-//! A [`client::CounterClient`] keeps a few connections to one address. Calls are written one behind another, and
-//! replies are matched to them in their order, so all calls that add to one counter and are still awaited share a
-//! connection.
+//! A [`client::CounterClient`] keeps a few connections to one address. Calls are pipelined: each connection writes
+//! them one after another and matches the replies to them in the same order. All awaited calls that add to one
+//! counter use the same connection, so that their replies arrive in order.
 
 pub mod call;
 pub mod call_queue;
--- a/src/node/connection/counter/protocol.rs
+++ b/src/node/connection/counter/protocol.rs
@@ -1,21 +1,21 @@
-//! The lines of text that the counter and its clients exchange.
+//! Format of the lines of text that the counter and its clients exchange.
 
-/// Length of the longest reply.
+/// Length of the longest reply, in bytes.
 pub const MAX_REPLY_BYTES: usize = 256;
-/// The line of a call that changes nothing.
+/// Line of a call that changes nothing.
 pub const PING: &[u8] = b"ping\r\n";
-/// Longest time for which the counter may keep a new counter.
+/// Longest time for which the counter may keep a new counter, in milliseconds.
 const MAX_TTL_MS: f64 = 60_000.0;
 
-/// The line of a call that adds to a counter, which is kept for `ttl` seconds if it is new.
+/// Returns the line of a call that adds `amount` to a counter, which is kept for `ttl` seconds if it is new.
 pub fn add_line(counter: u64, amount: f64, ttl: f64) -> Vec<u8> {
     let ttl_ms = (ttl * 1000.0).round().clamp(1.0, MAX_TTL_MS) as u64;
     format!("bump {counter} {amount} {ttl_ms}\r\n").into_bytes()
 }
 
-/// A reply of the counter.
+/// Reply of the counter.
 pub enum CounterReply {
-    /// The amount was added; the total after it.
+    /// The amount was added; the counter's total after it.
     Total(f64),
     /// The counter was busy or found an error, and added nothing.
     NothingAdded,
@@ -23,11 +23,13 @@
     Pong,
 }
 
-/// Reads a reply from a line without its line feed. `None` if the line is not a reply.
+/// Parses a reply from a line without its line feed. Returns `None` if the line is not a reply.
 pub fn parse(line: &[u8]) -> Option<CounterReply> {
     let text = std::str::from_utf8(line).ok()?.trim_end_matches('\r');
     match text.split_once(' ') {
-        Some(("ok", total)) => total.parse().ok().filter(|t: &f64| t.is_finite()).map(CounterReply::Total),
+        Some(("ok", total)) => {
+            total.parse().ok().filter(|total: &f64| total.is_finite()).map(CounterReply::Total)
+        }
         Some(("error", _)) => Some(CounterReply::NothingAdded),
         None if text == "busy" || text == "error" => Some(CounterReply::NothingAdded),
         None if text == "pong" => Some(CounterReply::Pong),
--- a/src/node/runtime/counter_calls.rs
+++ b/src/node/runtime/counter_calls.rs
@@ -52,7 +52,7 @@
                 elapsed: 0.0,
             });
         };
-        let call_id = client.call(&self.policy.sender(), counter, amount, ttl);
+        let call_id = client.add(&self.policy.sender(), counter, amount, ttl);
         self.timers.set(now + self.timeout, TimerPurpose::CounterCall(client, call_id));
     }
 }
--- a/tests/unit/counter_call.rs
+++ b/tests/unit/counter_call.rs
@@ -1,4 +1,4 @@
-//! The stages of a call, and its status after each end of its connection.
+//! Stages of a call to the counter, and its status after each kind of connection failure.
 
 use super::*;
 use std::io;
@@ -11,13 +11,13 @@
     call
 }
 
-fn complete_call() -> Call {
+fn written_call() -> Call {
     let length = protocol::add_line(7, 2.0, 1.0).len();
     call_with_written_bytes(length)
 }
 
 #[test]
-fn call_goes_through_its_stages_as_it_is_written() {
+fn stage_follows_written_bytes() {
     let mut call = call_with_written_bytes(0);
     assert_eq!(call.stage, CallStage::Unwritten);
     call.record_written(3);
@@ -29,11 +29,11 @@
 }
 
 #[test]
-fn call_that_timed_out_is_written_on_and_not_awaited() {
+fn timed_out_call_is_still_written_but_not_awaited() {
     let mut call = call_with_written_bytes(3);
-    call.time_out();
+    call.mark_timed_out();
     assert_eq!(call.stage, CallStage::TimedOut { bytes: 3 });
-    assert!(!call.is_awaited() && call.end(Status::Ok, 1.0).is_none());
+    assert!(!call.is_awaited() && call.result(Status::Ok, 1.0).is_none());
     let rest = call.unwritten_part().len();
     call.record_written(rest);
     assert!(call.unwritten_part().is_empty());
@@ -43,17 +43,17 @@
 #[test]
 fn ping_is_not_awaited() {
     let ping = Call::ping();
-    assert!(!ping.is_awaited() && ping.end(Status::Ok, 0.0).is_none());
-    assert!(ping.status_of_reply(&CounterReply::Pong).is_some());
-    assert!(ping.status_of_reply(&CounterReply::Total(1.0)).is_none());
-    assert!(complete_call().status_of_reply(&CounterReply::Pong).is_none());
+    assert!(!ping.is_awaited() && ping.result(Status::Ok, 0.0).is_none());
+    assert!(ping.match_reply(&CounterReply::Pong).is_some());
+    assert!(ping.match_reply(&CounterReply::Total(1.0)).is_none());
+    assert!(written_call().match_reply(&CounterReply::Pong).is_none());
 }
 
 #[test]
-fn status_after_the_end_of_the_connection_follows_from_the_error_and_the_stage() {
+fn status_after_disconnect_follows_error_and_stage() {
     let timed_out = || CounterError::Socket(io::ErrorKind::TimedOut.into());
     let reset = || CounterError::Socket(io::ErrorKind::ConnectionReset.into());
-    // The status of the oldest call and of others.
+    // Each error with the expected status of the oldest call and of any other.
     let cases = [
         (CounterError::UnexpectedReply, Status::Error, Status::Reset),
         (CounterError::ReplyTooLong, Status::Error, Status::Reset),
@@ -66,8 +66,8 @@
         (CounterError::Retired, Status::Reset, Status::Reset),
     ];
     for (error, oldest, other) in cases {
-        assert_eq!(complete_call().status_after(&error, true), oldest, "{error:?}");
-        assert_eq!(complete_call().status_after(&error, false), other, "{error:?}");
+        assert_eq!(written_call().status_after(&error, true), oldest, "{error:?}");
+        assert_eq!(written_call().status_after(&error, false), other, "{error:?}");
         for written in [0, 3] {
             let call = call_with_written_bytes(written);
             assert_eq!(call.status_after(&error, true), Status::ConnectFailed, "{error:?}");
@@ -75,9 +75,10 @@
     }
 }
 
+// The log shows these errors by the texts of the I/O errors that stood for them in earlier versions.
 #[test]
-fn errors_are_logged_by_the_same_words_as_in_earlier_versions() {
-    let words = [
+fn error_texts_equal_those_of_io_errors() {
+    let cases = [
         (CounterError::ConnectTimeout, io::ErrorKind::TimedOut),
         (CounterError::ReplyOverdue, io::ErrorKind::TimedOut),
         (CounterError::WriteFailed, io::ErrorKind::BrokenPipe),
@@ -86,7 +87,7 @@
         (CounterError::ReplyTooLong, io::ErrorKind::InvalidData),
         (CounterError::Retired, io::ErrorKind::ConnectionAborted),
     ];
-    for (error, kind) in words {
+    for (error, kind) in cases {
         assert_eq!(error.to_string(), io::Error::from(kind).to_string());
     }
 }
