--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,52 +1,54 @@
-//! What a gateway wants done.
+//! Actions that the policy asks its caller to carry out.
 
 use crate::interface::{EndpointId, RequestId, Seconds, Time};
 
-/// Something to carry out, in the order in which [`crate::Gateway::handle`] returned it.
+/// An action for the caller to carry out. Actions are carried out in the order in which
+/// [`crate::Gateway::handle`] appends them.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum Action {
-    /// Send a request to an endpoint. A request's attempts are numbered from 0 in the order of these actions.
+    /// Sends a request to an endpoint. The attempts of a request are numbered from 0 in the order of these
+    /// actions.
     StartAttempt {
-        /// The request.
+        /// Request to send.
         request_id: RequestId,
-        /// The endpoint to send it to.
+        /// Endpoint to send the request to.
         endpoint: EndpointId,
-        /// How long to wait for the response.
+        /// Longest wait for the response.
         timeout: Seconds,
-        /// From this moment on endpoints may have forgotten the request and would run a retry again, so no
-        /// attempt may be written any more, not even one that waits for its connection. `None` if there is no
-        /// such moment.
+        /// End of the time in which endpoints are sure to recognise a retry. Later they may run the request
+        /// again, so the attempt must not be written any more, even if it still waits for a connection.
+        /// `None` if there is no such limit.
         dedup_until: Option<Time>,
     },
-    /// Give the final response: rejected. The client may retry safely.
+    /// Sends the final response: rejected. The client may retry safely.
     Reject {
-        /// The request.
+        /// Request to respond to.
         request_id: RequestId,
-        /// How long the client should wait before a retry; 0 gives no advice.
+        /// Time that the client should wait before a retry; 0 gives no advice.
         retry_after: Seconds,
     },
-    /// Give the final response: failed. The request may have run.
+    /// Sends the final response: failed. The request may have run.
     Fail {
-        /// The request.
+        /// Request to respond to.
         request_id: RequestId,
     },
-    /// Deliver [`crate::Event::Timer`] at a given time.
+    /// Schedules [`crate::Event::Timer`] for a given time.
     SetTimer {
-        /// The timer's token.
+        /// Token that the event must carry.
         token: u64,
-        /// When it is due.
+        /// Time at which the event is due.
         at: Time,
     },
-    /// Add to a count and return the total.
+    /// Adds units to a count of the counter. The result comes with [`crate::Event::CounterReplied`].
     AddToCounter {
-        /// The count's name, below 2^63.
+        /// Name of the count, below 2^63.
         counter: u64,
         /// Units to add.
         amount: f64,
-        /// How long the counter keeps a count that is new.
+        /// Time after which the counter deletes the count, if this call creates it.
         ttl: Seconds,
     },
-    /// Poll discovery for the endpoint list.
+    /// Polls discovery for the endpoint list.
     PollEndpoints,
 }
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -1,50 +1,50 @@
-//! Endpoints as discovery lists them.
+//! Entries and updates of the endpoint list that discovery provides.
 
 use crate::interface::{EndpointId, Time};
 
-/// The state of an endpoint's process.
+/// State of an endpoint's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It accepts requests.
+    /// Accepts requests.
     Running,
-    /// It is shutting down and must not be sent new attempts.
+    /// Shuts down and must not be sent new attempts.
     Draining,
-    /// It no longer exists.
+    /// No longer exists.
     Gone,
 }
 
-/// One endpoint as the endpoint list shows it.
+/// Entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// Its identifier.
+    /// Identifier, the same across restarts of the endpoint's process.
     pub id: EndpointId,
-    /// The zone that it runs in.
+    /// Index of the zone that the endpoint runs in.
     pub zone: u32,
-    /// The cell, within the zone, that it runs in.
+    /// Index of the cell that the endpoint runs in; only unique within a zone.
     pub cell: u32,
-    /// When its current process started; 0 if that was long ago.
+    /// Time at which the current process started; 0 if that was long ago.
     pub started: Time,
-    /// The state of its process.
+    /// State of the current process.
     pub lifecycle: Lifecycle,
 }
 
-/// What an update of the endpoint list contains.
+/// Content of an update of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that have changed.
     Changes,
     /// The complete list.
     Full,
-    /// The complete list as it was last cached, which may be out of date.
+    /// The complete list from a cache, which may be out of date.
     Stale,
-    /// Nothing: the poll failed.
+    /// No entries, because the poll failed.
     Failed,
 }
 
-/// How many endpoints there are, and how many of them receive nothing at present.
+/// Numbers of endpoints that are listed, and of those among them that receive no attempts at present.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Endpoints that the list names.
+    /// Endpoints in the endpoint list.
     pub listed: usize,
     /// Listed endpoints that are in maintenance, draining or ejected.
     pub avoided: usize,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,80 +1,80 @@
-//! What a gateway is told.
+//! Events that the policy decides about.
 
 use crate::interface::{
     Endpoint, EndpointId, HandoverSnapshot, ListKind, LoadReport, Request, RequestId, Seconds, Status,
 };
 
-/// Something that has happened, in the order in which [`crate::Gateway::handle`] is told of it.
+/// An event for [`crate::Gateway::handle`]. Events are passed in the order in which they happened.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum Event {
-    /// Discovery has updated the endpoint list, or a poll of it has failed.
+    /// Discovery has updated the endpoint list, or a poll has failed.
     EndpointsUpdated {
-        /// What the update contains.
+        /// Content of the update.
         kind: ListKind,
-        /// The entries.
+        /// Entries of the update; empty if the poll has failed.
         endpoints: Vec<Endpoint>,
     },
-    /// A client has sent a request, which is owed exactly one final response.
+    /// A client has sent a request, which must get exactly one final response.
     Request(Request),
     /// The first byte of a streamed response has arrived.
     ResponseStarted {
-        /// The request that it answers.
+        /// Request that the response answers.
         request_id: RequestId,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request that the attempt was for.
+        /// Request that the attempt was made for.
         request_id: RequestId,
         /// Index of the attempt among the request's attempts, from 0.
         attempt: u32,
-        /// The endpoint that it was sent to.
+        /// Endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Result of the attempt.
         status: Status,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Seconds,
-        /// The request needs no further attempt and no further response.
+        /// True if the request needs no further attempt and no further response.
         is_finished: bool,
-        /// Units that the request really took, where these are settled after the response.
+        /// Units that the request took, where they are only known after the response.
         actual_units: Option<f64>,
-        /// The endpoint's load report, where it sent one.
+        /// Load report of the endpoint; empty if it sent none.
         load: LoadReport,
     },
-    /// Operators have put an endpoint into maintenance or taken it out. In maintenance it receives nothing,
-    /// whatever the endpoint list says.
+    /// Operators have put an endpoint into maintenance or taken it out. An endpoint in maintenance receives
+    /// no attempts, whatever the endpoint list says.
     MaintenanceChanged {
-        /// The endpoint.
+        /// Endpoint that the operators named.
         endpoint: EndpointId,
-        /// It is in maintenance from now on.
+        /// True if the endpoint is in maintenance from now on.
         in_maintenance: bool,
     },
     /// The number of processes that serve this gateway side by side has changed, as in a hot restart.
     ReplicasChanged {
-        /// Index of this process among them, the oldest first.
+        /// Index of this process among them, from 0 for the oldest.
         index: u32,
-        /// How many there are, this one included.
+        /// Number of these processes, this one included.
         count: u32,
     },
-    /// The predecessor in a hot restart has handed over what it has learned. Comes before the first request.
+    /// The predecessor in a hot restart has handed over its snapshot. Must come before the first request.
     SnapshotReceived(HandoverSnapshot),
-    /// The client has disconnected; no response is owed any more.
+    /// A client has disconnected, so its request needs no response any more.
     ClientDisconnected {
-        /// Its request.
+        /// Request of that client.
         request_id: RequestId,
     },
     /// A timer that [`crate::Action::SetTimer`] asked for is due.
     Timer {
-        /// The timer's token.
+        /// Token from that action.
         token: u64,
     },
     /// A counter call has ended.
     CounterReplied {
-        /// The count's name.
+        /// Name of the count.
         counter: u64,
-        /// How the call ended.
+        /// Result of the call.
         status: Status,
-        /// The count after the call; valid only with [`Status::Ok`].
+        /// Units in the count after the call; valid only with [`Status::Ok`].
         total: f64,
         /// Time since the call was made.
         elapsed: Seconds,
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::{borrow::Borrow, fmt, ops::Deref, sync::Arc};
 
-/// Defines an identifier that is cheap to clone and can't be mistaken for one of another kind.
+/// Defines a string identifier as a type of its own. Clones share the text.
 macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -58,16 +58,16 @@
 }
 
 string_id! {
-    /// Identifies a request; unique for the lifetime of a gateway.
+    /// Identifier of a request, unique for the lifetime of a gateway.
     RequestId
 }
 
 string_id! {
-    /// Identifies an endpoint; the same at every gateway.
+    /// Identifier of an endpoint, the same at every gateway.
     EndpointId
 }
 
 string_id! {
-    /// Identifies a customer; the same at every gateway.
+    /// Identifier of a customer, the same at every gateway.
     CustomerId
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -14,7 +14,7 @@
 pub use request::{LoadReport, Request, Status};
 pub use snapshot::{EndpointSnapshot, HandoverSnapshot, ResponseTimes};
 
-/// A moment, in seconds on the caller's monotonic clock. The origin is the caller's choice.
+/// A point in time, in seconds on a monotonic clock of the caller, who also chooses its origin.
 pub type Time = f64;
-/// A span of time, in seconds.
+/// A duration in seconds.
 pub type Seconds = f64;
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -1,63 +1,63 @@
-//! Requests as clients send them, and how attempts to serve them end.
+//! Requests of clients, and the results of attempts to serve them.
 
 use crate::interface::{CustomerId, RequestId, Time};
 
 /// A client's request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its identifier.
+    /// Identifier, unique for the lifetime of a gateway.
     pub id: RequestId,
-    /// Units that it takes from the customer's quota.
+    /// Units that the request takes from the customer's quota.
     pub units: f64,
-    /// When the client gives up.
+    /// Time at which the client stops waiting.
     pub deadline: Time,
     /// Index of the customer's plan in the settings.
     pub plan: usize,
-    /// How many gateways receive this customer's requests.
+    /// Number of gateways that receive this customer's requests.
     pub customer_gateway_count: u32,
-    /// Index of the first of those gateways. The others follow in order, and index 0 comes after the last.
+    /// Index of the first of those gateways. The others follow in order, and index 0 follows the last index.
     pub first_gateway: u32,
     /// Index of the request's class in the settings.
     pub class: usize,
-    /// The customer that sent it.
+    /// Customer that sent the request.
     pub customer: CustomerId,
-    /// The client marked it as a retry.
+    /// True if the client marked the request as a retry.
     pub is_retry: bool,
 }
 
-/// How an attempt or a counter call ended.
+/// Result of an attempt or a counter call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// It succeeded.
+    /// Succeeded.
     Ok,
-    /// It was answered with an error; it may have run.
+    /// Answered with an error; may have run.
     Error,
-    /// It was rejected without being looked at.
+    /// Rejected without being run.
     Rejected,
-    /// It was not answered in time; it may have run.
+    /// Not answered in time; may have run.
     Timeout,
     /// No connection could be opened.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// Lost its connection; may have run.
     Reset,
-    /// It was cancelled from this side; it may have run.
+    /// Cancelled by the gateway; may have run.
     Cancelled,
-    /// It was never sent.
+    /// Never sent.
     NotSent,
 }
 
 impl Status {
-    /// Whether an attempt that ended like this certainly did not run.
+    /// Checks whether an attempt with this result certainly did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// An endpoint's load report. Values that the endpoint did not give are `None`.
+/// Load report of an endpoint. A value that the endpoint did not report is `None`.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[non_exhaustive]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// Requests in flight at the endpoint.
     pub in_flight: Option<f64>,
     /// Share of the processor in use, from 0 to 1.
     pub utilization: Option<f64>,
--- a/src/interface/snapshot.rs
+++ b/src/interface/snapshot.rs
@@ -1,41 +1,41 @@
-//! What a process hands over to its successor in a hot restart.
+//! The snapshot that a process hands over to its successor in a hot restart.
 //!
-//! Processes of different versions exchange these messages, so their serialized names are fixed; the fields
-//! map them to the terms that the code uses.
+//! Processes of different versions exchange snapshots, so the serialized names are fixed, also where the
+//! fields have other names.
 
 use crate::interface::{EndpointId, Seconds, Time};
 use serde::{Deserialize, Serialize};
 
-/// What a process has learned. Times are on the clock that both processes share.
+/// State that a process has learned while it ran. All times are on a clock that both processes share.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HandoverSnapshot {
-    /// The endpoints that it knows.
+    /// Endpoints that the process knows.
     #[serde(rename = "servers")]
     pub endpoints: Vec<EndpointSnapshot>,
-    /// The endpoints that operators have put into maintenance.
+    /// Endpoints that operators have put into maintenance.
     #[serde(rename = "left_out")]
     pub in_maintenance: Vec<EndpointId>,
-    /// The highest recent rate at which it sent units to one endpoint.
+    /// Highest recent rate of units that the process sent to one endpoint.
     #[serde(rename = "carried")]
     pub peak_units_per_second: f64,
-    /// How long responses take.
+    /// Response times of all endpoints together.
     #[serde(rename = "times")]
     pub response_times: ResponseTimes,
-    /// The rate of calls that the counter sustained.
+    /// Rate of calls that the counter sustained.
     #[serde(rename = "call_rate")]
     pub counter_calls_per_second: f64,
 }
 
-/// How long responses take. Serialized as an array in the order of the fields.
+/// Response times, serialized as an array in the order of the fields. All are 0 before the first response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[Seconds; 3]", into = "[Seconds; 3]")]
 pub struct ResponseTimes {
-    /// The mean.
+    /// Running estimate of the mean.
     pub mean: Seconds,
-    /// A running estimate of the median.
+    /// Running estimate of the median.
     pub median: Seconds,
-    /// The lowest recent median, as in an idle fleet.
+    /// Lowest recent median, which approximates the response time of an idle fleet.
     pub idle: Seconds,
 }
 
@@ -51,25 +51,25 @@
     }
 }
 
-/// What a process has learned of one endpoint.
+/// State that a process has learned of one endpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSnapshot {
-    /// Its identifier.
+    /// Identifier of the endpoint.
     pub id: EndpointId,
-    /// Since when it has been warming up; 0 if it has been warm for long.
+    /// Time at which the endpoint began to warm up; 0 if that was long ago.
     #[serde(rename = "cold_since")]
     pub warming_up_since: Time,
-    /// Mean time that its responses take.
+    /// Mean response time of the endpoint.
     #[serde(rename = "latency")]
     pub mean_latency: Seconds,
-    /// When it last responded; 0 if it has not.
+    /// Time of the last response or timeout; 0 before the first one.
     #[serde(rename = "heard")]
     pub last_response_at: Time,
-    /// When its current or last ejection ends; 0 before the first one.
+    /// End of the current or last ejection; 0 before the first one.
     #[serde(rename = "out_until")]
     pub ejected_until: Time,
-    /// How long its next ejection lasts.
+    /// Duration of the next ejection; 0 if the list has never named the endpoint.
     #[serde(rename = "out_for")]
     pub next_ejection_duration: Seconds,
 }
