--- a/src/primitives/decaying_sum.rs
+++ b/src/primitives/decaying_sum.rs
@@ -1,18 +1,18 @@
-//! A sum that decays exponentially: an amount added one time constant ago counts for 1/e of itself.
+//! A sum that decays exponentially: an amount that was added one time constant ago counts for 1/e of itself.
 
 use crate::interface::{Seconds, Time};
 
-/// A sum, and the moment up to which it has decayed. Divided by the time constant it is the recent rate.
+/// An exponentially decaying sum. The sum divided by the time constant is the recent rate of additions.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingSum {
-    /// The sum at `updated_at`.
+    /// Sum at the time `updated_at`.
     pub level: f64,
-    /// The moment that `level` is about.
+    /// Time up to which the sum has decayed.
     pub updated_at: Time,
 }
 
 impl DecayingSum {
-    /// Lets the sum decay until `now` and adds `amount`.
+    /// Decays the sum until `now`, then adds `amount`.
     pub fn add(&mut self, now: Time, amount: f64, time_constant: Seconds) {
         self.level = self.level * (-(now - self.updated_at) / time_constant).exp() + amount;
         self.updated_at = now;
--- a/src/primitives/latency_estimate.rs
+++ b/src/primitives/latency_estimate.rs
@@ -5,28 +5,28 @@
     primitives::decaying_sum::DecayingSum,
 };
 
-/// The shortest response time that the median takes into account.
+/// Shortest sample of the median; shorter ones count as this long, as the logarithm needs a positive value.
 const MIN_SAMPLE: Seconds = 1e-3;
 
 /// Running estimates of response times; 0 before the first response.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LatencyEstimate {
-    /// The mean.
+    /// Exponentially weighted mean.
     pub mean: Seconds,
-    /// The median, which single slow or lost responses do not move.
+    /// Estimate of the median, which single slow or lost responses hardly move.
     pub median: Seconds,
-    /// The lowest recent median, which is forgotten slowly.
+    /// Lowest recent median, which rises slowly towards the current one.
     pub idle: DecayingSum,
 }
 
 impl LatencyEstimate {
-    /// Moves the mean by the share `gain` of the way to a new sample.
+    /// Moves the mean towards a new sample by the share `gain` of their difference.
     pub fn record_mean(&mut self, sample: Seconds, gain: f64) {
         self.mean = if self.mean == 0.0 { sample } else { self.mean + gain * (sample - self.mean) };
     }
 
-    /// Moves the median by the share `gain` of the way to a new sample, on a logarithmic scale. The lowest
-    /// median is forgotten over `idle_time_constant`.
+    /// Moves the median towards a new sample by the share `gain` of their difference on a logarithmic scale.
+    /// The lowest median rises towards the new one with `idle_time_constant`.
     pub fn record_median(&mut self, now: Time, sample: Seconds, gain: f64, idle_time_constant: Seconds) {
         let median = if self.median == 0.0 { sample } else { self.median };
         self.median = median * (sample.max(MIN_SAMPLE) / median).powf(gain);
--- a/src/primitives/mod.rs
+++ b/src/primitives/mod.rs
@@ -1,4 +1,4 @@
-//! Data structures and estimators that know nothing of gateways, customers or endpoints.
+//! General data structures and estimators that do not depend on gateways, customers or endpoints.
 
 pub mod decaying_sum;
 pub mod latency_estimate;
--- a/src/primitives/ordered_table.rs
+++ b/src/primitives/ordered_table.rs
@@ -1,16 +1,16 @@
-//! A table whose entries keep their place in memory, are found by key, and are listed in the order of the
-//! keys.
+//! A table of entries that are found by key, iterated in the order of the keys, and addressed by handles that
+//! stay valid until the entry is removed.
 //!
-//! Some of the entries are selected. The selected entries form a list of their own in the same order and can
-//! be looked up in it by index. Adding, removing or selecting an entry compares a few keys and moves some
-//! bytes for each entry behind it, whatever the length of the table; it copies no key.
+//! Some of the entries are selected. A second list holds their handles in the order of the keys, so that they
+//! can be accessed by index. Adding, removing or selecting an entry takes a binary search and moves a few
+//! bytes for each later entry; it copies no key.
 
 use std::{
     borrow::Borrow,
     ops::{Index, IndexMut},
 };
 
-/// The place of an entry, valid until the entry is removed.
+/// Handle of an entry, valid until the entry is removed. A later entry may get the same handle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EntryHandle(u32);
 
@@ -20,21 +20,21 @@
     value: V,
 }
 
-/// See the [module](self).
+/// An ordered map with stable handles and a selection of its entries.
 #[derive(Debug)]
 pub struct OrderedTable<K, V> {
-    /// Entries by place; `None` where the place is free.
+    /// Entries by handle; `None` where the handle is free.
     entries: Vec<Option<Entry<K, V>>>,
-    free: Vec<EntryHandle>,
-    /// All entries in the order of their keys.
+    free_handles: Vec<EntryHandle>,
+    /// Handles of all entries in the order of their keys.
     order: Vec<EntryHandle>,
-    /// The selected entries in the order of their keys.
+    /// Handles of the selected entries in the order of their keys.
     selected: Vec<EntryHandle>,
 }
 
 impl<K, V> Default for OrderedTable<K, V> {
     fn default() -> Self {
-        Self { entries: Vec::new(), free: Vec::new(), order: Vec::new(), selected: Vec::new() }
+        Self { entries: Vec::new(), free_handles: Vec::new(), order: Vec::new(), selected: Vec::new() }
     }
 }
 
@@ -46,7 +46,7 @@
         self.selected.reserve_exact(count.saturating_sub(self.selected.len()));
     }
 
-    /// The place of the entry with this key.
+    /// Returns the handle of the entry with this key.
     pub fn find<Q: Ord + ?Sized>(&self, key: &Q) -> Option<EntryHandle>
     where
         K: Borrow<Q>,
@@ -54,7 +54,7 @@
         self.rank(&self.order, key).ok().map(|rank| self.order[rank])
     }
 
-    /// The place of the entry with this key, which is added with the default value if it is missing.
+    /// Returns the handle of the entry with this key. Adds the entry with the default value if it is missing.
     pub fn find_or_add(&mut self, key: K) -> EntryHandle
     where
         V: Default,
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Removes an entry, also from the selection.
+    /// Removes an entry from the table and from the selection.
     pub fn remove(&mut self, handle: EntryHandle) {
         self.select(handle, false);
         if let Ok(rank) = self.rank(&self.order, self.key(handle)) {
             self.order.remove(rank);
         }
         self.entries[handle.0 as usize] = None;
-        self.free.push(handle);
+        self.free_handles.push(handle);
     }
 
     /// Selects an entry or removes it from the selection.
@@ -88,27 +88,27 @@
         }
     }
 
-    /// The selected entries, in the order of their keys.
+    /// Returns the selected entries in the order of their keys.
     pub fn selected(&self) -> &[EntryHandle] {
         &self.selected
     }
 
-    /// All entries, in the order of their keys.
+    /// Returns the handles of all entries in the order of their keys.
     pub fn handles(&self) -> &[EntryHandle] {
         &self.order
     }
 
-    /// All entries' keys and values, in the order of the keys.
+    /// Iterates over keys and values in the order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.order.iter().map(|handle| (self.key(*handle), &self[*handle]))
     }
 
-    /// All entries' values, in no particular order.
+    /// Iterates over the values in no particular order.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut V> {
         self.entries.iter_mut().flatten().map(|entry| &mut entry.value)
     }
 
-    /// The key of an entry.
+    /// Returns the key of an entry.
     ///
     /// # Panics
     /// If the entry has been removed.
@@ -122,12 +122,12 @@
         self.entries[handle.0 as usize].as_ref().expect("a handle is valid until its entry is removed")
     }
 
-    /// The position of a key in a list that is in the order of the keys, or the position to insert it at.
+    /// Returns the position of a key in a list in the order of the keys, or the position to insert it at.
     fn rank<Q: Ord + ?Sized>(&self, list: &[EntryHandle], key: &Q) -> Result<usize, usize>
     where
         K: Borrow<Q>,
     {
-        // Complete endpoint lists mostly arrive in order, so each entry is the new last one.
+        // Complete endpoint lists mostly arrive in order, so each new entry follows the last one.
         if list.last().is_none_or(|last| self.key(*last).borrow() < key) {
             return Err(list.len());
         }
@@ -135,11 +135,11 @@
     }
 
     fn store(&mut self, entry: Entry<K, V>) -> EntryHandle {
-        if let Some(handle) = self.free.pop() {
+        if let Some(handle) = self.free_handles.pop() {
             self.entries[handle.0 as usize] = Some(entry);
             return handle;
         }
-        let handle = EntryHandle(u32::try_from(self.entries.len()).expect("fewer entries than a u32 counts"));
+        let handle = EntryHandle(u32::try_from(self.entries.len()).expect("fewer than 2^32 entries"));
         self.entries.push(Some(entry));
         handle
     }
--- a/src/primitives/stable_hash.rs
+++ b/src/primitives/stable_hash.rs
@@ -1,8 +1,8 @@
-//! A hash that is the same in every process and version, for what all gateways must agree on.
+//! A hash that is the same in every process and version, for values that all gateways must agree on.
 
 use std::hash::Hasher;
 
-/// The hash of the concatenated parts, below 2^63.
+/// Returns the hash of the concatenated parts, below 2^63.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     for part in parts {
--- a/src/primitives/staggered_share.rs
+++ b/src/primitives/staggered_share.rs
@@ -1,40 +1,39 @@
-//! One holder's share of a rate limit that several holders use without talking to each other.
+//! One holder's share of a rate limit that several holders use without communication.
 //!
-//! The limit is granted in whole requests, to one holder after the other in turn, and each grant may be saved
-//! up for the time in which the rate refills the burst. Holders whose clocks agree therefore never spend more
-//! than the rate and the burst together, even where one holder's part of the burst is less than a single
-//! request.
+//! The limit is granted in whole requests to one holder after the other, and each grant may be saved up for
+//! the time in which the rate refills the burst. Holders with synchronized clocks therefore never spend more
+//! than the rate and the burst together, even if one holder's part of the burst is less than one request.
 
 use crate::interface::Time;
 
-/// What is shared, and which share this holder has.
+/// A shared rate limit and this holder's position among its holders.
 #[derive(Debug, Clone, Copy)]
 pub struct StaggeredShare {
-    /// Units a second for all holders together.
+    /// Units per second for all holders together; above 0.
     pub rate: f64,
     /// Units that all holders together may have saved up.
     pub burst: f64,
-    /// Units granted at once: as many as the largest request takes.
+    /// Units of one grant: as many as the largest request takes.
     pub quantum: f64,
-    /// Position of this holder in the turn, from 0. A fraction shifts the turn.
+    /// Position of this holder in the order of grants, from 0. A fraction shifts the time of the grants.
     pub position: f64,
-    /// How many holders there are.
+    /// Number of holders.
     pub holder_count: f64,
 }
 
 impl StaggeredShare {
-    /// Units granted to this holder up to `at`, counted from a fixed moment long ago.
+    /// Returns the units granted to this holder from the origin of the clock until `at`.
     fn granted_until(&self, at: Time) -> f64 {
         let grants = at * self.rate / self.quantum;
         ((grants - self.position) / self.holder_count).floor() * self.quantum
     }
 
-    /// Units granted to this holder between two moments.
+    /// Returns the units granted to this holder between two times.
     pub fn granted_between(&self, from: Time, to: Time) -> f64 {
         self.granted_until(to) - self.granted_until(from)
     }
 
-    /// The most units that this holder may have saved up at `now`; older grants have lapsed.
+    /// Returns the most units that this holder may have saved up at `now`; older grants have expired.
     pub fn max_saved_units(&self, now: Time) -> f64 {
         self.granted_between(now - self.burst / self.rate, now)
     }
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -1,25 +1,25 @@
-//! A token bucket that is refilled when it is looked at.
+//! A token bucket that is refilled on access.
 
 use crate::interface::Time;
 
-/// The tokens that a bucket held at one moment.
+/// A token bucket. The caller passes its rate and size with each refill.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TokenBucket {
-    /// Tokens held at `updated_at`. Negative after more were taken than there were.
+    /// Tokens at the time `updated_at`; negative if more were taken than the bucket held.
     pub level: f64,
-    /// The moment that `level` is about.
+    /// Time of the last refill.
     pub updated_at: Time,
 }
 
 impl TokenBucket {
-    /// Adds the tokens that `rate` a second has brought by `now`, up to `burst`, and returns the new level.
+    /// Adds `rate` tokens per second since the last refill, up to `burst` in all, and returns the new level.
     pub fn refill(&mut self, now: Time, rate: f64, burst: f64) -> f64 {
         self.level = (self.level + rate * (now - self.updated_at)).min(burst);
         self.updated_at = now;
         self.level
     }
 
-    /// Takes tokens, but never leaves fewer than none.
+    /// Takes tokens, then raises a negative level to 0.
     pub fn take_down_to_zero(&mut self, tokens: f64) {
         self.level = (self.level - tokens).max(0.0);
     }
--- a/tests/unit/decaying_sum.rs
+++ b/tests/unit/decaying_sum.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn steady_flow_divided_by_the_time_constant_is_its_rate() {
+fn sum_of_a_steady_flow_is_its_rate_times_the_time_constant() {
     let mut sum = DecayingSum::default();
     for step in 0..10_000 {
         sum.add(f64::from(step) * 0.01, 0.05, 3.0);
--- a/tests/unit/ordered_table.rs
+++ b/tests/unit/ordered_table.rs
@@ -7,11 +7,11 @@
 };
 
 thread_local! {
-    /// How often an entry was looked at on this thread: what an event costs, whatever the machine.
+    /// Number of accesses to entries on this thread, a measure of cost that does not depend on the machine.
     pub(crate) static ENTRY_READS: Cell<usize> = const { Cell::new(0) };
 }
 
-/// How many entries `work` looks at.
+/// Returns the number of accesses to entries that `work` makes.
 pub(crate) fn count_entry_reads(work: impl FnOnce()) -> usize {
     let before = ENTRY_READS.get();
     work();
@@ -19,18 +19,18 @@
 }
 
 #[test]
-fn random_operations_match_an_ordered_map_and_an_ordered_set() {
-    let mut dice = fastrand::Rng::with_seed(5);
+fn random_operations_match_a_btree_map_and_set() {
+    let mut rng = fastrand::Rng::with_seed(5);
     let mut table: OrderedTable<u32, u32> = OrderedTable::default();
     let (mut entries, mut selected) = (BTreeMap::new(), BTreeSet::new());
     for step in 0..20_000 {
-        let key = dice.u32(0..200);
-        match dice.u32(0..4) {
+        let key = rng.u32(0..200);
+        match rng.u32(0..4) {
             0 | 1 => {
                 let handle = table.find_or_add(key);
                 table[handle] += step;
                 *entries.entry(key).or_insert(0) += step;
-                let is_selected = dice.bool();
+                let is_selected = rng.bool();
                 table.select(handle, is_selected);
                 if is_selected {
                     selected.insert(key)
@@ -59,24 +59,24 @@
     assert!(table.iter().all(|(_, value)| *value == 7));
 }
 
-/// A key that counts how often it is compared.
-struct Counted(u32, Rc<Cell<usize>>);
+/// A key that counts its comparisons.
+struct CountingKey(u32, Rc<Cell<usize>>);
 
-impl PartialEq for Counted {
+impl PartialEq for CountingKey {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Counted {}
+impl Eq for CountingKey {}
 
-impl PartialOrd for Counted {
+impl PartialOrd for CountingKey {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Counted {
+impl Ord for CountingKey {
     fn cmp(&self, other: &Self) -> Ordering {
         self.1.set(self.1.get() + 1);
         self.0.cmp(&other.0)
@@ -84,24 +84,24 @@
 }
 
 #[test]
-fn change_of_one_entry_among_ten_thousand_compares_a_few_keys() {
-    let compared = Rc::new(Cell::new(0));
-    let mut table: OrderedTable<Counted, ()> = OrderedTable::default();
-    let key = |number| Counted(number, compared.clone());
+fn change_of_an_entry_compares_few_keys() {
+    let comparisons = Rc::new(Cell::new(0));
+    let mut table: OrderedTable<CountingKey, ()> = OrderedTable::default();
+    let key = |number| CountingKey(number, comparisons.clone());
     for number in 0..10_000 {
         let handle = table.find_or_add(key(2 * number));
         table.select(handle, true);
     }
-    compared.set(0);
+    comparisons.set(0);
     let handle = table.find_or_add(key(7777));
     table.select(handle, true);
     table.select(handle, false);
     table.remove(handle);
-    assert!(compared.get() <= 5 * 16, "{} comparisons", compared.get());
+    assert!(comparisons.get() <= 5 * 16, "{} comparisons", comparisons.get());
 }
 
 #[test]
-fn handle_of_a_removed_entry_is_used_for_the_next() {
+fn handle_of_a_removed_entry_is_reused() {
     let mut table: OrderedTable<u32, String> = OrderedTable::default();
     table.reserve(2);
     let first = table.find_or_add(1);
--- a/tests/unit/staggered_share.rs
+++ b/tests/unit/staggered_share.rs
@@ -11,22 +11,25 @@
 }
 
 #[test]
-fn all_holders_together_are_granted_the_rate_and_may_save_the_burst() {
-    for holders in [1, 3, 19, 300] {
+fn holders_together_get_the_rate_and_save_up_the_burst() {
+    for holder_count in [1, 3, 19, 300] {
         for now in [1e9, 1e9 + 0.7, 1e9 + 77.7] {
-            let sum = |part: &dyn Fn(StaggeredShare) -> f64| -> f64 {
-                (0..holders).map(|position| part(share(position, holders))).sum()
+            let sum = |amount: &dyn Fn(StaggeredShare) -> f64| -> f64 {
+                (0..holder_count).map(|position| amount(share(position, holder_count))).sum()
             };
-            let granted = sum(&|a| a.granted_between(now - 60.0, now));
-            assert!((granted - 360.0).abs() <= 4.0, "{holders} holders: {granted} in a minute");
-            let most = sum(&|a| a.max_saved_units(now));
-            assert!((most - 30.0).abs() <= 4.0, "{holders} holders: {most} may be held");
+            let granted = sum(&|share| share.granted_between(now - 60.0, now));
+            assert!((granted - 360.0).abs() <= 4.0, "{holder_count} holders: {granted} units in a minute");
+            let max_saved_units = sum(&|share| share.max_saved_units(now));
+            assert!(
+                (max_saved_units - 30.0).abs() <= 4.0,
+                "{holder_count} holders: {max_saved_units} units saved up"
+            );
         }
     }
 }
 
 #[test]
-fn holder_is_granted_whole_requests_in_turn() {
+fn holder_gets_grants_of_whole_requests() {
     let first = share(0, 3);
     let grants: Vec<f64> =
         (0..60).map(|i| first.granted_between(f64::from(i) / 3.0, f64::from(i + 1) / 3.0)).collect();
@@ -35,10 +38,11 @@
 }
 
 #[test]
-fn consecutive_intervals_grant_nothing_twice() {
-    let one = share(2, 5);
-    let whole = one.granted_between(100.0, 200.0);
-    let parts: f64 = (0..100).map(|i| one.granted_between(100.0 + f64::from(i), 101.0 + f64::from(i))).sum();
+fn consecutive_intervals_grant_no_unit_twice() {
+    let share = share(2, 5);
+    let whole = share.granted_between(100.0, 200.0);
+    let parts: f64 =
+        (0..100).map(|i| share.granted_between(100.0 + f64::from(i), 101.0 + f64::from(i))).sum();
     assert_eq!(parts, whole);
-    assert_eq!(one.granted_between(150.0, 150.0), 0.0);
+    assert_eq!(share.granted_between(150.0, 150.0), 0.0);
 }
--- a/tests/unit/token_bucket.rs
+++ b/tests/unit/token_bucket.rs
@@ -1,7 +1,7 @@
 use super::TokenBucket;
 
 #[test]
-fn bucket_fills_at_its_rate_up_to_its_burst() {
+fn bucket_is_refilled_up_to_the_burst() {
     let mut bucket = TokenBucket { level: 1.0, updated_at: 10.0 };
     assert_eq!(bucket.refill(11.5, 2.0, 5.0), 4.0);
     assert_eq!((bucket.level, bucket.updated_at), (4.0, 11.5));
