--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -1,6 +1,6 @@
-//! The settings object as the operators write it. Its keys keep the names of the protocol, and the fields map
-//! them to the terms that the code uses. Keys that are missing or null have their defaults; unknown keys are
-//! ignored. All times are in seconds.
+//! The serialized form of the settings object. The keys have the names of the protocol, also where the fields
+//! have other names. A key that is missing or null has its default; unknown keys are ignored. All times are
+//! in seconds.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -9,14 +9,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct SettingsDocument {
-    /// Request classes, which requests name.
+    /// Request classes. A request refers to its class by name.
     pub classes: Option<Vec<ClassDocument>>,
-    /// Plans of customers, which requests name.
+    /// Plans of customers. A request refers to its customer's plan by name.
     pub plans: Option<Vec<PlanDocument>>,
-    /// Names of the zones.
+    /// Names of the zones, by index.
     #[serde(rename = "Dcs")]
     pub zones: Option<Vec<String>>,
-    /// How the endpoint list is learned; by default discovery pushes it.
+    /// Way in which gateways learn the endpoint list; by default discovery pushes it.
     pub discovery: Option<DiscoveryMode>,
     /// Index of the zone that this gateway runs in.
     #[serde(rename = "Locality")]
@@ -24,21 +24,21 @@
     /// Index of this gateway among all gateways, from 0.
     #[serde(rename = "Me")]
     pub gateway_index: Option<Count>,
-    /// How many gateways there are; 1 by default.
+    /// Number of gateways; 1 by default.
     #[serde(rename = "PeersTotal")]
     pub gateway_count: Option<Count>,
-    /// Least time between two batches of events.
+    /// Shortest time between two batches of events.
     #[serde(rename = "Step")]
     pub event_interval: Option<f64>,
-    /// The counter, and the units that requests take.
+    /// Settings of the counter and of the units that requests take.
     pub domain: Option<DomainDocument>,
-    /// Limits of the deployment.
+    /// Limits that the deployment sets.
     pub limits: Option<DeploymentLimitsDocument>,
-    /// Figures that the rules are stated with.
+    /// Parameters of the rules for slow start and discovery.
     pub rules: Option<RulesDocument>,
 }
 
-/// A count. A fraction is cut off, and a negative number counts as 0.
+/// A whole number. A fraction is cut off, and a negative number becomes 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(from = "f64")]
 pub struct Count(pub u32);
@@ -49,38 +49,38 @@
     }
 }
 
-/// How the endpoint list is learned.
+/// Way in which gateways learn the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum DiscoveryMode {
-    /// Gateways poll it.
+    /// Gateways poll discovery.
     Ask,
-    /// Discovery pushes changes.
+    /// Discovery pushes changes. Unknown names mean this mode.
     #[serde(other)]
     Push,
 }
 
-/// What happens when a request is sent more than once.
+/// Effect of sending a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectName {
-    /// It may run any number of times.
+    /// Requests may run any number of times.
     Idempotent,
-    /// Endpoints of the group discard retries by idempotency key, within the window.
+    /// Endpoints of the group discard retries by their idempotency key, within the window.
     Deduplicated,
-    /// It must not run more than once.
+    /// Requests must not run more than once.
     AtMostOnce,
 }
 
-/// Which endpoints remember idempotency keys.
+/// Group of endpoints that share their idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum ScopeName {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those of one zone.
+    /// Endpoints of one zone.
     Zone,
-    /// Those of one cell. A group of no known name is taken for this one, as it promises least.
+    /// Endpoints of one cell. Unknown names mean this group, as it allows the fewest retries.
     #[serde(other)]
     Cell,
 }
@@ -89,45 +89,45 @@
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase")]
 pub struct ClassDocument {
-    /// Its name.
+    /// Name of the class.
     pub name: Option<String>,
-    /// A response within this time counts in full.
+    /// Latency objective: a response within this time counts in full.
     #[serde(rename = "Slo")]
     pub latency_objective: Option<f64>,
-    /// How long a client waits.
+    /// Time that clients wait for a response.
     pub deadline: Option<f64>,
-    /// What happens when a request is sent more than once.
+    /// Effect of sending a request more than once.
     pub effect: EffectName,
-    /// For requests with an idempotency key: which endpoints remember it.
+    /// Group of endpoints that remember an idempotency key, if the effect is `deduplicated`.
     #[serde(rename = "Group")]
     pub scope: Option<ScopeName>,
-    /// For requests with an idempotency key: how long it is remembered after the first attempt that may have
-    /// run.
+    /// Time that endpoints remember an idempotency key after the first attempt that may have run, if the
+    /// effect is `deduplicated`.
     pub window: Option<f64>,
-    /// Share of its weight that a late response counts for.
+    /// Share of its weight that a late response counts for, from 0 to 1.
     #[serde(rename = "LateWorth")]
     pub late_weight_share: Option<f64>,
-    /// The response is a stream.
+    /// True if responses are streams.
     #[serde(rename = "Streamed")]
     pub is_streamed: Option<bool>,
 }
 
-/// A plan; its figures hold for each customer over all gateways together.
+/// A plan. The limits apply to each customer over all gateways together.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct PlanDocument {
-    /// Its name.
+    /// Name of the plan.
     pub name: Option<String>,
-    /// Units a second that refill the quota; 0 if there is no quota.
+    /// Rate of the quota in units per second; 0 if there is no quota.
     #[serde(rename = "QuotaRate")]
     pub rate: Option<f64>,
-    /// Units that the quota holds.
+    /// Burst of the quota in units.
     #[serde(rename = "Depth")]
     pub burst: Option<f64>,
-    /// Attempts that may be in flight at once; 0 if there is no such limit.
+    /// Most attempts in flight at once; 0 if there is no limit.
     #[serde(rename = "Open")]
     pub max_concurrent_attempts: Option<Count>,
-    /// Weight of a unit, relative to the other plans.
+    /// Weight of a unit relative to the other plans.
     #[serde(rename = "Pays")]
     pub priority_weight: Option<f64>,
     /// Share of its weight that a request beyond the quota counts for.
@@ -136,76 +136,77 @@
     /// Share of its weight that a request beyond the quota costs.
     #[serde(rename = "OverrunCost")]
     pub over_quota_cost_share: Option<f64>,
-    /// Units a second that refill the hard ceiling; 0 if there is no ceiling.
+    /// Rate of the hard ceiling in units per second; 0 if there is no ceiling.
     pub ceiling_rate: Option<f64>,
-    /// Units that the hard ceiling holds.
+    /// Burst of the hard ceiling in units.
     pub ceiling_burst: Option<f64>,
 }
 
-/// The counter, and the units that requests take.
+/// Settings of the counter and of the units that requests take.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct DomainDocument {
-    /// There is a counter service.
+    /// True if there is a counter.
     pub has_counter: Option<bool>,
-    /// A counter call that takes longer has failed.
+    /// Time after which a counter call has failed.
     #[serde(rename = "CountLimit")]
     pub counter_timeout: Option<f64>,
-    /// Most units that one request takes.
+    /// Most units of one request.
     pub max_units: Option<f64>,
-    /// The true units of a request come with its response.
+    /// True if the units of a request are only an estimate until its response reports the actual ones.
     #[serde(rename = "PostPaid")]
     pub units_settled_after_response: Option<bool>,
 }
 
-/// Limits of the deployment.
+/// Limits that the deployment sets.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct DeploymentLimitsDocument {
-    /// Attempts may be cancelled.
+    /// True if attempts may be cancelled.
     #[serde(rename = "Cancelling")]
     pub cancellation_enabled: Option<bool>,
-    /// Endpoints close a connection that has been idle for so long.
+    /// Idle time after which endpoints close a connection.
     #[serde(rename = "ConnIdle")]
     pub idle_timeout: Option<f64>,
-    /// A connection that takes longer to open has failed.
+    /// Time after which an attempt to open a connection has failed.
     pub connect_timeout: Option<f64>,
-    /// The longest wait that clients honour.
+    /// Longest `Retry-After` that clients obey.
     pub max_retry_after: Option<f64>,
-    /// Endpoints may be sent health checks.
+    /// True if endpoints may be sent health checks.
     #[serde(rename = "MayProbe")]
     pub health_checks_enabled: Option<bool>,
-    /// Most requests that a gateway may have open.
+    /// Most open requests of one gateway.
     #[serde(rename = "OpenCap")]
     pub max_open_requests: Option<Count>,
-    /// Rejected clients are told how long to wait.
+    /// True if rejected clients are told how long to wait.
     #[serde(rename = "RetryAfter")]
     pub retry_after_enabled: Option<bool>,
-    /// Two attempts of one request may be in flight at once.
+    /// True if two attempts of one request may be in flight at once.
     #[serde(rename = "SecondCopies")]
     pub hedging_enabled: Option<bool>,
-    /// Most attempts for one request.
+    /// Most attempts per request.
     #[serde(rename = "SendCap")]
     pub max_attempts: Option<Count>,
 }
 
-/// Figures that the rules are stated with.
+/// Parameters of the rules for slow start and discovery.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct RulesDocument {
-    /// A newly started endpoint has its full capacity after this time at most.
+    /// Longest time that a newly started endpoint takes to reach its full capacity.
     #[serde(rename = "Cold")]
     pub slow_start_window: Option<f64>,
-    /// Share of its capacity that a newly started endpoint has at least.
+    /// Least share of its capacity that a newly started endpoint has, from 0 to 1.
     #[serde(rename = "ColdFrom")]
     pub slow_start_initial_share: Option<f64>,
-    /// A warming endpoint fails when it is sent too much for so long.
+    /// Time of overload after which an endpoint that is warming up fails.
     #[serde(rename = "Fall")]
     pub overload_window: Option<f64>,
-    /// What is too much, as a multiple of its present capacity.
+    /// Load that counts as overload of such an endpoint, as a multiple of its present capacity.
     #[serde(rename = "FallMultiple")]
     pub overload_multiple: Option<f64>,
-    /// A gateway that has not polled the list for so long counts as notified.
+    /// Longest time between two polls. A gateway that has not polled for this long counts as notified of a
+    /// change.
     #[serde(rename = "MustAskIn")]
     pub max_poll_interval: Option<f64>,
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told when it starts.
+//! Settings that a gateway gets when it starts, and their serialized form.
 
 mod document;
 mod options;
@@ -9,30 +9,30 @@
 use crate::interface::Seconds;
 use thiserror::Error;
 
-/// Which endpoints remember a request by its idempotency key, and so discard a retry of it.
+/// Group of endpoints that remember a request by its idempotency key and discard a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// Every endpoint.
     All,
-    /// The endpoints of the zone that the request was first sent to.
+    /// Endpoints of the zone that the request was first sent to.
     Zone,
-    /// The endpoints of the cell that the request was first sent to.
+    /// Endpoints of the cell that the request was first sent to.
     Cell,
 }
 
-/// What happens when a request is sent more than once.
+/// Effect of sending a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
     /// Endpoints discard a retry by its idempotency key.
     IdempotencyKey {
-        /// The endpoints that remember the key.
+        /// Endpoints that remember the key.
         scope: IdempotencyScope,
-        /// How long they remember it after the first attempt.
+        /// Time that they remember the key after the first attempt that may have run.
         window: Seconds,
     },
-    /// It must not run more than once.
+    /// The request must not run more than once.
     AtMostOnce,
 }
 
@@ -40,13 +40,13 @@
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct Class {
-    /// A response within this time counts in full.
+    /// Time within which a response counts in full.
     pub latency_objective: Seconds,
     /// Share of its weight that a later response counts for, from 0 to 1.
     pub late_weight_share: f64,
-    /// What happens when a request is sent more than once.
+    /// Effect of sending a request more than once.
     pub effect: Effect,
-    /// The response is a stream.
+    /// True if responses are streams.
     pub is_streamed: bool,
 }
 
@@ -61,79 +61,80 @@
     }
 }
 
-/// A customer's plan. Its limits hold for each customer over all gateways together.
+/// A customer's plan. The limits apply to each customer over all gateways together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[non_exhaustive]
 pub struct Plan {
-    /// Units a second that refill the quota; 0 if there is no quota.
+    /// Rate of the quota in units per second; 0 if there is no quota.
     pub rate: f64,
-    /// Units that the quota holds.
+    /// Burst of the quota in units.
     pub burst: f64,
-    /// Attempts that may be in flight at once; 0 if there is no such limit.
+    /// Most attempts in flight at once; 0 if there is no limit.
     pub max_concurrent_attempts: u32,
-    /// Weight of a unit, relative to the other plans.
+    /// Weight of a unit relative to the other plans.
     pub priority_weight: f64,
     /// Share of its weight that a request beyond the quota counts for.
     pub over_quota_weight_share: f64,
     /// Share of its weight that a request beyond the quota costs.
     pub over_quota_cost_share: f64,
-    /// Units a second that refill the hard ceiling; 0 if there is no ceiling.
+    /// Rate of the hard ceiling in units per second; 0 if there is no ceiling.
     pub ceiling_rate: f64,
-    /// Units that the hard ceiling holds.
+    /// Burst of the hard ceiling in units.
     pub ceiling_burst: f64,
 }
 
-/// What a gateway is told when it starts. Build one with `Settings::default()` and set the fields.
+/// Settings of a gateway. Start from `Settings::default()` and set the fields.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub struct Settings {
     /// Index of this gateway among all gateways, from 0.
     pub gateway_index: u32,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateway_count: u32,
-    /// The zone that this gateway runs in.
+    /// Index of the zone that this gateway runs in.
     pub zone: u32,
     /// Request classes, by index.
     pub classes: Vec<Class>,
     /// Plans, by index.
     pub plans: Vec<Plan>,
-    /// There is a counter service.
+    /// True if there is a counter.
     pub has_counter: bool,
-    /// A counter call that takes longer has failed.
+    /// Time after which a counter call has failed.
     pub counter_timeout: Seconds,
-    /// Most units that one request takes.
+    /// Most units of one request.
     pub max_units: f64,
-    /// The true units of a request come with its response; its own are an estimate.
+    /// True if the units of a request are only an estimate until its response reports the actual ones.
     pub units_settled_after_response: bool,
-    /// Endpoints may be sent health checks.
+    /// True if endpoints may be sent health checks.
     pub health_checks_enabled: bool,
-    /// Attempts may be cancelled.
+    /// True if attempts may be cancelled.
     pub cancellation_enabled: bool,
-    /// Two attempts of one request may be in flight at once.
+    /// True if two attempts of one request may be in flight at once.
     pub hedging_enabled: bool,
-    /// Most attempts for one request.
+    /// Most attempts per request.
     pub max_attempts: u32,
-    /// Most requests that a gateway may have open.
+    /// Most open requests of this gateway.
     pub max_open_requests: u32,
-    /// Most customers that a gateway may keep state for.
+    /// Most customers that this gateway keeps state for.
     pub max_customers: usize,
-    /// Rejected clients are told how long to wait.
+    /// True if rejected clients are told how long to wait.
     pub retry_after_enabled: bool,
-    /// The longest wait that clients honour.
+    /// Longest `Retry-After` that clients obey.
     pub max_retry_after: Seconds,
-    /// The endpoint list has to be polled; otherwise discovery pushes it.
+    /// True if the gateway polls the endpoint list; otherwise discovery pushes it.
     pub discovery_is_polled: bool,
-    /// A gateway that has not polled for so long counts as notified of a change.
+    /// Longest time between two polls. A gateway that has not polled for this long counts as notified of a
+    /// change.
     pub max_poll_interval: Seconds,
-    /// Share of its capacity that a newly started endpoint has at least, from 0 to 1.
+    /// Least share of its capacity that a newly started endpoint has, from 0 to 1.
     pub slow_start_initial_share: f64,
-    /// A newly started endpoint has its full capacity after this time at most.
+    /// Longest time that a newly started endpoint takes to reach its full capacity.
     pub slow_start_window: Seconds,
-    /// A warming endpoint fails when it is sent more than this multiple of its present capacity ...
+    /// Load that overloads an endpoint that is warming up, as a multiple of its present capacity.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// Time of such an overload after which the endpoint fails.
     pub overload_window: Seconds,
-    /// Least time between two batches of events.
+    /// Shortest time between two batches of events.
     pub event_interval: Seconds,
 }
 
@@ -172,7 +173,7 @@
     /// Checks that a gateway can work with these settings.
     ///
     /// # Errors
-    /// The gateway's index is out of range, or a figure is negative or not finite.
+    /// There are no gateways, the gateway's index is out of range, or a number is negative or not finite.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         if self.gateway_count == 0 {
             return Err(SettingsError::NoGateways);
@@ -181,15 +182,15 @@
             return Err(SettingsError::GatewayIndexOutOfRange);
         }
         let is_invalid = |(_, value): &(&'static str, f64)| !value.is_finite() || *value < 0.0;
-        match self.figures().into_iter().find(is_invalid) {
+        match self.numbers().into_iter().find(is_invalid) {
             Some((name, _)) => Err(SettingsError::InvalidNumber(name)),
             None => Ok(()),
         }
     }
 
-    /// Every figure that must be finite and not negative, by its field's name.
-    fn figures(&self) -> Vec<(&'static str, f64)> {
-        let mut figures = vec![
+    /// Returns every number that must be finite and not negative, with the name of its field.
+    fn numbers(&self) -> Vec<(&'static str, f64)> {
+        let mut numbers = vec![
             ("counter_timeout", self.counter_timeout),
             ("max_retry_after", self.max_retry_after),
             ("slow_start_initial_share", self.slow_start_initial_share),
@@ -200,11 +201,11 @@
             ("max_poll_interval", self.max_poll_interval),
         ];
         for class in &self.classes {
-            figures.push(("latency_objective", class.latency_objective));
-            figures.push(("late_weight_share", class.late_weight_share));
+            numbers.push(("latency_objective", class.latency_objective));
+            numbers.push(("late_weight_share", class.late_weight_share));
         }
         for plan in &self.plans {
-            figures.extend([
+            numbers.extend([
                 ("rate", plan.rate),
                 ("burst", plan.burst),
                 ("over_quota_weight_share", plan.over_quota_weight_share),
@@ -214,21 +215,21 @@
                 ("priority_weight", plan.priority_weight),
             ]);
         }
-        figures
+        numbers
     }
 }
 
-/// Settings that no gateway can work with.
+/// Reason why a gateway can't work with its settings.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There are no gateways.
-    #[error("there are no gateways")]
+    /// The number of gateways is 0.
+    #[error("the number of gateways is 0; expected at least 1")]
     NoGateways,
-    /// This gateway's index is not below the number of gateways.
-    #[error("this gateway's number is out of range")]
+    /// The gateway's index is not below the number of gateways.
+    #[error("the gateway's index is not below the number of gateways")]
     GatewayIndexOutOfRange,
-    /// The named figure is negative, infinite or not a number.
-    #[error("{0} is not a usable number")]
+    /// The named number is negative, infinite or not a number.
+    #[error("{0} must be finite and not negative")]
     InvalidNumber(&'static str),
 }
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -1,5 +1,5 @@
-//! The policy's settings, and the names and limits that whoever carries out the actions needs beside them, as
-//! the settings object tells them.
+//! Reads the settings object into the policy's settings, and into the names and limits that the code around
+//! the policy needs.
 
 use crate::interface::Seconds;
 use crate::settings::document::{
@@ -10,18 +10,18 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// How long a client waits if its class does not say.
+/// Time that clients wait if their class has no deadline.
 const DEFAULT_DEADLINE: Seconds = 30.0;
-/// How long an idle connection stays open if the limits do not say.
+/// Idle time after which endpoints close a connection, unless the limits name another.
 const DEFAULT_IDLE_TIMEOUT: Seconds = 30.0;
-/// How long a connection may take to open if the limits do not say.
+/// Longest time to open a connection, unless the limits name another.
 const DEFAULT_CONNECT_TIMEOUT: Seconds = 0.25;
 
-/// The settings object. Build one with [`Options::read`] or from a [`SettingsDocument`].
+/// Content of a settings object, created with [`Options::read`] or from a [`SettingsDocument`].
 #[derive(Debug, Clone, Default, PartialEq)]
 #[non_exhaustive]
 pub struct Options {
-    /// The settings of the policy, for [`crate::Gateway::new`].
+    /// Settings of the policy, for [`crate::Gateway::new`].
     pub settings: Settings,
     /// Names of the request classes, by index.
     pub class_names: Vec<String>,
@@ -29,30 +29,30 @@
     pub plan_names: Vec<String>,
     /// Names of the zones, by index.
     pub zone_names: Vec<String>,
-    /// Endpoints close a connection that has been idle for so long.
+    /// Idle time after which endpoints close a connection.
     pub endpoint_idle_timeout: Seconds,
-    /// The longest time that any client waits for a response.
+    /// Longest deadline of all classes; 0 if there are no classes.
     pub longest_deadline: Seconds,
-    /// A connection that takes longer to open has failed.
+    /// Time after which an attempt to open a connection has failed.
     pub connect_timeout: Seconds,
 }
 
-/// A settings object that could not be read.
+/// Error for a settings object that can't be read.
 #[derive(Debug, Error)]
 #[error("Options.{path}: {reason}")]
 #[non_exhaustive]
 pub struct OptionsError {
-    /// The path of the key at fault, such as `Classes[0].Effect`.
+    /// Path of the invalid key, such as `Classes[0].Effect`.
     pub path: String,
-    /// What is wrong there.
+    /// Error at that key.
     pub reason: serde_json::Error,
 }
 
 impl Options {
-    /// Reads a settings object; a missing key has its default.
+    /// Reads a settings object. A missing key has its default.
     ///
     /// # Errors
-    /// A value of the wrong kind.
+    /// A value has the wrong type.
     pub fn read(value: &Value) -> Result<Self, OptionsError> {
         let document: Result<SettingsDocument, _> = serde_path_to_error::deserialize(value);
         let document = document.map_err(|error| {
@@ -77,8 +77,8 @@
         apply_rules(&mut settings, &document.rules.unwrap_or_default());
         let classes = document.classes.unwrap_or_default();
         let plans = document.plans.unwrap_or_default();
-        settings.classes = classes.iter().map(class).collect();
-        settings.plans = plans.iter().map(plan).collect();
+        settings.classes = classes.iter().map(read_class).collect();
+        settings.plans = plans.iter().map(read_plan).collect();
         let deadlines = classes.iter().map(|class| class.deadline.unwrap_or(DEFAULT_DEADLINE));
         Self {
             longest_deadline: deadlines.fold(0.0, f64::max),
@@ -122,7 +122,7 @@
     settings.overload_window = rules.overload_window.unwrap_or(settings.overload_window);
 }
 
-fn class(document: &ClassDocument) -> Class {
+fn read_class(document: &ClassDocument) -> Class {
     let scope = match document.scope.unwrap_or(ScopeName::Cell) {
         ScopeName::All => IdempotencyScope::All,
         ScopeName::Zone => IdempotencyScope::Zone,
@@ -141,7 +141,7 @@
     }
 }
 
-fn plan(document: &PlanDocument) -> Plan {
+fn read_plan(document: &PlanDocument) -> Plan {
     Plan {
         rate: document.rate.unwrap_or(0.0),
         burst: document.burst.unwrap_or(0.0),
