--- a/src/policy/routing/endpoint_state.rs
+++ b/src/policy/routing/endpoint_state.rs
@@ -1,59 +1,59 @@
-//! What a gateway keeps of one endpoint. It is little while nothing was sent to the endpoint, as most
-//! endpoints of a long list are used by other gateways.
+//! The state that a gateway keeps of one endpoint. The state is small until an attempt is sent, as most
+//! endpoints of a long list are used by other gateways only.
 
 use crate::{
     interface::{EndpointId, EndpointSnapshot, Seconds, Status, Time},
     policy::{
         load_shedder::SAMPLE_WEIGHT,
-        routing::health::{Health, MAX_EJECTION, MIN_EJECTION, UNTRIED},
+        routing::health::{Health, MAX_EJECTION, MIN_EJECTION, UNTRIED_HEALTH},
     },
     primitives::token_bucket::TokenBucket,
     settings::IdempotencyScope,
 };
 
-/// Time constant over which the response time of an endpoint becomes out of date.
+/// Time constant with which an endpoint's mean response time becomes out of date.
 pub const LATENCY_TIME_CONSTANT: Seconds = 14.0;
-/// The longest response time that a predecessor's snapshot may name.
+/// Longest response time accepted from a predecessor's snapshot.
 pub const MAX_LATENCY: Seconds = 60.0;
 
-/// An endpoint that the list names, or named while attempts to it are still in flight.
+/// An endpoint that the list names, or that has left the list with attempts still in flight.
 #[derive(Debug, Default)]
 pub struct EndpointState {
-    /// The zone that it runs in.
+    /// Zone that the endpoint runs in.
     pub zone: u32,
-    /// The cell that it runs in.
+    /// Cell that the endpoint runs in, within the zone.
     pub cell: u32,
-    /// The list says that it accepts requests.
+    /// True if the list says that the endpoint accepts requests.
     pub is_running: bool,
-    /// The list names it.
+    /// True if the list names the endpoint.
     pub is_listed: bool,
-    /// It is running and not in maintenance.
+    /// True if the endpoint is running and not in maintenance.
     pub is_usable: bool,
-    /// True once this incarnation was observed; the fields below are valid only then.
+    /// True once the endpoint has been listed or restored from a snapshot; the fields below are valid only
+    /// then.
     pub is_observed: bool,
-    /// Since when it has been warming up; 0 if it has been warm for long.
+    /// Time at which the endpoint began to warm up; 0 if that was long ago.
     pub warming_up_since: Time,
-    /// What it may be sent while it is warming up.
+    /// Tokens for attempts to the endpoint while it is warming up.
     pub slow_start_allowance: TokenBucket,
-    /// Mean time that its responses take.
+    /// Mean response time.
     pub mean_latency: Seconds,
-    /// What attempts have shown; `None` if there was none to this incarnation.
+    /// Health since the last restart; `None` if no attempt has been sent since then.
     pub health: Option<Box<Health>>,
 }
 
 impl EndpointState {
-    /// What attempts have shown so far.
+    /// Returns the health that attempts have shown so far.
     pub fn health(&self) -> &Health {
-        self.health.as_deref().unwrap_or(&UNTRIED)
+        self.health.as_deref().unwrap_or(&UNTRIED_HEALTH)
     }
 
-    /// What attempts have shown so far, to be changed.
+    /// Returns the health for changes.
     pub fn health_mut(&mut self) -> &mut Health {
         self.health.get_or_insert_default()
     }
 
-    /// Begins a new incarnation. Nothing that was learned holds any more, but attempts in flight stay in
-    /// flight.
+    /// Resets the state after the endpoint has restarted. Only the number of attempts in flight is kept.
     pub fn restart(&mut self, warming_up_since: Time, allowance: TokenBucket, mean_latency: Seconds) {
         self.is_observed = true;
         self.warming_up_since = warming_up_since;
@@ -63,7 +63,7 @@
         self.health = (in_flight > 0.0).then(|| Box::new(Health { in_flight, ..Health::default() }));
     }
 
-    /// What a successor process should know of it.
+    /// Returns the state to hand over to a successor process.
     pub fn snapshot(&self, id: &EndpointId) -> EndpointSnapshot {
         let health = self.health();
         let next_ejection_duration =
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Takes over what a predecessor knew, within sane bounds, unless the endpoint has restarted since.
-    /// Returns whether attempts had shown anything of it.
+    /// Restores the state from a predecessor's snapshot, within sane bounds, unless the endpoint has
+    /// restarted since. Returns whether the snapshot contains results of attempts.
     pub fn restore(&mut self, snapshot: &EndpointSnapshot, now: Time, allowance: TokenBucket) -> bool {
         if self.warming_up_since > snapshot.warming_up_since {
             return false;
@@ -97,7 +97,7 @@
         is_tried
     }
 
-    /// Records how an attempt ended. An endpoint that responds after it was unreachable for long may have
+    /// Records the result of an attempt. An endpoint that responds after it was unreachable for long may have
     /// restarted without notice, so it counts as warming up from now on.
     pub fn record_outcome(&mut self, now: Time, status: Status, fleet_times_out: bool) {
         let health = self.health.get_or_insert_default();
@@ -108,20 +108,20 @@
         health.record_outcome(now, status, fleet_times_out);
     }
 
-    /// Moves the mean response time towards a sample; further the longer the endpoint was not heard of, as it
-    /// may have changed since.
+    /// Moves the mean response time towards a sample. The sample has more weight the longer ago the previous
+    /// one was, as the endpoint may have changed since.
     pub fn record_latency(&mut self, now: Time, sample: Seconds) {
         let previous = std::mem::replace(&mut self.health_mut().last_response_at, now);
         let remembered = (1.0 - SAMPLE_WEIGHT) * (-(now - previous) / LATENCY_TIME_CONSTANT).exp();
         self.mean_latency = sample + (self.mean_latency - sample) * remembered;
     }
 
-    /// When it has its full capacity, if warming up takes `slow_start_window`.
+    /// Returns the time at which the endpoint has its full capacity; 0 if it has been warm for long.
     pub fn warm_at(&self, slow_start_window: Seconds) -> Time {
         if self.warming_up_since <= 0.0 { 0.0 } else { self.warming_up_since + slow_start_window }
     }
 
-    /// Whether it remembers the idempotency keys that an endpoint in this zone and cell does.
+    /// Checks whether the endpoint remembers the same idempotency keys as an endpoint of this zone and cell.
     pub fn is_in_scope(&self, scope: IdempotencyScope, zone: u32, cell: u32) -> bool {
         match scope {
             IdempotencyScope::All => true,
--- a/src/policy/routing/endpoint_table.rs
+++ b/src/policy/routing/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! The endpoints that a gateway knows: listed ones, those in maintenance, and those that are ejected. What an
-//! event costs here depends on how many endpoints it names, not on how many there are.
+//! The endpoints that a gateway knows, and which of them are usable, in maintenance or ejected. The cost of
+//! an event depends on the number of endpoints that the event names, not on the length of the list.
 
 use crate::{
     interface::{Endpoint, EndpointCounts, EndpointId, Lifecycle, Time},
@@ -11,22 +11,23 @@
     ops::{Index, IndexMut},
 };
 
-/// See the [module](self).
+/// Table of the endpoints that a gateway knows.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
-    /// All endpoints; the usable ones are selected.
+    /// All known endpoints; the usable ones are selected.
     endpoints: OrderedTable<EndpointId, EndpointState>,
-    /// Endpoints in maintenance, known or not.
+    /// Endpoints in maintenance, whether or not the table has an entry for them.
     in_maintenance: BTreeSet<EndpointId>,
-    /// All endpoints that the list does not name.
+    /// All entries that the endpoint list does not name.
     unlisted: BTreeSet<EntryHandle>,
-    /// A superset of the endpoints that are ejected.
+    /// A superset of the ejected endpoints.
     ejected: BTreeSet<EntryHandle>,
 }
 
 impl EndpointTable {
-    /// Applies an update of the list, and calls `observe` for each entry first. An endpoint that the list
-    /// does not name is kept only while attempts to it are in flight.
+    /// Applies an update of the endpoint list. Calls `observe` with each entry and the state of its endpoint
+    /// before applying the entry. Keeps an endpoint that the list does not name only while attempts to it are
+    /// in flight.
     pub fn update(
         &mut self,
         is_complete: bool,
@@ -40,7 +41,7 @@
             }
         }
         self.endpoints.reserve(entries.len());
-        let mut touched = std::mem::take(&mut self.unlisted);
+        let mut affected = std::mem::take(&mut self.unlisted);
         for entry in entries {
             let handle = self.endpoints.find_or_add(entry.id.clone());
             let endpoint = &mut self.endpoints[handle];
@@ -49,17 +50,17 @@
             endpoint.cell = entry.cell;
             endpoint.is_running = entry.lifecycle == Lifecycle::Running;
             endpoint.is_listed = entry.lifecycle != Lifecycle::Gone;
-            touched.insert(handle);
+            affected.insert(handle);
         }
         if is_complete {
-            touched.extend(self.endpoints.handles());
+            affected.extend(self.endpoints.handles());
         }
-        for handle in touched {
+        for handle in affected {
             self.refresh(handle);
         }
     }
 
-    /// Removes an endpoint that is neither listed nor in use; otherwise updates whether it is usable.
+    /// Removes an endpoint that is unlisted and has no attempts in flight; else updates whether it is usable.
     fn refresh(&mut self, handle: EntryHandle) {
         let endpoint = &self.endpoints[handle];
         let is_listed = endpoint.is_listed;
@@ -73,12 +74,12 @@
         self.update_usable(handle);
     }
 
-    /// The place of an endpoint, if it is known.
+    /// Returns the handle of an endpoint.
     pub fn find(&self, id: &EndpointId) -> Option<EntryHandle> {
         self.endpoints.find(id)
     }
 
-    /// The place of an endpoint. One that was unknown is not listed.
+    /// Returns the handle of an endpoint. Adds an unlisted entry if the endpoint is unknown.
     pub fn find_or_add(&mut self, id: EndpointId) -> EntryHandle {
         let handle = self.endpoints.find_or_add(id);
         if !self.endpoints[handle].is_listed {
@@ -87,33 +88,33 @@
         handle
     }
 
-    /// Removes an endpoint.
+    /// Removes an endpoint, whether or not it is listed.
     pub fn remove(&mut self, handle: EntryHandle) {
         self.unlisted.remove(&handle);
         self.ejected.remove(&handle);
         self.endpoints.remove(handle);
     }
 
-    /// The identifier of an endpoint.
+    /// Returns the identifier of an endpoint.
     pub fn id(&self, handle: EntryHandle) -> &EndpointId {
         self.endpoints.key(handle)
     }
 
-    /// All endpoints in the order of their identifiers.
+    /// Iterates over all endpoints in the order of their identifiers.
     pub fn iter(&self) -> impl Iterator<Item = (&EndpointId, &EndpointState)> {
         self.endpoints.iter()
     }
 
-    /// The usable endpoints in the order of their identifiers.
+    /// Returns the usable endpoints in the order of their identifiers.
     pub fn usable(&self) -> &[EntryHandle] {
         self.endpoints.selected()
     }
 
-    /// The usable endpoint `steps` behind the one at the share `phase` of them, from 0 to 1. The first
-    /// follows the last.
-    pub fn usable_from(&self, phase: f64, steps: usize) -> EntryHandle {
+    /// Returns the usable endpoint that is `offset` positions after the position at the fraction `start` of
+    /// all usable endpoints, from 0 to 1. The first endpoint follows the last.
+    pub fn usable_from(&self, start: f64, offset: usize) -> EntryHandle {
         let usable = self.usable();
-        let index = (phase * usable.len() as f64) as usize + steps;
+        let index = (start * usable.len() as f64) as usize + offset;
         usable[if index < usable.len() { index } else { index - usable.len() }]
     }
 
@@ -126,12 +127,12 @@
         }
     }
 
-    /// Records that an endpoint's ejection time was set.
+    /// Records that an endpoint was ejected. Call this after each change of its `ejected_until`.
     pub fn record_ejection(&mut self, handle: EntryHandle) {
         self.ejected.insert(handle);
     }
 
-    /// How many usable endpoints are ejected.
+    /// Returns the number of usable endpoints that are ejected at `now`.
     pub fn count_ejected(&mut self, now: Time) -> usize {
         let endpoints = &self.endpoints;
         self.ejected.retain(|handle| now < endpoints[*handle].health().ejected_until);
@@ -151,7 +152,7 @@
         was_in_maintenance
     }
 
-    /// Puts these endpoints into maintenance and takes all others out.
+    /// Puts exactly these endpoints into maintenance and takes all others out.
     pub fn replace_maintenance(&mut self, in_maintenance: Vec<EndpointId>) {
         self.in_maintenance = in_maintenance.into_iter().collect();
         for handle in self.endpoints.handles().to_vec() {
@@ -159,17 +160,17 @@
         }
     }
 
-    /// The endpoints in maintenance.
+    /// Iterates over the endpoints in maintenance.
     pub fn in_maintenance(&self) -> impl Iterator<Item = &EndpointId> {
         self.in_maintenance.iter()
     }
 
-    /// Whether an endpoint is known, or in maintenance.
+    /// Checks whether an endpoint has an entry or is in maintenance.
     pub fn knows(&self, id: &EndpointId) -> bool {
         self.find(id).is_some() || self.in_maintenance.contains(id)
     }
 
-    /// How many endpoints are listed, and how many of them are avoided at `now`.
+    /// Returns the numbers of endpoints that are listed and avoided at `now`.
     pub fn counts(&self, now: Time) -> EndpointCounts {
         let mut counts = EndpointCounts::default();
         for (_, endpoint) in self.iter().filter(|(_, endpoint)| endpoint.is_listed) {
--- a/src/policy/routing/health.rs
+++ b/src/policy/routing/health.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: what attempts have shown of an endpoint, and when it is ejected.
+//! Outlier detection: records the results of attempts to an endpoint and decides when it is ejected.
 
 use crate::{
     interface::{Seconds, Status, Time},
@@ -6,42 +6,43 @@
     primitives::decaying_sum::DecayingSum,
 };
 
-/// Consecutive failures that eject an endpoint.
+/// Consecutive failures after which an endpoint is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// Failures that a refused connection counts for: a single one may be chance, the next failure ejects.
+/// Failures that a refused connection counts for. One refused connection may be chance; one more failure
+/// ejects the endpoint.
 const CONNECT_FAILURE_WEIGHT: u32 = FAILURES_TO_EJECT - 1;
-/// How long the first ejection lasts.
+/// Duration of the first ejection.
 pub const MIN_EJECTION: Seconds = 1.0;
-/// How long an ejection lasts at most.
+/// Longest duration of an ejection.
 pub const MAX_EJECTION: Seconds = 8.0;
-/// Time without a connection after which an endpoint may have restarted.
-const RESTART_TIME: Seconds = 0.5;
-/// Time constant over which the errors of an endpoint are forgotten.
+/// Shortest time that an endpoint is unreachable while it restarts.
+const MIN_RESTART_TIME: Seconds = 0.5;
+/// Time constant with which an endpoint's share of errors decays.
 pub const ERROR_TIME_CONSTANT: Seconds = 4.0;
 
-/// What attempts have shown of one incarnation of an endpoint.
+/// Results of the attempts to an endpoint since its last restart.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     /// Attempts in flight.
     pub in_flight: f64,
-    /// When it last responded, or failed to in time.
+    /// Time of the last response or timeout; 0 before the first one.
     pub last_response_at: Time,
-    /// Failures since its last success.
+    /// Failures since the last success; a refused connection counts more than once.
     pub consecutive_failures: u32,
-    /// By class, the share of errors among its recent responses, and when the last of them came.
+    /// Share of errors among recent responses and time of the last response, by request class.
     pub error_shares: Vec<DecayingSum>,
-    /// It was unreachable for so long that it may have restarted.
+    /// True if the endpoint was unreachable for so long that it may have restarted.
     pub may_have_restarted: bool,
-    /// Since when no connection could be opened; 0 if it responded last.
+    /// Time of the first refused connection since the last response; 0 if there was none.
     pub unreachable_since: Time,
-    /// When its current or last ejection ends; 0 before the first one.
+    /// End of the current or last ejection; 0 before the first one.
     pub ejected_until: Time,
-    /// How long its next ejection lasts; 0 before the first one.
+    /// Duration of the next ejection; 0, which stands for the shortest one, before the first.
     pub next_ejection_duration: Seconds,
 }
 
-/// The health of an endpoint that nothing was sent to.
-pub static UNTRIED: Health = Health {
+/// Health of an endpoint to which no attempt was sent.
+pub static UNTRIED_HEALTH: Health = Health {
     in_flight: 0.0,
     last_response_at: 0.0,
     consecutive_failures: 0,
@@ -53,19 +54,20 @@
 };
 
 impl Health {
-    /// Whether the endpoint should be ejected now.
+    /// Checks whether the endpoint should be ejected now.
     pub fn is_outlier(&self, now: Time) -> bool {
         self.consecutive_failures >= FAILURES_TO_EJECT && now >= self.ejected_until
     }
 
-    /// Ejects the endpoint for a time that doubles with each ejection in a row.
+    /// Ejects the endpoint. The duration doubles with each ejection until an attempt succeeds.
     pub fn eject(&mut self, now: Time) {
-        let next_ejection_duration = self.next_ejection_duration.max(MIN_EJECTION);
-        self.ejected_until = now + next_ejection_duration;
-        self.next_ejection_duration = (next_ejection_duration * 2.0).min(MAX_EJECTION);
+        let duration = self.next_ejection_duration.max(MIN_EJECTION);
+        self.ejected_until = now + duration;
+        self.next_ejection_duration = (duration * 2.0).min(MAX_EJECTION);
     }
 
-    /// Records how an attempt ended. While the whole fleet times out, a timeout says nothing of the endpoint.
+    /// Records the result of an attempt. While the whole fleet times out, a timeout is no fault of this
+    /// endpoint and does not count.
     pub fn record_outcome(&mut self, now: Time, status: Status, fleet_times_out: bool) {
         if matches!(status, Status::Ok | Status::Error | Status::Rejected) {
             self.unreachable_since = 0.0;
@@ -89,11 +91,11 @@
         if self.unreachable_since == 0.0 {
             self.unreachable_since = now;
         }
-        self.may_have_restarted |= now - self.unreachable_since >= RESTART_TIME;
+        self.may_have_restarted |= now - self.unreachable_since >= MIN_RESTART_TIME;
     }
 
-    /// Records whether a response to one of `class_count` classes was an error. Each class is counted by
-    /// itself, as one alone may fail: its errors then stand between successes of the others.
+    /// Records whether a response to a request of this class was an error. Each class is counted by itself,
+    /// as an endpoint may fail in one class only, with successes of other classes between the errors.
     pub fn record_response(&mut self, now: Time, class: usize, class_count: usize, is_error: bool) {
         self.error_shares.resize_with(class_count, DecayingSum::default);
         let share = &mut self.error_shares[class];
--- a/src/policy/routing/mod.rs
+++ b/src/policy/routing/mod.rs
@@ -1,8 +1,8 @@
 //! Decides which endpoint an attempt goes to.
 //!
-//! [`Router`] owns all endpoints. A gateway uses a subset of them, so that each endpoint is used by about as
-//! many gateways. From the subset it picks the endpoint with the lowest score, leaves out ejected ones, and
-//! sends little to those that are warming up.
+//! [`Router`] owns all endpoints. Each gateway uses a subset of them, chosen so that all endpoints are used
+//! by about the same number of gateways. From the subset the router picks the endpoint with the lowest score;
+//! it skips ejected endpoints and limits the attempts to those that are warming up.
 
 mod endpoint_state;
 mod endpoint_table;
--- a/src/policy/routing/router.rs
+++ b/src/policy/routing/router.rs
@@ -1,4 +1,4 @@
-//! Keeps the endpoints, and picks one of them for each attempt.
+//! Picks the endpoint for each attempt, and records the results of attempts.
 
 use crate::{
     interface::{Endpoint, EndpointCounts, EndpointId, EndpointSnapshot, ListKind, Seconds, Status, Time},
@@ -9,28 +9,30 @@
         routing::{
             endpoint_table::EndpointTable,
             slow_start::SlowStart,
-            subset::{ScopeFilter, Search, Subset},
+            subset::{ScopeFilter, SelectionCriteria, Subset},
         },
     },
     primitives::token_bucket::TokenBucket,
 };
 
-/// Share of the endpoints that may be ejected at once: if more fail together, no single one is at fault.
+/// Largest share of the usable endpoints that may be ejected at once: if more fail together, the cause is not
+/// a single endpoint.
 const MAX_EJECTED_SHARE: f64 = 0.5;
-/// How an attempt ended.
+
+/// Result of an attempt, from which the router learns about an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptOutcome<'a> {
-    /// The endpoint that it was sent to.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: &'a EndpointId,
-    /// The class of its request, if the request is still known.
+    /// Class of the request; `None` if the request is no longer known.
     pub class: Option<usize>,
-    /// How it ended.
+    /// Result as the event reports it.
     pub status: Status,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Seconds,
 }
 
-/// See the [module](self).
+/// The endpoints of one gateway, and the selection of an endpoint for each attempt.
 #[derive(Debug, Default)]
 pub struct Router {
     pub(super) endpoints: EndpointTable,
@@ -39,27 +41,27 @@
 }
 
 impl Router {
-    /// The router of one gateway, which knows no endpoint yet.
+    /// Creates a router without endpoints for the gateway with this index.
     pub fn new(gateway_index: u32) -> Self {
         Self { subset: Subset::new(gateway_index), ..Self::default() }
     }
 
-    /// All endpoints that the gateway knows.
+    /// Returns the table of all endpoints that the gateway knows.
     pub fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
-    /// How many endpoints may be used.
+    /// Returns the number of endpoints that are running and not in maintenance.
     pub fn usable_count(&self) -> usize {
         self.endpoints.usable().len()
     }
 
-    /// How many endpoints are listed, and how many of them are avoided.
+    /// Returns the numbers of endpoints that are listed and avoided at `now`.
     pub fn counts(&self, now: Time) -> EndpointCounts {
         self.endpoints.counts(now)
     }
 
-    /// The highest recent rate of units to one endpoint, in units a second.
+    /// Returns the highest recent rate of units to one endpoint.
     pub fn peak_units_per_second(&self) -> f64 {
         self.slow_start.peak_rate()
     }
@@ -82,8 +84,8 @@
         });
     }
 
-    /// Puts an endpoint into maintenance or takes it out. Operators restart it meanwhile, so it comes back
-    /// warming up.
+    /// Puts an endpoint into maintenance or takes it out. Operators restart endpoints in maintenance, so an
+    /// endpoint that comes out counts as warming up.
     pub fn set_maintenance(
         &mut self,
         id: &EndpointId,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Takes over what a predecessor knew. Its endpoints are used once the list names them.
+    /// Restores the endpoints from a predecessor's snapshot. They are used once the list names them.
     pub fn restore(
         &mut self,
         endpoints: &[EndpointSnapshot],
@@ -122,8 +124,8 @@
         self.slow_start.restore_peak_rate(context.now, peak_units_per_second);
     }
 
-    /// Picks the endpoint that should respond first and counts an attempt to it; `None` if no endpoint may be
-    /// sent one.
+    /// Picks the endpoint that should respond first and counts an attempt to it. Returns `None` if no
+    /// endpoint may be sent one.
     pub fn start_attempt(
         &mut self,
         request: &RequestState,
@@ -131,9 +133,9 @@
         context: &mut Context,
     ) -> Option<EndpointId> {
         let filter = self.scope_filter(request.attempt_targets(context)?)?;
-        let search = Search { request, filter, mean_latency };
+        let criteria = SelectionCriteria { request, filter, mean_latency };
         let (endpoints, slow_start) = (&mut self.endpoints, &mut self.slow_start);
-        let handle = self.subset.select(&search, endpoints, slow_start, context)?;
+        let handle = self.subset.select(&criteria, endpoints, slow_start, context)?;
         let units = request.request.units;
         let endpoint = &mut self.endpoints[handle];
         endpoint.health_mut().in_flight += 1.0;
@@ -142,8 +144,8 @@
         Some(self.endpoints.id(handle).clone())
     }
 
-    /// Resolves the endpoints that an attempt may go to; `None` if the endpoint that they are defined by is
-    /// unknown.
+    /// Returns the filter for the endpoints that an attempt may go to; `None` if these depend on an endpoint
+    /// that is no longer known.
     fn scope_filter(&self, targets: AttemptTargets) -> Option<ScopeFilter> {
         match targets {
             AttemptTargets::Any => Some(ScopeFilter::ANY),
@@ -162,7 +164,8 @@
         true
     }
 
-    /// Learns from an attempt's end. Slow, failing and vanished endpoints all show here, whatever the cause.
+    /// Records the result of an attempt. Slow, failing and vanished endpoints are all detected from these
+    /// results, whatever the cause.
     pub fn record_outcome(
         &mut self,
         outcome: AttemptOutcome,
--- a/src/policy/routing/slow_start.rs
+++ b/src/policy/routing/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: limits what an endpoint is sent while it is warming up.
+//! Slow start: limits the attempts that an endpoint is sent while it is warming up.
 
 use crate::{
     interface::{Seconds, Time},
@@ -6,49 +6,50 @@
     primitives::decaying_sum::DecayingSum,
 };
 
-/// Share of a warming endpoint's allowance that all gateways together plan to use.
+/// Planned load of all gateways together, as a share of the load that overloads a warming endpoint.
 const PLANNED_SHARE: f64 = 0.4;
-/// Time constant over which the units sent are averaged.
+/// Time constant of the average rate of units sent.
 const SENT_TIME_CONSTANT: Seconds = 3.0;
-/// Time constant over which the highest rate of units is forgotten; as long as a warm-up takes.
+/// Time constant with which the peak rate decays; as long as a warm-up takes.
 const PEAK_TIME_CONSTANT: Seconds = 20.0;
 
-/// What this gateway sends to endpoints, from which the allowance of a warming one follows.
+/// Rates of units that this gateway sends, from which the allowance of a warming endpoint is computed.
 #[derive(Debug, Default)]
 pub struct SlowStart {
-    /// Units sent lately.
+    /// Units sent recently to all endpoints.
     sent_units: DecayingSum,
-    /// The highest recent rate of units to one endpoint.
+    /// Highest recent rate of units to one endpoint, in units per second.
     peak_rate: DecayingSum,
 }
 
 impl SlowStart {
-    /// The highest recent rate of units to one endpoint, in units a second.
+    /// Returns the highest recent rate of units to one endpoint, in units per second.
     pub fn peak_rate(&self) -> f64 {
         self.peak_rate.level
     }
 
-    /// Starts from the peak rate of a predecessor.
+    /// Restores the peak rate from a predecessor's snapshot.
     pub fn restore_peak_rate(&mut self, now: Time, units_per_second: f64) {
         self.peak_rate = DecayingSum { level: units_per_second.max(0.0), updated_at: now };
     }
 
-    /// Records units that were sent.
+    /// Records units that were sent to any endpoint.
     pub fn record_sent(&mut self, now: Time, units: f64) {
         self.sent_units.add(now, units, SENT_TIME_CONSTANT);
     }
 
-    /// The tokens that an endpoint has left; it may be sent a request if there is one at least.
+    /// Returns the tokens that an endpoint has left; the endpoint may be sent a request if there is at least
+    /// one. The result is infinite for a warm endpoint.
     ///
-    /// The allowance follows from what a warm endpoint is sent and from the capacity that the warming one has
-    /// for sure. Each gateway starts at a random level, so that all gateways together stay below the overload
-    /// multiple. A fleet whose endpoints are all warming up is held back.
+    /// The rate of new tokens depends on the rate that a warm endpoint is sent and on the least capacity that
+    /// the warming endpoint has reached. Each gateway starts with a random number of tokens, so that all
+    /// gateways together stay below the overload multiple. The limit also applies if all endpoints are
+    /// warming up at once.
     pub fn allowance(&mut self, endpoint: &mut EndpointState, subset_size: usize, context: &Context) -> f64 {
         let now = context.now;
         let settings = &context.settings;
         let mean_rate = self.sent_units.level / SENT_TIME_CONSTANT / subset_size.max(1) as f64;
-        // The highest recent rate: when all is rejected the mean falls, and the allowance must not fall with
-        // it.
+        // The allowance is based on the peak rate, as the mean rate falls when requests are rejected.
         self.peak_rate.add(now, 0.0, PEAK_TIME_CONSTANT);
         self.peak_rate.level = self.peak_rate.level.max(mean_rate);
         let age = now - endpoint.warming_up_since;
--- a/src/policy/routing/subset.rs
+++ b/src/policy/routing/subset.rs
@@ -1,7 +1,8 @@
-//! The subset of the endpoints that one gateway uses, and the selection from it.
+//! The subset of the endpoints that one gateway uses, and the selection of an endpoint from it.
 //!
-//! Each gateway's subset begins at a place of its own among the usable endpoints, so that each endpoint is
-//! used by about as many gateways, and a restarted gateway uses the same endpoints again.
+//! Each gateway's subset begins at a different position among the usable endpoints, so that all endpoints are
+//! used by about the same number of gateways. The position depends on the gateway's index only, so a
+//! restarted gateway uses the same endpoints again.
 
 use crate::{
     interface::{Seconds, Time},
@@ -14,42 +15,43 @@
     settings::IdempotencyScope,
 };
 
-/// The least number of endpoints in a subset.
+/// Smallest number of endpoints in a subset, if that many are usable.
 pub const MIN_SUBSET: usize = 6;
-/// Size of a subset in multiples of endpoints per gateway: how many gateways use each endpoint.
+/// Average number of gateways that use each endpoint, which determines the size of the subsets.
 pub const GATEWAYS_PER_ENDPOINT: usize = 20;
-/// The golden ratio's fractional part: its multiples are spread evenly over a circle, however many there are.
+/// Fractional part of the golden ratio. The fractional parts of any number of multiples are spread evenly
+/// over the range from 0 to 1.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// The endpoints that remember a request's idempotency key.
+/// Filter for the endpoints that remember a request's idempotency key.
 #[derive(Debug, Clone, Copy)]
 pub struct ScopeFilter {
-    /// Which endpoints remember the key.
+    /// Group of endpoints that remember the key.
     pub scope: IdempotencyScope,
-    /// The zone of the endpoint that the request was first sent to.
+    /// Zone of the endpoint that the request was first sent to.
     pub zone: u32,
-    /// The cell of that endpoint.
+    /// Cell of that endpoint.
     pub cell: u32,
 }
 
 impl ScopeFilter {
-    /// Lets every endpoint pass.
+    /// Filter that accepts every endpoint.
     pub const ANY: Self = Self { scope: IdempotencyScope::All, zone: 0, cell: 0 };
 }
 
-/// What an endpoint is selected for.
+/// Criteria for the selection of an endpoint.
 #[derive(Debug)]
-pub struct Search<'a> {
-    /// The request.
+pub struct SelectionCriteria<'a> {
+    /// Request to send.
     pub request: &'a RequestState,
-    /// The endpoints that it may go to.
+    /// Filter for the endpoints that the request may go to.
     pub filter: ScopeFilter,
-    /// The mean response time of all endpoints.
+    /// Mean response time of all endpoints.
     pub mean_latency: Seconds,
 }
 
-impl Search<'_> {
-    /// Whether an endpoint is in scope, not ejected, and not tried for this request yet.
+impl SelectionCriteria<'_> {
+    /// Checks whether an endpoint passes the filter, is not ejected, and has not been tried for this request.
     fn accepts(&self, handle: EntryHandle, endpoints: &EndpointTable, now: Time) -> bool {
         let endpoint = &endpoints[handle];
         let ScopeFilter { scope, zone, cell } = self.filter;
@@ -59,59 +61,59 @@
     }
 }
 
-/// See the [module](self).
+/// The subset of the endpoints that one gateway uses.
 #[derive(Debug, Default)]
 pub struct Subset {
-    /// Where the subset begins among the usable endpoints, from 0 to 1.
+    /// Start of the subset, as a fraction of all usable endpoints from 0 to 1.
     start: f64,
     /// Earliest time at which an endpoint outside the subset may be selected again.
     no_candidate_outside_until: Time,
 }
 
 impl Subset {
-    /// The subset of the gateway with this index.
+    /// Creates the subset of the gateway with this index.
     pub fn new(gateway_index: u32) -> Self {
         // Gateways with consecutive indices, such as those of one customer, start far apart.
         let start = (f64::from(gateway_index) * GOLDEN_RATIO).fract();
         Self { start, no_candidate_outside_until: 0.0 }
     }
 
-    /// Notes that endpoints outside the subset may have become usable.
+    /// Records that endpoints outside the subset may have become usable.
     pub fn endpoints_changed(&mut self) {
         self.no_candidate_outside_until = 0.0;
     }
 
-    /// How many of the usable endpoints the subset has.
+    /// Returns the number of endpoints in a subset.
     pub fn size(usable_count: usize, gateway_count: u32) -> usize {
         let wanted = GATEWAYS_PER_ENDPOINT * usable_count / gateway_count as usize;
         MIN_SUBSET.max(wanted).min(usable_count)
     }
 
-    /// The usable endpoint at an index, from 0; the subset comes first.
+    /// Returns the usable endpoint at an index from 0. The endpoints of the subset come first.
     pub fn handle_at(&self, index: usize, endpoints: &EndpointTable) -> EntryHandle {
         endpoints.usable_from(self.start, index)
     }
 
-    /// The endpoint that should respond first; `None` if none may be sent an attempt.
+    /// Returns the endpoint that should respond first; `None` if no endpoint may be sent the request.
     pub fn select(
         &mut self,
-        search: &Search,
+        criteria: &SelectionCriteria,
         endpoints: &mut EndpointTable,
         slow_start: &mut SlowStart,
         context: &mut Context,
     ) -> Option<EntryHandle> {
         let now = context.now;
-        let class = search.request.request.class;
+        let class = criteria.request.request.class;
         let size = Self::size(endpoints.usable().len(), context.settings.gateway_count);
-        let first = (context.rng.f64() * size as f64) as usize;
+        let first_index = (context.rng.f64() * size as f64) as usize;
         let mut best: Option<(f64, EntryHandle)> = None;
         for i in 0..size {
-            let handle = self.handle_at((first + i) % size, endpoints);
-            if !search.accepts(handle, endpoints, now) {
+            let handle = self.handle_at((first_index + i) % size, endpoints);
+            if !criteria.accepts(handle, endpoints, now) {
                 continue;
             }
             let endpoint = &mut endpoints[handle];
-            let score = score(endpoint, class, search.mean_latency, now);
+            let score = score(endpoint, class, criteria.mean_latency, now);
             let is_warm = now >= endpoint.warm_at(context.settings.slow_start_window);
             let may_be_sent = is_warm || slow_start.allowance(endpoint, size, context) >= 1.0;
             let is_best = best.is_none_or(|(lowest, _)| score < lowest);
@@ -121,14 +123,14 @@
         }
         match best {
             Some((_, handle)) => Some(handle),
-            None => self.select_outside(search, size, endpoints, context),
+            None => self.select_outside(criteria, size, endpoints, context),
         }
     }
 
-    /// The first warm endpoint outside the subset that a request may go to.
+    /// Returns the first warm endpoint outside the subset that a request may go to.
     fn select_outside(
         &mut self,
-        search: &Search,
+        criteria: &SelectionCriteria,
         size: usize,
         endpoints: &EndpointTable,
         context: &Context,
@@ -141,7 +143,7 @@
             let handle = self.handle_at(index, endpoints);
             let endpoint = &endpoints[handle];
             let warm_at = endpoint.warm_at(context.settings.slow_start_window);
-            if context.now >= warm_at && search.accepts(handle, endpoints, context.now) {
+            if context.now >= warm_at && criteria.accepts(handle, endpoints, context.now) {
                 return Some(handle);
             }
             earliest = earliest.min(endpoint.health().ejected_until.max(warm_at));
--- a/tests/unit/endpoint_state.rs
+++ b/tests/unit/endpoint_state.rs
@@ -5,21 +5,21 @@
 };
 use std::mem::size_of;
 
-/// Most bytes that an endpoint takes to which nothing is sent.
-const MOST: usize = 150;
+/// Most bytes of memory for an endpoint without attempts.
+const MAX_BYTES: usize = 150;
 
 #[test]
 fn endpoint_without_attempts_takes_little_memory() {
-    // Its entry, its places in the order and the selection, and its name with two counts of references, as the
-    // allocator rounds it up.
-    let name =
+    // The entry, the two handles in the ordered lists, and the identifier with its two reference counts,
+    // rounded up as by the allocator.
+    let id_bytes =
         (2 * size_of::<usize>() + "worker-hall-a-0123".len() + size_of::<usize>()).next_multiple_of(16);
-    let bytes = size_of::<Option<(EndpointId, EndpointState)>>() + 2 * size_of::<EntryHandle>() + name;
-    assert!(bytes < MOST, "{bytes} bytes");
+    let bytes = size_of::<Option<(EndpointId, EndpointState)>>() + 2 * size_of::<EntryHandle>() + id_bytes;
+    assert!(bytes < MAX_BYTES, "{bytes} bytes");
 }
 
 #[test]
-fn restart_keeps_only_the_attempts_in_flight() {
+fn restart_keeps_only_attempts_in_flight() {
     let mut endpoint = EndpointState::default();
     assert_eq!((endpoint.health().in_flight, endpoint.health().ejected_until), (0.0, 0.0));
     let allowance = TokenBucket { level: 0.5, updated_at: 3.0 };
--- a/tests/unit/health.rs
+++ b/tests/unit/health.rs
@@ -2,7 +2,7 @@
 use crate::interface::Status;
 
 #[test]
-fn three_failures_or_two_with_a_refused_connection_make_an_outlier() {
+fn three_failures_or_a_refused_connection_and_a_failure_make_an_outlier() {
     let mut failing = Health::default();
     for _ in 0..2 {
         failing.record_outcome(1.0, Status::Error, false);
@@ -12,13 +12,13 @@
     assert!(failing.is_outlier(1.0));
     let mut refusing = Health::default();
     refusing.record_outcome(1.0, Status::ConnectFailed, false);
-    assert!(!refusing.is_outlier(1.0), "one may be chance");
+    assert!(!refusing.is_outlier(1.0), "a single refused connection");
     refusing.record_outcome(1.0, Status::Error, false);
     assert!(refusing.is_outlier(1.0));
 }
 
 #[test]
-fn success_resets_failures_and_timeouts_of_the_fleet_do_not_count() {
+fn success_resets_failures_and_fleet_timeouts_do_not_count() {
     let mut health = Health::default();
     health.record_outcome(1.0, Status::ConnectFailed, false);
     health.record_outcome(1.0, Status::Ok, false);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn ejections_in_a_row_double_up_to_the_longest() {
+fn consecutive_ejections_double_up_to_the_maximum() {
     let mut health = Health::default();
     let mut expected = MIN_EJECTION;
     for _ in 0..6 {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn errors_of_one_class_leave_the_others() {
+fn errors_are_counted_per_class() {
     let mut health = Health::default();
     for _ in 0..20 {
         health.record_response(1.0, 1, 3, true);
--- a/tests/unit/list_poller.rs
+++ b/tests/unit/list_poller.rs
@@ -12,8 +12,8 @@
     context
 }
 
-/// The time until the poll that an update leads to, if any.
-fn delay(poller: &mut ListPoller, kind: ListKind, context: &mut Context) -> Option<f64> {
+/// Returns the delay of the poll that an update schedules, if any.
+fn poll_delay(poller: &mut ListPoller, kind: ListKind, context: &mut Context) -> Option<f64> {
     poller.list_updated(kind, context);
     let mut actions = Vec::new();
     context.drain_actions(&mut actions);
@@ -29,21 +29,21 @@
     let mut context = context(false);
     let mut poller = ListPoller::default();
     for kind in [ListKind::Stale, ListKind::Failed, ListKind::Full] {
-        assert_eq!(delay(&mut poller, kind, &mut context), None);
+        assert_eq!(poll_delay(&mut poller, kind, &mut context), None);
     }
 }
 
 #[test]
-fn start_and_failure_lead_to_a_poll_within_their_spans() {
+fn stale_list_and_failed_poll_schedule_a_poll_within_their_spans() {
     let mut context = context(true);
     let mut poller = ListPoller::default();
-    let start = delay(&mut poller, ListKind::Stale, &mut context);
+    let start = poll_delay(&mut poller, ListKind::Stale, &mut context);
     assert!(start.is_some_and(|delay| (0.0..=3.0).contains(&delay)), "{start:?}");
-    assert_eq!(delay(&mut poller, ListKind::Full, &mut context), None);
-    let retry = delay(&mut poller, ListKind::Failed, &mut context);
+    assert_eq!(poll_delay(&mut poller, ListKind::Full, &mut context), None);
+    let retry = poll_delay(&mut poller, ListKind::Failed, &mut context);
     assert!(retry.is_some_and(|delay| (0.0..=1.0).contains(&delay)), "{retry:?}");
     for _ in 0..20 {
-        let backoff = delay(&mut poller, ListKind::Failed, &mut context);
+        let backoff = poll_delay(&mut poller, ListKind::Failed, &mut context);
         assert!(backoff.is_some_and(|delay| (0.0..=3.0).contains(&delay)), "{backoff:?}");
     }
 }
