--- a/src/policy/requests/attempt_end.rs
+++ b/src/policy/requests/attempt_end.rs
@@ -1,22 +1,22 @@
-//! How an attempt ended.
+//! The end of an attempt, as the event reports it.
 
 use crate::interface::{EndpointId, RequestId, Seconds, Status};
 
-/// How an attempt ended, as the event tells it.
+/// An attempt that has ended.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// The request that the attempt was for.
+    /// Request that the attempt was made for.
     pub request_id: RequestId,
-    /// Index of the attempt.
+    /// Index of the attempt among the request's attempts, from 0.
     pub attempt: u32,
-    /// The endpoint that it was sent to.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Result of the attempt.
     pub status: Status,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Seconds,
-    /// The request needs no further attempt and no further response.
+    /// True if the request needs no further attempt and no further response.
     pub is_finished: bool,
-    /// Units that the request really took, where these are settled after the response.
+    /// Units that the request took, where they are only known after the response.
     pub actual_units: Option<f64>,
 }
--- a/src/policy/requests/hedging.rs
+++ b/src/policy/requests/hedging.rs
@@ -1,13 +1,13 @@
-//! When a hedged request is sent beside an attempt that is slow.
+//! The delay after which a slow attempt is hedged with a second one.
 
 use crate::{interface::Seconds, settings::Class};
 
-/// Share of the latency objective after which a hedged request may be sent.
+/// Shortest delay as a share of the latency objective.
 const DELAY_SHARE: f64 = 0.4;
-/// The shortest delay of a hedged request, in mean response times, as most responses arrive before.
+/// Shortest delay in mean response times, as most responses arrive earlier.
 const DELAY_LATENCIES: f64 = 3.0;
 
-/// How long after an attempt a hedged request may be sent.
+/// Returns the time after an attempt at which a hedged request may be sent.
 pub fn hedge_delay(class: &Class, mean_latency: Seconds) -> Seconds {
     (DELAY_SHARE * class.latency_objective).max(DELAY_LATENCIES * mean_latency)
 }
--- a/src/policy/requests/lifecycle.rs
+++ b/src/policy/requests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Retries, hedged requests, and the one final response of each request.
+//! The life of each open request: admission, attempts, retries, hedged requests and the final response.
 
 use crate::{
     interface::{Action, CustomerId, Request, RequestId, Seconds, Status},
@@ -20,7 +20,7 @@
 };
 use std::collections::BTreeMap;
 
-/// The open requests, and what is decided about them.
+/// The open requests, with the retry budget and admission control that apply to them.
 #[derive(Debug, Default)]
 pub struct RequestLifecycle {
     requests: BTreeMap<RequestId, RequestState>,
@@ -29,22 +29,22 @@
 }
 
 impl RequestLifecycle {
-    /// A lifecycle of no requests yet.
+    /// Creates a lifecycle without requests.
     pub fn new(gateway_count: u32, plan_count: usize) -> Self {
         Self { admission: AdmissionControl::new(gateway_count, plan_count), ..Self::default() }
     }
 
-    /// Decides whether requests are admitted.
+    /// Returns the admission control.
     pub fn admission(&mut self) -> &mut AdmissionControl {
         &mut self.admission
     }
 
-    /// The calls a second that the counter may be sent at present.
+    /// Returns the rate of counter calls that is allowed at present.
     pub fn counter_calls_per_second(&self) -> f64 {
         self.admission.counter_calls_per_second()
     }
 
-    /// Decides about a request that has arrived. One that is open already is ignored.
+    /// Admits or rejects a request that has arrived. Ignores a request that is already open.
     pub fn request_arrived(&mut self, request: Request, backends: &mut Backends, context: &mut Context) {
         if self.requests.contains_key(&request.id) {
             return;
@@ -59,10 +59,10 @@
         } else {
             self.admission.admit(&state.request, backends, context)
         };
-        self.carry_out(&id, admission, backends, context);
+        self.apply_admission(&id, admission, backends, context);
     }
 
-    fn carry_out(
+    fn apply_admission(
         &mut self,
         id: &RequestId,
         admission: Admission,
@@ -76,13 +76,13 @@
         }
     }
 
-    /// Takes a reply of the counter, and decides about the requests that waited for it.
+    /// Records the result of a counter call, then admits or rejects the requests that waited for it.
     pub fn counter_replied(&mut self, reply: &CounterReply, backends: &mut Backends, context: &mut Context) {
         let released = self.admission.counter_replied(reply, context);
         self.admit_released(released, reply.status == Status::Ok, backends, context);
     }
 
-    /// Decides about the requests that wait for a counter call that takes too long.
+    /// Admits or rejects the requests that wait for a counter call, as the call takes too long.
     pub fn end_lease_wait(
         &mut self,
         customer: &CustomerId,
@@ -106,11 +106,11 @@
                 continue;
             };
             let admission = self.admission.admit_after_wait(&state.request, has_reply, backends, context);
-            self.carry_out(&id, admission, backends, context);
+            self.apply_admission(&id, admission, backends, context);
         }
     }
 
-    /// Sends an admitted request for the first time, or rejects it if no endpoint may be sent it.
+    /// Sends the first attempt of an admitted request, or rejects the request if no endpoint is available.
     fn start_first_attempt(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
         self.retry_budget.record_request();
         if !self.start_attempt(id, backends, context) {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Starts an attempt if the rules and the endpoints' limits allow one. Returns whether it did.
+    /// Starts an attempt if there is time and an endpoint for it. Returns whether an attempt was started.
     fn start_attempt(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) -> bool {
         let Some(state) = self.requests.get_mut(id) else { return false };
         let Some(timeout) = state.next_timeout(context.now, &context.settings) else { return false };
@@ -135,8 +135,8 @@
         true
     }
 
-    /// A long response has started: its endpoint has done the work, and its customer's concurrency slot is
-    /// free.
+    /// Records that a streamed response has started. The endpoint has done its work, so the customer's
+    /// concurrency slot is free for other requests.
     pub fn response_started(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
         let Some(state) = self.requests.get_mut(id) else { return };
         let Some(endpoint) = state.record_response_start() else { return };
@@ -146,7 +146,7 @@
         self.start_queued_attempts(&customer_id, backends, context);
     }
 
-    /// An attempt has ended: learns from it, and retries or responds.
+    /// Records the result of an attempt, then retries the request or sends its final response.
     pub fn attempt_ended(&mut self, end: &AttemptEnd, backends: &mut Backends, context: &mut Context) {
         let state = self.requests.get(&end.request_id);
         let customer = state.map(|state| state.request.customer.clone());
@@ -169,7 +169,7 @@
         }
         if let Some(ended) = state.record_end(end.attempt, !end.status.never_ran()) {
             let customers = self.admission.customers();
-            if !ended.response_started {
+            if !ended.has_response_started {
                 customers.record_attempt_end(&state.request.customer);
             }
             if let Some(actual_units) = end.actual_units {
@@ -191,9 +191,9 @@
         self.respond(&end.request_id, backends.mean_latency(), context);
     }
 
-    /// Sends a hedged request if the first attempt is still in flight.
+    /// Sends a hedged request if an attempt is in flight and its response has not started.
     pub fn hedge(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
-        let may_hedge = self.requests.get(id).is_some_and(RequestState::may_be_hedged)
+        let may_hedge = self.requests.get(id).is_some_and(RequestState::can_be_hedged)
             && self.retry_budget.allows_retry()
             && backends.has_capacity(SPARE_CAPACITY_SHARE, context);
         if may_hedge && self.start_attempt(id, backends, context) {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Starts the attempts of requests that waited for a concurrency slot, as far as slots are free.
+    /// Starts the first attempts of requests that wait for a concurrency slot while slots are free.
     fn start_queued_attempts(
         &mut self,
         customer_id: &CustomerId,
@@ -212,7 +212,7 @@
             if self.requests.contains_key(&queued.id) {
                 self.start_first_attempt(&queued.id, backends, context);
             } else {
-                // Its client has disconnected.
+                // The client has disconnected.
                 self.admission.customers().refund(customer_id, queued.units);
             }
         }
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Sends the one final response: a rejection where a retry by the client certainly does no harm, else a
-    /// failure.
+    /// Sends the final response: a rejection if the client may retry safely, else a failure. Does nothing if
+    /// the response was sent before.
     fn respond(&mut self, id: &RequestId, retry_after: Seconds, context: &mut Context) {
         let Some(state) = self.requests.get(id).filter(|state| !state.is_finished()) else { return };
         let response = state.final_response(retry_after, &context.settings);
@@ -235,7 +235,7 @@
         self.finish(id);
     }
 
-    /// Owes a request no response any more. It is kept only while attempts are in flight.
+    /// Records that a request needs no response any more, and keeps it only while attempts are in flight.
     pub fn finish(&mut self, id: &RequestId) {
         if let Some(state) = self.requests.get_mut(id) {
             if !state.finish() {
--- a/src/policy/requests/mod.rs
+++ b/src/policy/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Carries each request from its arrival to its one final response.
+//! The life of each request, from its arrival to its one final response.
 //!
 //! [`RequestLifecycle`] owns the open requests, their attempts and the retry budget. It decides about retries
 //! and hedged requests, and sends each request's final response.
--- a/src/policy/requests/retry_budget.rs
+++ b/src/policy/requests/retry_budget.rs
@@ -1,28 +1,29 @@
-//! Limits further attempts to a fraction of the first ones, so that retries can't feed an overload.
+//! Limits retries and hedged requests to a fraction of the first attempts, so that they can't prolong an
+//! overload.
 
 use crate::interface::Status;
 
-/// Further attempts that each request's first attempt allows.
+/// Further attempts that the first attempt of a request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Further attempts that may be saved up.
+/// Most further attempts in the budget.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// What a further attempt costs.
+/// Cost of a further attempt.
 const RETRY_COST: f64 = 1.0;
-/// What a retry after a broken connection costs: an overload rejects and delays, it does not break
-/// connections.
+/// Cost of a retry after a broken connection, which is no sign of an overload: an overloaded endpoint rejects
+/// or delays requests.
 const BROKEN_CONNECTION_COST: f64 = 0.25;
 
-/// Why a further attempt is made.
+/// Reason for a further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryReason {
     /// The connection failed or broke.
     BrokenConnection,
-    /// The attempt failed in another way, or is slow.
+    /// The attempt failed in another way or is slow.
     Other,
 }
 
 impl RetryReason {
-    /// Why an attempt that ended like this is followed by another one.
+    /// Returns the reason for a retry after an attempt with this result.
     pub fn after(status: Status) -> Self {
         match status {
             Status::Reset | Status::ConnectFailed => Self::BrokenConnection,
@@ -31,26 +32,26 @@
     }
 }
 
-/// See the [module](self).
+/// Budget for retries and hedged requests of all requests together.
 #[derive(Debug)]
 pub struct RetryBudget {
-    retries: f64,
+    saved_retries: f64,
 }
 
 impl RetryBudget {
-    /// Counts a request's first attempt.
+    /// Adds to the budget for the first attempt of a request.
     pub fn record_request(&mut self) {
-        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
+        self.saved_retries = (self.saved_retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether a further attempt may be made.
+    /// Checks whether a further attempt may be made.
     pub fn allows_retry(&self) -> bool {
-        self.retries >= RETRY_COST
+        self.saved_retries >= RETRY_COST
     }
 
-    /// Pays for a further attempt.
+    /// Deducts the cost of a further attempt.
     pub fn record_retry(&mut self, reason: RetryReason) {
-        self.retries -= match reason {
+        self.saved_retries -= match reason {
             RetryReason::BrokenConnection => BROKEN_CONNECTION_COST,
             RetryReason::Other => RETRY_COST,
         };
@@ -59,7 +60,7 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { retries: MAX_SAVED_RETRIES }
+        Self { saved_retries: MAX_SAVED_RETRIES }
     }
 }
 
--- a/tests/unit/retry_budget.rs
+++ b/tests/unit/retry_budget.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn fresh_budget_allows_ten_retries_and_then_one_per_ten_requests() {
+fn new_budget_allows_ten_retries_and_then_one_per_ten_requests() {
     let mut budget = RetryBudget::default();
     assert_eq!(retries_until_exhausted(&mut budget, RetryReason::Other), 10);
     for _ in 0..9 {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn requests_save_up_no_more_than_ten_retries() {
+fn budget_holds_at_most_ten_retries() {
     let mut budget = RetryBudget::default();
     for _ in 0..1000 {
         budget.record_request();
