--- a/src/node/connection/counter/protocol.rs
+++ b/src/node/connection/counter/protocol.rs
@@ -28,7 +28,7 @@
     let text = std::str::from_utf8(line).ok()?.trim_end_matches('\r');
     match text.split_once(' ') {
         Some(("ok", total)) => {
-            total.parse().ok().filter(|total: &f64| total.is_finite()).map(CounterReply::Total)
+            total.parse().ok().filter(|value: &f64| value.is_finite()).map(CounterReply::Total)
         }
         Some(("error", _)) => Some(CounterReply::NothingAdded),
         None if text == "busy" || text == "error" => Some(CounterReply::NothingAdded),
--- a/src/node/connection/discovery/follower.rs
+++ b/src/node/connection/discovery/follower.rs
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Makes one call. Returns `None` if discovery moved before a response arrived.
+    /// Makes one call. Returns `None` if discovery moved and no complete response arrived from the old address in
+    /// time.
     async fn call(&mut self) -> Option<Result<Bytes, DiscoveryError>> {
         let progress = WriteProgressHandle::default();
         let max_list_bytes = self.options.max_list_bytes;
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -123,8 +123,8 @@
                 idle.remove(&id);
                 continue;
             };
-            let is_same = known.is_some_and(|known| known.incarnation == endpoint.incarnation);
-            if !is_same || !endpoint.is_running {
+            let is_same_incarnation = known.is_some_and(|known| known.incarnation == endpoint.incarnation);
+            if !is_same_incarnation || !endpoint.is_running {
                 idle.remove(&id);
             }
             endpoints.insert(id, endpoint);
@@ -141,11 +141,11 @@
             return None;
         }
         let started = entry.endpoint.started;
-        let same = known.filter(|known| known.address == address && known.started == started);
+        let unchanged = known.filter(|known| known.address == address && known.started == started);
         Some(KnownEndpoint {
             address,
             started,
-            incarnation: same.map_or_else(|| self.new_incarnation(), |known| known.incarnation),
+            incarnation: unchanged.map_or_else(|| self.new_incarnation(), |known| known.incarnation),
             is_running: entry.endpoint.lifecycle == Lifecycle::Running,
         })
     }
@@ -215,8 +215,8 @@
     pub(super) fn time_until_reuse(&self, target: &Target) -> Option<Duration> {
         let idle = self.idle.borrow();
         let connections = idle.get(&target.id)?.iter();
-        let current = connections.filter(|connection| connection.incarnation == target.incarnation);
-        let longest_idle = current.map(|connection| connection.idle_since.elapsed()).max()?;
+        let same_incarnation = connections.filter(|connection| connection.incarnation == target.incarnation);
+        let longest_idle = same_incarnation.map(|connection| connection.idle_since.elapsed()).max()?;
         REUSE_DELAY.checked_sub(longest_idle)
     }
 
@@ -244,8 +244,8 @@
     /// Closes the longest idle connection of all endpoints. Returns false if no connection is idle.
     fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let longest = idle.iter().min_by_key(|(_, connections)| connections[0].idle_since);
-        let Some(id) = longest.map(|(id, _)| id.clone()) else { return false };
+        let longest_idle = idle.iter().min_by_key(|(_, connections)| connections[0].idle_since);
+        let Some(id) = longest_idle.map(|(id, _)| id.clone()) else { return false };
         let Some(connections) = idle.get_mut(&id) else { return false };
         connections.remove(0);
         if connections.is_empty() {
