--- a/src/policy/routing/endpoint_table.rs
+++ b/src/policy/routing/endpoint_table.rs
@@ -88,7 +88,7 @@
         handle
     }
 
-    /// Removes an endpoint, whether or not it is listed.
+    /// Removes an endpoint from the table.
     pub fn remove(&mut self, handle: EntryHandle) {
         self.unlisted.remove(&handle);
         self.ejected.remove(&handle);
--- a/src/policy/routing/health.rs
+++ b/src/policy/routing/health.rs
@@ -37,7 +37,7 @@
     pub unreachable_since: Time,
     /// End of the current or last ejection; 0 before the first one.
     pub ejected_until: Time,
-    /// Duration of the next ejection; 0, which stands for the shortest one, before the first.
+    /// Duration of the next ejection; a value below [`MIN_EJECTION`] counts as that.
     pub next_ejection_duration: Seconds,
 }
 
--- a/src/policy/routing/list_poller.rs
+++ b/src/policy/routing/list_poller.rs
@@ -13,8 +13,8 @@
 const SPREAD_PER_GATEWAY: Seconds = 0.05;
 /// Longest span of the first poll.
 const MAX_START_SPREAD: Seconds = 3.0;
-/// Longest span of the first poll after a failed one: a gateway counts as notified of a change 6 s after
-/// discovery has learned of it.
+/// Longest span of the first poll after a failed one. Short, as a gateway counts as notified of a change 6 s
+/// after discovery has learned of it.
 const MAX_RETRY_SPREAD: Seconds = 1.0;
 /// Longest span while polls keep failing, in a small fleet.
 const MIN_BACKOFF_SPREAD: Seconds = 2.0;
--- a/src/policy/routing/router.rs
+++ b/src/policy/routing/router.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Restores the endpoints from a predecessor's snapshot. They are used once the list names them.
+    /// Restores the endpoints from a predecessor's snapshot. Each is used once the list names it.
     pub fn restore(
         &mut self,
         endpoints: &[EndpointSnapshot],
--- a/src/policy/routing/slow_start.rs
+++ b/src/policy/routing/slow_start.rs
@@ -45,7 +45,12 @@
     /// the warming endpoint has reached. Each gateway starts with a random number of tokens, so that all
     /// gateways together stay below the overload multiple. The limit also applies if all endpoints are
     /// warming up at once.
-    pub fn allowance(&mut self, endpoint: &mut EndpointState, subset_size: usize, context: &Context) -> f64 {
+    pub fn available_tokens(
+        &mut self,
+        endpoint: &mut EndpointState,
+        subset_size: usize,
+        context: &Context,
+    ) -> f64 {
         let now = context.now;
         let settings = &context.settings;
         let mean_rate = self.sent_units.level / SENT_TIME_CONSTANT / subset_size.max(1) as f64;
--- a/src/policy/routing/subset.rs
+++ b/src/policy/routing/subset.rs
@@ -107,17 +107,17 @@
         let size = Self::size(endpoints.usable().len(), context.settings.gateway_count);
         let first_index = (context.rng.f64() * size as f64) as usize;
         let mut best: Option<(f64, EntryHandle)> = None;
-        for i in 0..size {
-            let handle = self.handle_at((first_index + i) % size, endpoints);
+        for offset in 0..size {
+            let handle = self.handle_at((first_index + offset) % size, endpoints);
             if !criteria.accepts(handle, endpoints, now) {
                 continue;
             }
             let endpoint = &mut endpoints[handle];
             let score = score(endpoint, class, criteria.mean_latency, now);
             let is_warm = now >= endpoint.warm_at(context.settings.slow_start_window);
-            let may_be_sent = is_warm || slow_start.allowance(endpoint, size, context) >= 1.0;
+            let may_send = is_warm || slow_start.available_tokens(endpoint, size, context) >= 1.0;
             let is_best = best.is_none_or(|(lowest, _)| score < lowest);
-            if may_be_sent && is_best {
+            if may_send && is_best {
                 best = Some((score, handle));
             }
         }
