--- a/src/node/assembly.rs
+++ b/src/node/assembly.rs
@@ -21,7 +21,7 @@
     pub config: Config,
     /// Driver of the policy.
     pub driver: Rc<Driver>,
-    /// Connections of clients.
+    /// Server of client connections.
     pub clients: Rc<ClientListener>,
     /// Metrics that operators read.
     pub metrics: Rc<Metrics>,
@@ -44,7 +44,7 @@
         let operator_listener = open_operator_listener(&config).await?;
         let budget = DescriptorBudget::new(&config);
         let metrics = Metrics::new(config.options.class_names.len());
-        // Taken out of the configuration, as discovery replaces the list and the memory is freed.
+        // Not kept in the configuration, as lists from discovery replace it.
         let cached_endpoints = std::mem::take(&mut config.cached_endpoints);
         let driver = Driver::new(&config, cached_endpoints, budget.endpoints, &metrics)
             .map_err(NodeError::Settings)?;
--- a/src/node/listener.rs
+++ b/src/node/listener.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 
 /// Lowest descriptor that is not standard input, output or error.
-const FIRST_FREE_DESCRIPTOR: RawFd = 3;
+const FIRST_NON_STANDARD_DESCRIPTOR: RawFd = 3;
 
 /// Takes over the inherited listening socket `fd`. The platform holds the socket as well, so closing it here closes
 /// only this process's copy.
@@ -19,7 +19,7 @@
     // Checked before the takeover: a listener made of a descriptor that another part of the process owns would close
     // it when dropped.
     let link = fs::read_link(format!("/proc/self/fd/{fd}"))?;
-    if fd < FIRST_FREE_DESCRIPTOR || !link.to_string_lossy().starts_with("socket:") {
+    if fd < FIRST_NON_STANDARD_DESCRIPTOR || !link.to_string_lossy().starts_with("socket:") {
         return Err(io::Error::new(io::ErrorKind::InvalidInput, "NODE_ACCEPT_FD is not an inherited socket"));
     }
     // SAFETY: the descriptor is open, as checked above. It was inherited for this use only, so nothing else in the
--- a/src/node/operator_calls.rs
+++ b/src/node/operator_calls.rs
@@ -14,7 +14,7 @@
 pub struct OperatorCalls {
     /// Driver that holds the state of the endpoints.
     pub driver: Rc<Driver>,
-    /// Connections of clients, which tell whether new ones are accepted.
+    /// Server of client connections, which tells whether new ones are accepted.
     pub clients: Rc<ClientListener>,
     /// Metrics that operators read.
     pub metrics: Rc<Metrics>,
--- a/src/node/runtime/counters.rs
+++ b/src/node/runtime/counters.rs
@@ -9,7 +9,7 @@
 
 /// The current client of the counter and the retired ones.
 pub struct CounterClients {
-    /// Time after which the policy no longer awaits a call.
+    /// Time after which the policy no longer awaits the reply to a call.
     call_timeout: Duration,
     /// Client at the current address; `None` if there is no counter.
     current: RefCell<Option<Rc<CounterClient>>>,
@@ -18,13 +18,13 @@
 }
 
 impl CounterClients {
-    /// Creates a client at `address`; `None` if there is no counter.
+    /// Creates the current client, which calls the counter at `address`; no client if that is `None`.
     pub fn new(address: Option<SocketAddr>, call_timeout: Duration) -> Self {
         let current = RefCell::new(address.map(|address| CounterClient::new(address, call_timeout)));
         Self { call_timeout, current, retired: RefCell::default() }
     }
 
-    /// Connects the current client to the counter, so that the first call finds a connection.
+    /// Connects the current client, so that the first call finds a connection.
     pub fn connect(&self, events: &EventSender) {
         if let Some(client) = &*self.current.borrow() {
             client.start(events);
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -120,12 +120,12 @@
         &self.replicas
     }
 
-    /// Returns the numbers of the processes that serve this gateway.
+    /// Returns the counts of the processes that serve this gateway.
     pub fn replica_counts(&self) -> &Rc<ReplicaCounts> {
         &self.replica_counts
     }
 
-    /// Returns the signal that the policy gives to have discovery polled.
+    /// Returns the signal that is notified when the policy requests a poll of discovery.
     pub fn poll_requested(&self) -> &Rc<Notify> {
         &self.poll_requested
     }
--- a/src/node/runtime/maintenance.rs
+++ b/src/node/runtime/maintenance.rs
@@ -48,8 +48,8 @@
     /// returns, as a confirmed change must survive an upgrade.
     ///
     /// # Errors
-    /// No endpoint has this id, or the change could not be stored. A change that is not stored
-    /// is in effect, but lost when the running processes end.
+    /// No endpoint has this id, or the change could not be stored. A change that is not stored is in effect, but lost
+    /// when the running processes end.
     pub fn set_and_store(&self, id: &str, in_maintenance: bool) -> Result<(), MaintenanceError> {
         let endpoint: EndpointId = id.into();
         if !self.policy.is_known_endpoint(&endpoint) {
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -17,20 +17,20 @@
 /// connections accepted last need some time.
 const REQUEST_TIME: Duration = Duration::from_millis(650);
 /// Time from SIGTERM to SIGKILL, without the longest client wait that the platform adds.
-const KILL_TIME_BESIDE_CLIENT_WAIT: Duration = Duration::from_millis(700);
-/// Maximum of the longest client wait that the platform adds to the time from SIGTERM to SIGKILL.
+const KILL_TIME_WITHOUT_CLIENT_WAIT: Duration = Duration::from_millis(700);
+/// Maximum client wait that the platform adds to the time from SIGTERM to SIGKILL.
 const MAX_CLIENT_WAIT: Duration = Duration::from_secs(3);
-/// Time before SIGKILL until which open connections may bring requests if there is a successor.
+/// Time left until SIGKILL when open connections may no longer bring requests, if there is a successor.
 const LAST_REQUESTS_BEFORE_KILL: Duration = Duration::from_millis(1200);
-/// Time before SIGKILL at which requests that are still open are failed.
+/// Time left until SIGKILL when requests that are still open are failed.
 const FAIL_OPEN_BEFORE_KILL: Duration = Duration::from_millis(400);
-/// Time before SIGKILL at which the process ends, even with open connections.
+/// Time left until SIGKILL when the process ends, even with open connections.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(200);
 
 /// Returns the time from SIGTERM to SIGKILL if clients wait for a response for at most `longest_client_wait` seconds.
 pub fn time_to_kill(longest_client_wait: f64) -> Duration {
     let wait = Duration::try_from_secs_f64(longest_client_wait).unwrap_or(MAX_CLIENT_WAIT);
-    KILL_TIME_BESIDE_CLIENT_WAIT + wait.min(MAX_CLIENT_WAIT)
+    KILL_TIME_WITHOUT_CLIENT_WAIT + wait.min(MAX_CLIENT_WAIT)
 }
 
 /// Phase of the shutdown.
