--- a/src/node/hot_restart/peer_connection.rs
+++ b/src/node/hot_restart/peer_connection.rs
@@ -19,7 +19,7 @@
     fn snapshot(&self) -> HandoverSnapshot;
     /// Puts an endpoint into maintenance or takes it out, as an operator has requested of a peer.
     fn set_maintenance(&self, endpoint: &EndpointId, in_maintenance: bool);
-    /// Called when a peer has been added or removed.
+    /// Handles the addition or removal of a peer.
     fn replicas_changed(&self);
 }
 
--- a/src/node/hot_restart/shared_folder.rs
+++ b/src/node/hot_restart/shared_folder.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone)]
 pub struct SharedFolder {
     folder: PathBuf,
-    /// Gateway's name as file names contain it: cut off and without special characters.
+    /// Gateway's name as file names contain it: shortened, and with special characters replaced by `_`.
     sanitized_name: String,
 }
 
