--- a/src/node/hot_restart/predecessor.rs
+++ b/src/node/hot_restart/predecessor.rs
@@ -34,7 +34,7 @@
                 let _ = fs::remove_file(path);
             }
             Err(error) => {
-                warn!(path = %path.display(), reason = %error, "handshake with a predecessor failed")
+                warn!(path = %path.display(), reason = %error, "handshake with predecessor failed")
             }
         }
     }
--- a/src/node/hot_restart/successor.rs
+++ b/src/node/hot_restart/successor.rs
@@ -56,7 +56,7 @@
             continue;
         }
         if let Err(error) = accept(&table, &handler, socket).await {
-            warn!(reason = %error, "handshake with a successor failed");
+            warn!(reason = %error, "handshake with successor failed");
         }
     }
 }
