--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -34,8 +34,8 @@
         self.load_shedder.mean_latency()
     }
 
-    /// Picks an endpoint for an attempt and counts the attempt as in flight. Returns `None` if no endpoint may
-    /// receive it.
+    /// Picks an endpoint for an attempt and counts the attempt as in flight. Returns `None` if no endpoint
+    /// may receive it.
     pub fn start_attempt(&mut self, request: &RequestState, context: &mut Context) -> Option<EndpointId> {
         let endpoint = self.router.start_attempt(request, self.load_shedder.mean_latency(), context)?;
         self.load_shedder.record_start();
--- a/src/policy/load_shedder.rs
+++ b/src/policy/load_shedder.rs
@@ -106,7 +106,8 @@
         // Averages over the same multiple of the response time, however many attempts are in flight.
         let weight = 2.0 * SAMPLE_WEIGHT / (1.0 + self.mean_in_flight);
         self.timeout_share += SAMPLE_WEIGHT * (f64::from(u8::from(timed_out)) - self.timeout_share);
-        // Lost responses are no sign of overload: under overload most responses time out and the rest are slow.
+        // Lost responses are no sign of overload: under overload most responses time out, and the rest are
+        // slow.
         if is_warm && (!timed_out || self.timeout_share > SLOW_TIMEOUT_SHARE) {
             self.latency.record_median(now, elapsed, weight, IDLE_LATENCY_TIME_CONSTANT);
         }
