--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -224,12 +224,12 @@
 #[non_exhaustive]
 pub enum SettingsError {
     /// The number of gateways is 0.
-    #[error("the number of gateways is 0; expected at least 1")]
+    #[error("there are no gateways")]
     NoGateways,
     /// The gateway's index is not below the number of gateways.
-    #[error("the gateway's index is not below the number of gateways")]
+    #[error("this gateway's number is out of range")]
     GatewayIndexOutOfRange,
     /// The named number is negative, infinite or not a number.
-    #[error("{0} must be finite and not negative")]
+    #[error("{0} is not a usable number")]
     InvalidNumber(&'static str),
 }
