--- a/src/node/hot_restart/predecessor.rs
+++ b/src/node/hot_restart/predecessor.rs
@@ -33,9 +33,7 @@
                 // If the file can't be removed, the next process tries again.
                 let _ = fs::remove_file(path);
             }
-            Err(error) => {
-                warn!(path = %path.display(), reason = %error, "handshake with predecessor failed")
-            }
+            Err(error) => warn!(path = %path.display(), reason = %error, "handshake with predecessor failed"),
         }
     }
     let successor_listener = match SuccessorListener::bind(&folder) {
