--- a/src/node/connection/clients/body_upload.rs
+++ b/src/node/connection/clients/body_upload.rs
@@ -97,7 +97,10 @@
                 biased;
                 response = &mut *response_receiver => {
                     let response = response.unwrap_or(FinalResponse::Failed);
-                    return Ok(UploadOutcome::ResponseArrived { response, unread_body_decoder: Some(self.decoder) });
+                    return Ok(UploadOutcome::ResponseArrived {
+                        response,
+                        unread_body_decoder: Some(self.decoder),
+                    });
                 }
                 read = socket.read(MAX_PIECE_BYTES) => read?,
             }
