--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -1,11 +1,11 @@
-//! The tasks that run for the life of the process.
+//! Starts the tasks that run until the process ends.
 
 use crate::node::{
     assembly::Node,
     config::Config,
     connection::{
-        discovery::follower::{self, Discovery},
-        operators::Operators,
+        discovery::follower::{self, DiscoveryOptions},
+        operators::OperatorServer,
     },
     error::EssentialTask,
     hot_restart::{peer_connection, predecessor, successor},
@@ -23,27 +23,27 @@
 };
 use tracing::info;
 
-/// Time between two searches for connections to endpoints that have been idle for too long.
+/// Interval at which connections to endpoints that have been idle for too long are closed.
 const IDLE_CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The essential tasks. They end by a panic only.
+/// Handles of the essential tasks. A task ends only by a panic.
 pub struct Tasks {
     discovery: JoinHandle<()>,
     timers: JoinHandle<()>,
     reload: JoinHandle<()>,
     idle_connections: JoinHandle<()>,
     client_time_limits: JoinHandle<()>,
-    /// The servers of operators and of replica processes; empty where there are no operator calls.
+    /// Servers of operators and of replica processes; empty if there are no operator calls.
     operators_and_replicas: JoinSet<()>,
 }
 
 impl Tasks {
-    /// Takes over from the predecessor, if there is one, and starts the tasks.
+    /// Takes over the state of a predecessor, if there is one, and starts the tasks.
     pub async fn spawn(node: &mut Node, hangup: Signal) -> Self {
         let driver = &node.driver;
         let mut operators_and_replicas = JoinSet::new();
         if node.operator_listener.is_some() {
-            join_replicas(driver, &mut operators_and_replicas).await;
+            connect_to_replicas(driver, &mut operators_and_replicas).await;
         }
         driver.counter_calls().connect();
         let (discovery_address, discovery_addresses) = watch::channel(node.config.discovery);
@@ -62,8 +62,8 @@
         tasks
     }
 
-    /// Waits until one of the tasks ends.
-    pub async fn first_end(&mut self) -> EssentialTask {
+    /// Waits until one of the tasks ends, and returns which one.
+    pub async fn wait_for_first_end(&mut self) -> EssentialTask {
         tokio::select! {
             _ = &mut self.discovery => EssentialTask::Discovery,
             _ = &mut self.timers => EssentialTask::Timers,
@@ -75,11 +75,11 @@
     }
 }
 
-/// Takes over what a predecessor hands over, or else what the last process has stored, and listens for
-/// successors.
-async fn join_replicas(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
+/// Takes over the state of the predecessors and listens for successors. Without a predecessor, restores the endpoints
+/// in maintenance that the last process stored.
+async fn connect_to_replicas(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
     let handler: peer_connection::SharedHandler = driver.clone();
-    let takeover = predecessor::meet_predecessors(driver.replicas(), &handler).await;
+    let takeover = predecessor::connect_to_predecessors(driver.replicas(), &handler).await;
     if !takeover.has_predecessor {
         driver.maintenance().restore();
     }
@@ -93,15 +93,15 @@
     driver: &Rc<Driver>,
     addresses: watch::Receiver<SocketAddr>,
 ) -> JoinHandle<()> {
-    let discovery = Discovery {
+    let options = DiscoveryOptions {
         is_polled: config.options.settings.discovery_is_polled,
         version: config.cached_version,
         max_list_bytes: config.max_list_bytes(),
-        zones: config.options.zones.clone(),
+        zones: config.options.zone_names.clone(),
         poll_requested: driver.poll_requested().clone(),
         sink: driver.clone(),
     };
-    spawn_local(follower::follow(addresses, discovery))
+    spawn_local(follower::follow(addresses, options))
 }
 
 fn serve_operators(node: &Node, listener: TcpListener, tasks: &mut JoinSet<()>) {
@@ -112,9 +112,9 @@
         driver: node.driver.clone(),
         clients: node.clients.clone(),
         metrics: node.metrics.clone(),
-        class_names: node.config.options.classes.clone(),
+        class_names: node.config.options.class_names.clone(),
     });
-    tasks.spawn_local(Rc::new(Operators { operations }).serve(listener));
+    tasks.spawn_local(Rc::new(OperatorServer { operations }).serve(listener));
 }
 
 async fn close_idle_connections(driver: Rc<Driver>) {
--- a/tests/unit/decaying_sum.rs
+++ b/tests/unit/decaying_sum.rs
@@ -7,11 +7,11 @@
     assert_eq!(sum.level, 8.0);
     sum.add(2.0, 1.0, 2.0);
     assert!((sum.level - (8.0 * (-1.0_f64).exp() + 1.0)).abs() < 1e-12, "{}", sum.level);
-    assert_eq!(sum.at, 2.0);
+    assert_eq!(sum.updated_at, 2.0);
 }
 
 #[test]
-fn steady_flow_divided_by_the_time_constant_is_its_rate() {
+fn sum_of_a_steady_flow_is_its_rate_times_the_time_constant() {
     let mut sum = DecayingSum::default();
     for step in 0..10_000 {
         sum.add(f64::from(step) * 0.01, 0.05, 3.0);
