--- a/lab/src/fleet/configuration.rs
+++ b/lab/src/fleet/configuration.rs
@@ -50,7 +50,7 @@
     /// Plans, of which each tenant has one.
     pub plans: Vec<Plan>,
     /// Kinds of usage, of which each tenant has one.
-    pub usage: Vec<Usage>,
+    pub usage: Vec<UsageProfile>,
     /// The faults of the run.
     #[serde(default)]
     pub faults: Vec<Fault>,
@@ -210,14 +210,17 @@
     /// Share of the rejections that are retried.
     pub retry_share: f64,
     /// Backoff before a retry if the rejection has no Retry-After.
-    pub retry_seconds: Seconds,
+    #[serde(rename = "retry_seconds")]
+    pub default_backoff: Seconds,
     /// How long the load balancer continues to send to a gateway that is down.
     #[serde(rename = "front_notices_after")]
     pub failure_detection_delay: Seconds,
     /// Bytes of a request's body, if its class has one.
-    pub request_body: u64,
+    #[serde(rename = "request_body")]
+    pub request_body_bytes: u64,
     /// Bytes of a response's body.
-    pub answer_body: u64,
+    #[serde(rename = "answer_body")]
+    pub response_body_bytes: u64,
 }
 
 /// What happens when a request runs more than once.
@@ -297,7 +300,7 @@
 /// How much of their quota some of the tenants use.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Usage {
+pub struct UsageProfile {
     /// Its name.
     pub name: String,
     /// Its share of the tenants, as a weight.
--- a/lab/src/fleet/discovery.rs
+++ b/lab/src/fleet/discovery.rs
@@ -17,7 +17,7 @@
 
 impl SharedList {
     fn new(endpoints: Vec<Endpoint>, is_complete: bool) -> Self {
-        let bytes = wire_size::list_answer(&endpoints, is_complete);
+        let bytes = wire_size::list_response(&endpoints, is_complete);
         Self { endpoints, bytes }
     }
 }
@@ -60,10 +60,10 @@
 
 impl Discovery {
     /// A service that lists these endpoints.
-    pub fn new(figures: &configuration::Discovery, initial: Vec<Endpoint>) -> Self {
+    pub fn new(configuration: &configuration::Discovery, initial: Vec<Endpoint>) -> Self {
         Self {
-            poll_seconds: 1.0 / figures.calls_per_second,
-            poll_timeout: figures.poll_timeout,
+            poll_seconds: 1.0 / configuration.calls_per_second,
+            poll_timeout: configuration.poll_timeout,
             idle_at: 0.0,
             initial,
             changes: Vec::new(),
@@ -82,7 +82,7 @@
     }
 
     /// Records the change of an entry, and returns it as it is sent to the gateways.
-    pub fn change(&mut self, now: Time, endpoint: Endpoint) -> Arc<SharedList> {
+    pub fn record_change(&mut self, now: Time, endpoint: Endpoint) -> Arc<SharedList> {
         self.changes.push(Change { at: now, endpoint: endpoint.clone() });
         Arc::new(SharedList::new(vec![endpoint], false))
     }
--- a/lab/src/fleet/endpoints.rs
+++ b/lab/src/fleet/endpoints.rs
@@ -24,7 +24,7 @@
 
 /// What an endpoint does with an attempt that has reached it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reception {
+pub enum AttemptAdmission {
     /// Its service starts at once.
     Started,
     /// It waits for a slot.
@@ -53,14 +53,14 @@
 
 impl SimulatedEndpoint {
     /// An endpoint that serves.
-    pub fn new(figures: &configuration::Endpoints, zone: u32, started: Time) -> Self {
+    pub fn new(configuration: &configuration::Endpoints, zone: u32, started: Time) -> Self {
         Self {
             zone,
             started,
             state: EndpointState::Serving,
             incarnation: 0,
-            slots: figures.slots as usize,
-            max_queued: figures.queue as usize,
+            slots: configuration.slots as usize,
+            max_queued: configuration.queue as usize,
             in_service: Vec::new(),
             queue: VecDeque::new(),
         }
@@ -77,20 +77,20 @@
     }
 
     /// Receives an attempt.
-    pub fn receive(&mut self, attempt: AttemptKey) -> Reception {
+    pub fn receive(&mut self, attempt: AttemptKey) -> AttemptAdmission {
         match self.state {
-            EndpointState::Draining => Reception::Rejected(Status::Rejected),
-            EndpointState::Down | EndpointState::Gone => Reception::Rejected(Status::ConnectFailed),
-            EndpointState::Hung | EndpointState::Unreachable => Reception::NoResponse,
+            EndpointState::Draining => AttemptAdmission::Rejected(Status::Rejected),
+            EndpointState::Down | EndpointState::Gone => AttemptAdmission::Rejected(Status::ConnectFailed),
+            EndpointState::Hung | EndpointState::Unreachable => AttemptAdmission::NoResponse,
             EndpointState::Serving if self.in_service.len() < self.slots => {
                 self.in_service.push(attempt);
-                Reception::Started
+                AttemptAdmission::Started
             }
             EndpointState::Serving if self.queue.len() < self.max_queued => {
                 self.queue.push_back(attempt);
-                Reception::Queued
+                AttemptAdmission::Queued
             }
-            EndpointState::Serving => Reception::Rejected(Status::Rejected),
+            EndpointState::Serving => AttemptAdmission::Rejected(Status::Rejected),
         }
     }
 
@@ -99,13 +99,13 @@
         self.in_service.retain(|key| *key != attempt);
     }
 
-    /// Moves the next queued attempt that is still wanted into a free slot.
-    pub fn start_next(&mut self, is_wanted: impl Fn(AttemptKey) -> bool) -> Option<AttemptKey> {
+    /// Moves the next queued attempt that is still awaited into a free slot.
+    pub fn start_next(&mut self, is_awaited: impl Fn(AttemptKey) -> bool) -> Option<AttemptKey> {
         if self.in_service.len() >= self.slots {
             return None;
         }
         while let Some(attempt) = self.queue.pop_front() {
-            if is_wanted(attempt) {
+            if is_awaited(attempt) {
                 self.in_service.push(attempt);
                 return Some(attempt);
             }
@@ -129,12 +129,12 @@
     }
 
     /// Its present capacity during slow start, as a share of its full capacity.
-    pub fn capacity(&self, now: Time, figures: &configuration::Endpoints) -> f64 {
+    pub fn capacity(&self, now: Time, configuration: &configuration::Endpoints) -> f64 {
         let age = now - self.started;
-        if self.started <= 0.0 || age >= figures.slow_start_window {
+        if self.started <= 0.0 || age >= configuration.slow_start_window {
             return 1.0;
         }
-        let initial_share = figures.slow_start_initial_share;
-        initial_share + (1.0 - initial_share) * age / figures.slow_start_window
+        let initial_share = configuration.slow_start_initial_share;
+        initial_share + (1.0 - initial_share) * age / configuration.slow_start_window
     }
 }
--- a/lab/src/fleet/gateways.rs
+++ b/lab/src/fleet/gateways.rs
@@ -133,30 +133,30 @@
     settings
 }
 
-fn policy_class(figures: &configuration::Class) -> Class {
+fn policy_class(configuration: &configuration::Class) -> Class {
     let mut class = Class::default();
-    class.latency_objective = figures.latency_objective;
-    class.late_weight_share = figures.late_weight_share;
-    class.effect = match figures.repeat_effect {
+    class.latency_objective = configuration.latency_objective;
+    class.late_weight_share = configuration.late_weight_share;
+    class.effect = match configuration.repeat_effect {
         RepeatEffect::Idempotent => Effect::Idempotent,
         RepeatEffect::IdempotencyKey => {
-            Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: figures.idempotency_window }
+            Effect::IdempotencyKey { scope: IdempotencyScope::Zone, window: configuration.idempotency_window }
         }
         RepeatEffect::AtMostOnce => Effect::AtMostOnce,
     };
     class
 }
 
-fn policy_plan(figures: &configuration::Plan) -> Plan {
+fn policy_plan(configuration: &configuration::Plan) -> Plan {
     let mut plan = Plan::default();
-    plan.rate = figures.rate;
-    plan.burst = figures.burst;
-    plan.max_concurrent_attempts = figures.max_concurrent_attempts;
-    plan.priority_weight = figures.priority_weight;
-    plan.over_quota_weight_share = figures.over_quota_weight_share;
-    plan.over_quota_cost_share = figures.over_quota_cost_share;
-    plan.ceiling_rate = figures.ceiling_rate;
-    plan.ceiling_burst = figures.ceiling_burst;
+    plan.rate = configuration.rate;
+    plan.burst = configuration.burst;
+    plan.max_concurrent_attempts = configuration.max_concurrent_attempts;
+    plan.priority_weight = configuration.priority_weight;
+    plan.over_quota_weight_share = configuration.over_quota_weight_share;
+    plan.over_quota_cost_share = configuration.over_quota_cost_share;
+    plan.ceiling_rate = configuration.ceiling_rate;
+    plan.ceiling_burst = configuration.ceiling_burst;
     plan
 }
 
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -286,7 +286,7 @@
     /// Time from the first submission to the response that served, in microseconds.
     pub latency: Histogram<u64>,
     /// Most requests that were open in the fleet at once.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// The run, second by second.
     pub seconds: Vec<SecondCounts>,
 }
@@ -305,7 +305,7 @@
             fleet: FleetCounts::default(),
             traffic: RoleTraffic { gateways: vec![Traffic::default(); gateway_count], ..Default::default() },
             latency: latency.expect("constant bounds are usable"),
-            max_open: 0,
+            max_open_requests: 0,
             seconds: Vec::new(),
         }
     }
--- a/lab/src/fleet/randomness.rs
+++ b/lab/src/fleet/randomness.rs
@@ -58,8 +58,8 @@
 
 /// A share of `0..count`, drawn without repeats, in rising order.
 pub fn sample(generator: &mut ChaCha8Rng, count: usize, share: f64) -> Vec<usize> {
-    let amount = (count as f64 * share).round() as usize;
-    let mut chosen = index::sample(generator, count, amount.min(count)).into_vec();
-    chosen.sort_unstable();
-    chosen
+    let sample_size = (count as f64 * share).round() as usize;
+    let mut indices = index::sample(generator, count, sample_size.min(count)).into_vec();
+    indices.sort_unstable();
+    indices
 }
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -261,7 +261,7 @@
     let count = gateways.len().max(1) as f64;
     let endpoint_counts: Vec<_> = gateways.iter().map(|g| g.endpoint_counts(result.end)).collect();
     StateRecord {
-        fleet_open_max: result.measures.max_open,
+        fleet_open_max: result.measures.max_open_requests,
         gateway_open_max: gateways.iter().map(SimulatedGateway::max_open_requests).max().unwrap_or(0),
         tenants_mean: gateways.iter().map(SimulatedGateway::tenant_count).sum::<usize>() as f64 / count,
         tenants_max: gateways.iter().map(SimulatedGateway::tenant_count).max().unwrap_or(0),
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -30,9 +30,9 @@
 pub struct ClientModel {
     tenants: Vec<Tenant>,
     /// Draws when demands arise and what they are.
-    arrivals: ChaCha8Rng,
+    arrival_generator: ChaCha8Rng,
     /// Draws routes and the decisions of clients.
-    choices: ChaCha8Rng,
+    choice_generator: ChaCha8Rng,
 }
 
 impl ClientModel {
@@ -40,8 +40,8 @@
     pub fn new(context: &Context, seed: u64) -> Self {
         Self {
             tenants: tenants::draw(&context.configuration, &mut stream(seed, Stream::Tenants)),
-            arrivals: stream(seed, Stream::Arrivals),
-            choices: stream(seed, Stream::Clients),
+            arrival_generator: stream(seed, Stream::Arrivals),
+            choice_generator: stream(seed, Stream::Clients),
         }
     }
 
@@ -54,7 +54,7 @@
 
     fn schedule_arrival(&mut self, context: &mut Context, tenant: usize) {
         let last = RUN_START + context.configuration.seconds;
-        let next = self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrivals);
+        let next = self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrival_generator);
         if let Some(at) = next.filter(|at| *at < last) {
             context.schedule_at(at, ScheduledEvent::ArrivalCandidate(tenant));
         }
@@ -63,7 +63,7 @@
     /// The arrival process of a tenant fires. Returns the demand that arises, if one does.
     pub fn arrival_candidate(&mut self, context: &mut Context, tenant: usize) -> Option<Demand> {
         self.schedule_arrival(context, tenant);
-        if !self.tenants[tenant].accepts_candidate(context.now(), &mut self.arrivals) {
+        if !self.tenants[tenant].accepts_candidate(context.now(), &mut self.arrival_generator) {
             return None;
         }
         let demand = self.draw_demand(context, tenant);
@@ -74,7 +74,7 @@
     fn draw_demand(&mut self, context: &Context, tenant: usize) -> Demand {
         let configuration = &context.configuration;
         let now = context.now();
-        let generator = &mut self.arrivals;
+        let generator = &mut self.arrival_generator;
         let class_shares: Vec<f64> = configuration.classes.iter().map(|class| class.share).collect();
         let class_index = weighted_index(generator, &class_shares);
         let units = f64::from(generator.random_range(1..=configuration.tenants.max_units));
@@ -100,7 +100,7 @@
     fn route(&mut self, context: &Context, gateways: &GatewayFleet, tenant: usize) -> Route {
         let detection_delay = context.configuration.clients.failure_detection_delay;
         let tenant = &self.tenants[tenant];
-        let start = weighted_index(&mut self.choices, &tenant.gateway_weights);
+        let start = weighted_index(&mut self.choice_generator, &tenant.gateway_weights);
         let gateway_count = tenant.gateway_count as usize;
         for step in 0..gateway_count {
             let offset = (start + step) % gateway_count;
@@ -128,7 +128,7 @@
         };
         let number = requests.open(demand, gateway);
         context.measures.submissions += 1;
-        context.measures.max_open = context.measures.max_open.max(requests.len());
+        context.measures.max_open_requests = context.measures.max_open_requests.max(requests.len());
         let bytes = self.request_bytes(context, &demand);
         context.measures.traffic.gateways[gateway].count(bytes);
         gateways.request_opened(gateway, demand.tenant);
@@ -162,7 +162,7 @@
     }
 
     /// Draws on the true quota and the true ceiling when the first attempt for a submission is forwarded.
-    pub fn draw_on_quota(&mut self, context: &mut Context, demand: &Demand) {
+    pub fn charge_quota(&mut self, context: &mut Context, demand: &Demand) {
         let now = context.now();
         let tenant = &mut self.tenants[demand.tenant];
         let is_within_quota = tenant.forwarded_quota.try_take(now, demand.units);
@@ -178,10 +178,10 @@
     /// A client gets a rejection, and comes back later or gives up.
     pub fn rejected(&mut self, context: &mut Context, demand: Demand, retry_after: Seconds) {
         let clients = &context.configuration.clients;
-        let backoff = if retry_after > 0.0 { retry_after } else { clients.retry_seconds };
+        let backoff = if retry_after > 0.0 { retry_after } else { clients.default_backoff };
         let will_retry = demand.retries < clients.max_retries
             && context.now() + backoff < demand.deadline
-            && self.choices.random::<f64>() < clients.retry_share;
+            && self.choice_generator.random::<f64>() < clients.retry_share;
         if will_retry {
             let retry = Box::new(Demand { retries: demand.retries + 1, ..demand });
             context.schedule_after(backoff, ScheduledEvent::ClientRetry(retry));
--- a/lab/src/fleet/simulation/context.rs
+++ b/lab/src/fleet/simulation/context.rs
@@ -75,7 +75,7 @@
             class: &class.name,
             repeat_effect: class.repeat_effect,
             remaining: demand.deadline - self.now(),
-            body_bytes: self.configuration.clients.request_body,
+            body_bytes: self.configuration.clients.request_body_bytes,
         }
     }
 }
--- a/lab/src/fleet/simulation/counter_service.rs
+++ b/lab/src/fleet/simulation/counter_service.rs
@@ -20,7 +20,7 @@
     calls: Vec<CounterCalls>,
     /// By zone, whether its gateways are cut off from the counter.
     zone_is_cut: Vec<bool>,
-    lost_entries: ChaCha8Rng,
+    entry_loss_generator: ChaCha8Rng,
 }
 
 impl CounterService {
@@ -33,7 +33,7 @@
             counter: configuration.counter.as_ref().map(Counter::new),
             calls,
             zone_is_cut: vec![false; configuration.topology.zones as usize],
-            lost_entries: stream(seed, Stream::Counter),
+            entry_loss_generator: stream(seed, Stream::Counter),
         }
     }
 
@@ -175,7 +175,7 @@
     /// Makes the counter lose a share of its entries.
     pub fn lose_entries(&mut self, context: &mut Context, share: f64) {
         if let Some(counter) = &mut self.counter {
-            let lost = counter.lose_entries(share, &mut self.lost_entries);
+            let lost = counter.lose_entries(share, &mut self.entry_loss_generator);
             context.measures.counter_calls.entries_lost += lost as u64;
         }
     }
--- a/lab/src/fleet/simulation/discovery_service.rs
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -31,15 +31,15 @@
 impl DiscoveryService {
     /// A service that lists these endpoints, without watches.
     pub fn new(context: &Context, seed: u64, endpoints: Vec<Endpoint>) -> Self {
-        let figures = &context.configuration.discovery;
-        let mut delays = stream(seed, Stream::Discovery);
+        let discovery = &context.configuration.discovery;
+        let mut delay_generator = stream(seed, Stream::Discovery);
         let watch = |_| Watch {
-            propagation_delay: uniform(&mut delays, figures.propagation_delay),
+            propagation_delay: uniform(&mut delay_generator, discovery.propagation_delay),
             watcher: None,
             last_response_at: context.now(),
         };
         let watches = (0..context.configuration.gateways.count).map(watch).collect();
-        Self { discovery: Discovery::new(figures, endpoints), watches }
+        Self { discovery: Discovery::new(discovery, endpoints), watches }
     }
 
     /// A gateway starts with the list that last reached its machine, which may be stale. Unless lists have to be
@@ -54,7 +54,7 @@
         context.schedule_at(now, ScheduledEvent::EndpointListArrived { to: gateway, kind, list });
         if !context.discovery_is_polled() {
             self.watches[gateway.gateway].watcher = Some(gateway);
-            count_message(context, gateway.gateway, wire_size::list_call());
+            count_message(context, gateway.gateway, wire_size::list_request());
             self.send_complete_list(context, gateway, propagation_delay);
         }
     }
@@ -75,7 +75,7 @@
 
     /// A gateway polls for the endpoint list.
     pub fn poll(&mut self, context: &mut Context, from: GatewayAddress) {
-        count_message(context, from.gateway, wire_size::list_call());
+        count_message(context, from.gateway, wire_size::list_request());
         if context.discovery_is_polled() {
             context.schedule_after(poll_delay(context), ScheduledEvent::PollArrived(from));
         } else {
@@ -88,10 +88,10 @@
     pub fn poll_arrived(&mut self, context: &mut Context, from: GatewayAddress) {
         match self.discovery.poll(context.now()) {
             PollResult::Answered(at) => {
-                context.schedule_at(at, ScheduledEvent::PollAnswered { to: from, succeeded: true });
+                context.schedule_at(at, ScheduledEvent::PollCompleted { to: from, succeeded: true });
             }
             PollResult::TimedOut(at) => {
-                context.schedule_at(at, ScheduledEvent::PollAnswered { to: from, succeeded: false });
+                context.schedule_at(at, ScheduledEvent::PollCompleted { to: from, succeeded: false });
             }
         }
     }
@@ -118,14 +118,14 @@
             self.count_idle_watches(context, to.gateway);
             count_message(context, to.gateway, list.bytes);
             let hold = context.configuration.discovery.watch_hold;
-            count_message(context, to.gateway, wire_size::watch_call(self.discovery.version(), hold));
+            count_message(context, to.gateway, wire_size::watch_request(self.discovery.version(), hold));
         }
         Event::EndpointsUpdated { kind, endpoints: list.endpoints.clone() }
     }
 
     /// Publishes the change of a list entry to all gateways that watch.
     pub fn publish(&mut self, context: &mut Context, change: Endpoint) {
-        let list = self.discovery.change(context.now(), change);
+        let list = self.discovery.record_change(context.now(), change);
         context.measures.fleet.list_changes += 1;
         for watch in &self.watches {
             if let Some(to) = watch.watcher {
@@ -148,11 +148,11 @@
         if watch.watcher.is_none() {
             return;
         }
-        let call_bytes = wire_size::watch_call(self.discovery.version(), hold);
-        let answer_bytes = wire_size::list_answer(&[], false);
+        let request_bytes = wire_size::watch_request(self.discovery.version(), hold);
+        let response_bytes = wire_size::list_response(&[], false);
         for _ in 0..(idle / hold) as u64 {
-            count_message(context, gateway, call_bytes);
-            count_message(context, gateway, answer_bytes);
+            count_message(context, gateway, request_bytes);
+            count_message(context, gateway, response_bytes);
         }
     }
 
--- a/lab/src/fleet/simulation/endpoint_fleet.rs
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -3,7 +3,7 @@
 use super::context::Context;
 use super::event::ScheduledEvent;
 use crate::fleet::configuration::Configuration;
-use crate::fleet::endpoints::{EndpointState, Reception, SimulatedEndpoint};
+use crate::fleet::endpoints::{AttemptAdmission, EndpointState, SimulatedEndpoint};
 use crate::fleet::requests::{AttemptKey, RequestTable};
 use crate::fleet::wire_size;
 use oliverack::{Endpoint, EndpointId, Lifecycle, Status};
@@ -82,15 +82,17 @@
         endpoint: usize,
     ) {
         let Some(demand) = requests.demand_of_attempt_in_flight(attempt) else { return };
-        let reception = self.endpoints[endpoint].receive(attempt);
+        let admission = self.endpoints[endpoint].receive(attempt);
         if self.endpoints[endpoint].reads_messages() {
             let bytes = wire_size::attempt(&context.request_head(&demand));
             context.measures.traffic.endpoints.count(bytes);
         }
-        match reception {
-            Reception::Started => self.start_service(context, attempt, endpoint, demand.service_seconds),
-            Reception::Rejected(status) => self.respond(context, requests, attempt, endpoint, status),
-            Reception::Queued | Reception::NoResponse => {}
+        match admission {
+            AttemptAdmission::Started => {
+                self.start_service(context, attempt, endpoint, demand.service_seconds)
+            }
+            AttemptAdmission::Rejected(status) => self.respond(context, requests, attempt, endpoint, status),
+            AttemptAdmission::Queued | AttemptAdmission::NoResponse => {}
         }
     }
 
@@ -117,8 +119,8 @@
         self.endpoints[endpoint].finish(attempt);
         self.respond(context, requests, attempt, endpoint, Status::Ok);
         // A gateway that has given an attempt up has closed its connection, so the endpoint skips it.
-        let is_wanted = |key| requests.is_in_flight(key);
-        if let Some(next) = self.endpoints[endpoint].start_next(is_wanted) {
+        let is_awaited = |key| requests.is_in_flight(key);
+        if let Some(next) = self.endpoints[endpoint].start_next(is_awaited) {
             let seconds = requests.get(next.request).map_or(0.0, |request| request.demand.service_seconds);
             self.start_service(context, next, endpoint, seconds);
         }
@@ -133,7 +135,9 @@
         endpoint: usize,
         status: Status,
     ) {
-        if let Some(bytes) = wire_size::attempt_response(status, context.configuration.clients.answer_body) {
+        if let Some(bytes) =
+            wire_size::attempt_response(status, context.configuration.clients.response_body_bytes)
+        {
             if !requests.is_in_flight(attempt) {
                 return;
             }
--- a/lab/src/fleet/simulation/event.rs
+++ b/lab/src/fleet/simulation/event.rs
@@ -76,7 +76,7 @@
     /// A poll for the endpoint list reaches discovery.
     PollArrived(GatewayAddress),
     /// Discovery has finished with a poll.
-    PollAnswered {
+    PollCompleted {
         /// The gateway that polled.
         to: GatewayAddress,
         /// False if the poll timed out in the queue.
--- a/lab/src/fleet/simulation/gateway_fleet.rs
+++ b/lab/src/fleet/simulation/gateway_fleet.rs
@@ -13,7 +13,7 @@
 pub struct GatewayFleet {
     gateways: Vec<SimulatedGateway>,
     /// Draws the seed of each policy.
-    policy_seeds: ChaCha8Rng,
+    policy_seed_generator: ChaCha8Rng,
     processor_times: ProcessorTimes,
 }
 
@@ -23,14 +23,14 @@
     /// # Errors
     /// The policy rejects its settings.
     pub fn new(configuration: &Configuration, seed: u64) -> Result<Self, SettingsError> {
-        let mut policy_seeds = stream(seed, Stream::Policies);
+        let mut policy_seed_generator = stream(seed, Stream::Policies);
         let mut gateways = Vec::new();
         for index in 0..configuration.gateways.count {
             let zone = index % configuration.topology.zones;
             let settings = policy_settings(configuration, index, zone);
-            gateways.push(SimulatedGateway::new(settings, policy_seeds.random())?);
+            gateways.push(SimulatedGateway::new(settings, policy_seed_generator.random())?);
         }
-        Ok(Self { gateways, policy_seeds, processor_times: ProcessorTimes::new() })
+        Ok(Self { gateways, policy_seed_generator, processor_times: ProcessorTimes::new() })
     }
 
     /// How many gateways there are, up or down.
@@ -82,7 +82,7 @@
     ) -> Result<GatewayAddress, SettingsError> {
         let zone = self.gateways[gateway].zone;
         let settings = policy_settings(configuration, gateway as u32, zone);
-        self.gateways[gateway].start(settings, self.policy_seeds.random())?;
+        self.gateways[gateway].start(settings, self.policy_seed_generator.random())?;
         Ok(self.address(gateway))
     }
 
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -157,7 +157,7 @@
             }
             ScheduledEvent::PolicyTimer { to, token } => self.notify(to, Event::Timer { token }),
             ScheduledEvent::PollArrived(from) => self.discovery.poll_arrived(&mut self.context, from),
-            ScheduledEvent::PollAnswered { to, succeeded } => self.poll_answered(to, succeeded),
+            ScheduledEvent::PollCompleted { to, succeeded } => self.poll_completed(to, succeeded),
             ScheduledEvent::EndpointListArrived { to, kind, list } => {
                 if self.gateways.is_running(to) {
                     let event = self.discovery.list_arrived(&mut self.context, to, kind, &list);
@@ -165,7 +165,7 @@
                 }
             }
             ScheduledEvent::GatewayStarted(gateway) => self.start_gateway(gateway)?,
-            ScheduledEvent::Incident(incident) => self.begin_incident(incident),
+            ScheduledEvent::Incident(incident) => self.apply_incident(incident),
             ScheduledEvent::DeferredNotification { to, event } => self.notify(to, *event),
         }
         Ok(())
@@ -219,7 +219,7 @@
             return self.context.schedule_at(now, ScheduledEvent::AttemptEnded { attempt, status });
         };
         if attempt.is_first() {
-            self.clients.draw_on_quota(&mut self.context, &started.demand);
+            self.clients.charge_quota(&mut self.context, &started.demand);
         }
         self.context.measures.attempts.sent += 1;
         self.context.measures.second(now).attempts += 1;
@@ -238,7 +238,7 @@
         let now = self.context.now();
         let Some(ended) = self.requests.end_attempt(key) else { return };
         self.context.measures.attempts.count(status);
-        let body_bytes = self.context.configuration.clients.answer_body;
+        let body_bytes = self.context.configuration.clients.response_body_bytes;
         if let Some(bytes) = wire_size::attempt_response(status, body_bytes) {
             self.context.measures.traffic.gateways[ended.gateway].count(bytes);
         }
@@ -267,7 +267,7 @@
     }
 
     fn serve(&mut self, number: u64) {
-        let bytes = wire_size::served(self.context.configuration.clients.answer_body);
+        let bytes = wire_size::served(self.context.configuration.clients.response_body_bytes);
         if let Some(demand) = self.answer(number, bytes) {
             record_served(&mut self.context, &demand);
         }
@@ -302,7 +302,7 @@
         }
     }
 
-    fn poll_answered(&mut self, to: GatewayAddress, succeeded: bool) {
+    fn poll_completed(&mut self, to: GatewayAddress, succeeded: bool) {
         if !self.gateways.is_running(to) {
             return;
         }
@@ -314,7 +314,7 @@
         }
     }
 
-    fn begin_incident(&mut self, incident: Incident) {
+    fn apply_incident(&mut self, incident: Incident) {
         match incident {
             Incident::RestartGateway(gateway) => self.restart_gateway(gateway),
             Incident::LoseZone(zone) => self.lose_zone(zone),
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -22,7 +22,7 @@
     writeln!(f, "  {name:<NAME_WIDTH$} {value}")
 }
 
-fn number(value: f64) -> String {
+fn three_decimals(value: f64) -> String {
     format!("{value:.3}")
 }
 
@@ -47,8 +47,8 @@
         Record::PerSubmission(per_submission) => {
             writeln!(f, "per try at a gatekeeper")?;
             row(f, "tries", per_submission.submissions)?;
-            row(f, "attempts a try", number(per_submission.attempts))?;
-            row(f, "counter calls a try", number(per_submission.counter_calls))
+            row(f, "attempts a try", three_decimals(per_submission.attempts))?;
+            row(f, "counter calls a try", three_decimals(per_submission.counter_calls))
         }
         Record::Fleet(fleet) => {
             writeln!(f, "fleet")?;
@@ -84,10 +84,10 @@
 
 fn write_latency(f: &mut fmt::Formatter<'_>, latency: &LatencyRecord) -> fmt::Result {
     writeln!(f, "latency of served requests from their first try on, ms")?;
-    row(f, "mean", number(latency.mean))?;
+    row(f, "mean", three_decimals(latency.mean))?;
     row(f, "p50 / p90", format!("{:.3} / {:.3}", latency.p50, latency.p90))?;
     row(f, "p99 / p99.9", format!("{:.3} / {:.3}", latency.p99, latency.p999))?;
-    row(f, "max", number(latency.max))
+    row(f, "max", three_decimals(latency.max))
 }
 
 fn write_in_quota_weight(f: &mut fmt::Formatter<'_>, weight: &InQuotaWeight) -> fmt::Result {
@@ -137,7 +137,7 @@
         format!("{:.1} / {:.1}", counts.weight_over_quota, counts.overrun_cost),
     )?;
     row(f, "ceilings / broken", format!("{} / {}", quotas.ceilings, quotas.ceilings_exceeded))?;
-    row(f, "lowest ceiling, share of its burst", number(quotas.lowest_ceiling))
+    row(f, "lowest ceiling, share of its burst", three_decimals(quotas.lowest_ceiling))
 }
 
 fn write_state(f: &mut fmt::Formatter<'_>, state: &StateRecord) -> fmt::Result {
@@ -154,7 +154,7 @@
 fn write_processor(f: &mut fmt::Formatter<'_>, processor: &ProcessorRecord) -> fmt::Result {
     let policy = &processor.policy;
     writeln!(f, "processor time of the policy, differs from run to run")?;
-    row(f, "a request and its outcomes, us", number(policy.microseconds_per_request))?;
+    row(f, "a request and its outcomes, us", three_decimals(policy.microseconds_per_request))?;
     for times in &policy.by_event {
         let value = format!(
             "{:>10} x  mean {:.2}  p99 {:.2}  max {:.2} us",
--- a/lab/src/fleet/tenants.rs
+++ b/lab/src/fleet/tenants.rs
@@ -1,6 +1,6 @@
 //! The tenants: when they submit demands, and their true quotas, as an observer of the whole fleet would account them.
 
-use super::configuration::{self, Configuration, Usage};
+use super::configuration::{self, Configuration, UsageProfile};
 use super::event_queue::RUN_START;
 use super::randomness::{exponential, uniform, weighted_index};
 use oliverack::{CustomerId, Seconds, Time};
@@ -139,18 +139,18 @@
     configuration: &Configuration,
     number: u32,
     plan_index: usize,
-    usage: &Usage,
+    usage: &UsageProfile,
     generator: &mut ChaCha8Rng,
 ) -> Tenant {
-    let figures = &configuration.tenants;
+    let tenants = &configuration.tenants;
     let plan: &configuration::Plan = &configuration.plans[plan_index];
-    let gateways = figures.gateways_per_tenant;
+    let gateways = tenants.gateways_per_tenant;
     let gateway_count = generator.random_range(gateways.min..=gateways.max);
     let first_gateway = generator.random_range(0..configuration.gateways.count);
-    let skew = uniform(generator, figures.skew);
+    let skew = uniform(generator, tenants.skew);
     let mut gateway_weights: Vec<f64> = (1..=gateway_count).map(|n| f64::from(n).powf(-skew)).collect();
     gateway_weights.rotate_left(generator.random_range(0..gateway_count) as usize);
-    let mean_units = f64::from(1 + figures.max_units) / 2.0;
+    let mean_units = f64::from(1 + tenants.max_units) / 2.0;
     let spikes = Spikes {
         factor: usage.spike_factor,
         duration: usage.spike_seconds,
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -26,51 +26,51 @@
 
 /// A value that no run can have.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-#[error("{key} is {value}, but must be {wanted}")]
+#[error("{key} is {value}, but must be {expected}")]
 pub struct InvalidValue {
     /// The key in the file.
     pub key: &'static str,
     /// What it holds.
     pub value: f64,
     /// What it must be.
-    pub wanted: &'static str,
+    pub expected: &'static str,
 }
 
 /// The result of a check.
 type Check = Result<(), InvalidValue>;
 
-fn require(holds: bool, key: &'static str, value: f64, wanted: &'static str) -> Check {
-    if holds { Ok(()) } else { Err(InvalidValue { key, value, wanted }) }
+fn require(holds: bool, key: &'static str, value: f64, expected: &'static str) -> Check {
+    if holds { Ok(()) } else { Err(InvalidValue { key, value, expected }) }
 }
 
-fn count(key: &'static str, value: u32, max: u32) -> Check {
+fn check_count(key: &'static str, value: u32, max: u32) -> Check {
     require((1..=max).contains(&value), key, f64::from(value), "from 1 to the limit (see --help)")
 }
 
-fn positive(key: &'static str, value: f64) -> Check {
+fn check_positive(key: &'static str, value: f64) -> Check {
     require(value > 0.0 && value <= MAX_VALUE, key, value, "above 0 and at most 1e9")
 }
 
-fn not_negative(key: &'static str, value: f64) -> Check {
+fn check_not_negative(key: &'static str, value: f64) -> Check {
     require((0.0..=MAX_VALUE).contains(&value), key, value, "from 0 to 1e9")
 }
 
-fn share(key: &'static str, value: f64) -> Check {
+fn check_share(key: &'static str, value: f64) -> Check {
     require((0.0..=1.0).contains(&value), key, value, "from 0 to 1")
 }
 
-fn seconds(key: &'static str, value: f64) -> Check {
+fn check_seconds(key: &'static str, value: f64) -> Check {
     require((0.0..=MAX_SECONDS).contains(&value), key, value, "from 0 to 3600 seconds")
 }
 
-fn range(key: &'static str, range: Range<f64>) -> Check {
-    not_negative(key, range.min)?;
-    not_negative(key, range.max)?;
+fn check_range(key: &'static str, range: Range<f64>) -> Check {
+    check_not_negative(key, range.min)?;
+    check_not_negative(key, range.max)?;
     require(range.min <= range.max, key, range.min, "a range whose first end is not above its second")
 }
 
-fn weights(key: &'static str, mut values: impl Iterator<Item = f64>) -> Check {
-    let sum = values.try_fold(0.0, |sum, value| not_negative(key, value).map(|()| sum + value))?;
+fn check_weights(key: &'static str, mut values: impl Iterator<Item = f64>) -> Check {
+    let sum = values.try_fold(0.0, |sum, value| check_not_negative(key, value).map(|()| sum + value))?;
     require(sum > 0.0, key, sum, "above 0 in the sum of the entries")
 }
 
@@ -80,7 +80,7 @@
 /// The first value that no run can have.
 pub fn check(configuration: &Configuration) -> Check {
     require(configuration.seconds > 0.0, "seconds", configuration.seconds, "above 0")?;
-    seconds("seconds", configuration.seconds)?;
+    check_seconds("seconds", configuration.seconds)?;
     check_topology(configuration)?;
     check_endpoints(configuration)?;
     check_services(configuration)?;
@@ -95,103 +95,104 @@
 
 fn check_topology(configuration: &Configuration) -> Check {
     let topology = &configuration.topology;
-    count("topology.zones", topology.zones, MAX_ZONES)?;
-    count("topology.regions", topology.regions, topology.zones)?;
-    seconds("topology.delay_in_zone", topology.delay_in_zone)?;
-    seconds("topology.delay_in_region", topology.delay_in_region)?;
-    seconds("topology.delay_between_regions", topology.delay_between_regions)?;
-    count("gatekeepers.count", configuration.gateways.count, MAX_GATEWAYS)?;
-    seconds("gatekeepers.restart_seconds", configuration.gateways.restart_seconds)?;
+    check_count("topology.zones", topology.zones, MAX_ZONES)?;
+    check_count("topology.regions", topology.regions, topology.zones)?;
+    check_seconds("topology.delay_in_zone", topology.delay_in_zone)?;
+    check_seconds("topology.delay_in_region", topology.delay_in_region)?;
+    check_seconds("topology.delay_between_regions", topology.delay_between_regions)?;
+    check_count("gatekeepers.count", configuration.gateways.count, MAX_GATEWAYS)?;
+    check_seconds("gatekeepers.restart_seconds", configuration.gateways.restart_seconds)?;
     require(configuration.policy.counter_timeout > 0.0, "policy.count_limit", 0.0, "above 0")?;
-    seconds("policy.count_limit", configuration.policy.counter_timeout)?;
-    count("policy.max_attempts", configuration.policy.max_attempts, 100)?;
-    seconds("policy.max_retry_after", configuration.policy.max_retry_after)
+    check_seconds("policy.count_limit", configuration.policy.counter_timeout)?;
+    check_count("policy.max_attempts", configuration.policy.max_attempts, 100)?;
+    check_seconds("policy.max_retry_after", configuration.policy.max_retry_after)
 }
 
 fn check_endpoints(configuration: &Configuration) -> Check {
     let endpoints = &configuration.endpoints;
-    count("workers.count", endpoints.count, MAX_ENDPOINTS)?;
-    count("workers.cells", endpoints.cells, MAX_ENDPOINTS)?;
-    count("workers.slots", endpoints.slots, 10_000)?;
+    check_count("workers.count", endpoints.count, MAX_ENDPOINTS)?;
+    check_count("workers.cells", endpoints.cells, MAX_ENDPOINTS)?;
+    check_count("workers.slots", endpoints.slots, 10_000)?;
     require(endpoints.queue <= 1_000_000, "workers.queue", f64::from(endpoints.queue), "at most 1000000")?;
-    seconds("workers.service_seconds", endpoints.service_seconds)?;
-    seconds("workers.service_seconds_per_unit", endpoints.service_seconds_per_unit)?;
-    share("workers.service_variation", endpoints.service_variation)?;
+    check_seconds("workers.service_seconds", endpoints.service_seconds)?;
+    check_seconds("workers.service_seconds_per_unit", endpoints.service_seconds_per_unit)?;
+    check_share("workers.service_variation", endpoints.service_variation)?;
     require(
         endpoints.slow_start_initial_share > 0.0,
         "workers.cold_from",
         endpoints.slow_start_initial_share,
         "above 0",
     )?;
-    share("workers.cold_from", endpoints.slow_start_initial_share)?;
-    seconds("workers.cold_seconds", endpoints.slow_start_window)?;
-    not_negative("workers.fall_multiple", endpoints.overload_multiple)?;
-    seconds("workers.fall_seconds", endpoints.overload_window)
+    check_share("workers.cold_from", endpoints.slow_start_initial_share)?;
+    check_seconds("workers.cold_seconds", endpoints.slow_start_window)?;
+    check_not_negative("workers.fall_multiple", endpoints.overload_multiple)?;
+    check_seconds("workers.fall_seconds", endpoints.overload_window)
 }
 
 fn check_services(configuration: &Configuration) -> Check {
     let discovery = &configuration.discovery;
-    range("discovery.lateness", discovery.propagation_delay)?;
-    positive("discovery.calls_per_second", discovery.calls_per_second)?;
-    seconds("discovery.give_up_after", discovery.poll_timeout)?;
-    positive("discovery.watch_seconds", discovery.watch_hold)?;
+    check_range("discovery.lateness", discovery.propagation_delay)?;
+    check_positive("discovery.calls_per_second", discovery.calls_per_second)?;
+    check_seconds("discovery.give_up_after", discovery.poll_timeout)?;
+    check_positive("discovery.watch_seconds", discovery.watch_hold)?;
     let Some(counter) = &configuration.counter else { return Ok(()) };
-    count("counter.parts", counter.shards, 1_000)?;
-    positive("counter.calls_per_second", counter.calls_per_second)?;
-    seconds("counter.delay", counter.delay)
+    check_count("counter.parts", counter.shards, 1_000)?;
+    check_positive("counter.calls_per_second", counter.calls_per_second)?;
+    check_seconds("counter.delay", counter.delay)
 }
 
 fn check_tenants(configuration: &Configuration) -> Check {
     let tenants = &configuration.tenants;
-    count("tenants.count", tenants.count, MAX_TENANTS)?;
-    count("tenants.max_units", tenants.max_units, MAX_UNITS)?;
+    check_count("tenants.count", tenants.count, MAX_TENANTS)?;
+    check_count("tenants.max_units", tenants.max_units, MAX_UNITS)?;
     let Range { min, max } = tenants.gateways_per_tenant;
     require(min >= 1, "tenants.spread", f64::from(min), "1 at least")?;
     require(min <= max, "tenants.spread", f64::from(min), "a range in rising order")?;
     let gateways = configuration.gateways.count;
     require(max <= gateways, "tenants.spread", f64::from(max), "no more than gatekeepers.count")?;
-    range("tenants.skew", tenants.skew)
+    check_range("tenants.skew", tenants.skew)
 }
 
 fn check_clients(configuration: &Configuration) -> Check {
     let clients = &configuration.clients;
     require(clients.max_retries <= 100, "clients.max_retries", clients.max_retries.into(), "at most 100")?;
-    share("clients.retry_share", clients.retry_share)?;
-    seconds("clients.retry_seconds", clients.retry_seconds)?;
-    seconds("clients.front_notices_after", clients.failure_detection_delay)?;
-    for (key, body) in
-        [("clients.request_body", clients.request_body), ("clients.answer_body", clients.answer_body)]
-    {
+    check_share("clients.retry_share", clients.retry_share)?;
+    check_seconds("clients.retry_seconds", clients.default_backoff)?;
+    check_seconds("clients.front_notices_after", clients.failure_detection_delay)?;
+    for (key, body) in [
+        ("clients.request_body", clients.request_body_bytes),
+        ("clients.answer_body", clients.response_body_bytes),
+    ] {
         require(body <= MAX_BODY_BYTES, key, body as f64, "at most 65536 bytes")?;
     }
     Ok(())
 }
 
 fn check_classes(configuration: &Configuration) -> Check {
-    weights("classes.share", configuration.classes.iter().map(|c| c.share))?;
+    check_weights("classes.share", configuration.classes.iter().map(|c| c.share))?;
     for class in &configuration.classes {
-        positive("classes.aim", class.latency_objective)?;
-        share("classes.late_worth", class.late_weight_share)?;
-        positive("classes.deadline", class.deadline)?;
-        seconds("classes.deadline", class.deadline)?;
-        not_negative("classes.worth", class.unit_weight)?;
-        seconds("classes.window", class.idempotency_window)?;
+        check_positive("classes.aim", class.latency_objective)?;
+        check_share("classes.late_worth", class.late_weight_share)?;
+        check_positive("classes.deadline", class.deadline)?;
+        check_seconds("classes.deadline", class.deadline)?;
+        check_not_negative("classes.worth", class.unit_weight)?;
+        check_seconds("classes.window", class.idempotency_window)?;
     }
     Ok(())
 }
 
 fn check_plans(configuration: &Configuration) -> Check {
-    weights("plans.share", configuration.plans.iter().map(|p| p.share))?;
-    let largest = f64::from(configuration.tenants.max_units);
+    check_weights("plans.share", configuration.plans.iter().map(|p| p.share))?;
+    let max_units = f64::from(configuration.tenants.max_units);
     for plan in &configuration.plans {
-        positive("plans.rate", plan.rate)?;
-        not_negative("plans.burst", plan.burst)?;
-        require(plan.burst >= largest, "plans.burst", plan.burst, "at least tenants.max_units")?;
-        not_negative("plans.pays", plan.priority_weight)?;
-        not_negative("plans.excess_worth", plan.over_quota_weight_share)?;
-        not_negative("plans.overrun_cost", plan.over_quota_cost_share)?;
-        not_negative("plans.ceiling_rate", plan.ceiling_rate)?;
-        not_negative("plans.ceiling_burst", plan.ceiling_burst)?;
+        check_positive("plans.rate", plan.rate)?;
+        check_not_negative("plans.burst", plan.burst)?;
+        require(plan.burst >= max_units, "plans.burst", plan.burst, "at least tenants.max_units")?;
+        check_not_negative("plans.pays", plan.priority_weight)?;
+        check_not_negative("plans.excess_worth", plan.over_quota_weight_share)?;
+        check_not_negative("plans.overrun_cost", plan.over_quota_cost_share)?;
+        check_not_negative("plans.ceiling_rate", plan.ceiling_rate)?;
+        check_not_negative("plans.ceiling_burst", plan.ceiling_burst)?;
         let has_burst = plan.ceiling_rate == 0.0 || plan.ceiling_burst > 0.0;
         require(has_burst, "plans.ceiling_burst", plan.ceiling_burst, "above 0 under a ceiling")?;
     }
@@ -199,12 +200,12 @@
 }
 
 fn check_usage(configuration: &Configuration) -> Check {
-    weights("usage.share", configuration.usage.iter().map(|u| u.share))?;
+    check_weights("usage.share", configuration.usage.iter().map(|u| u.share))?;
     for usage in &configuration.usage {
-        range("usage.of_rate", usage.load_factor)?;
+        check_range("usage.of_rate", usage.load_factor)?;
         require(usage.spike_factor >= 1.0, "usage.spike_factor", usage.spike_factor, "1 at least")?;
-        positive("usage.spike_factor", usage.spike_factor)?;
-        seconds("usage.spike_every", usage.spike_every)?;
+        check_positive("usage.spike_factor", usage.spike_factor)?;
+        check_seconds("usage.spike_every", usage.spike_every)?;
         let fits = (0.0..=usage.spike_every).contains(&usage.spike_seconds);
         require(fits, "usage.spike_seconds", usage.spike_seconds, "from 0 to spike_every")?;
     }
@@ -221,9 +222,10 @@
 fn check_load(configuration: &Configuration) -> Check {
     let rate = weighted_mean(configuration.plans.iter().map(|plan| (plan.share, plan.rate)));
     let load_factor = weighted_mean(configuration.usage.iter().map(|usage| {
-        let spiky = if usage.spike_every > 0.0 { usage.spike_seconds / usage.spike_every } else { 0.0 };
+        let spike_share_of_time =
+            if usage.spike_every > 0.0 { usage.spike_seconds / usage.spike_every } else { 0.0 };
         let mean = (usage.load_factor.min + usage.load_factor.max) / 2.0;
-        (usage.share, mean * (1.0 + spiky * (usage.spike_factor - 1.0)))
+        (usage.share, mean * (1.0 + spike_share_of_time * (usage.spike_factor - 1.0)))
     }));
     let mean_units = f64::from(1 + configuration.tenants.max_units) / 2.0;
     let requests = f64::from(configuration.tenants.count) * rate * load_factor / mean_units;
@@ -232,21 +234,21 @@
 }
 
 fn check_span(start: Seconds, end: Seconds) -> Check {
-    seconds("faults.at", start)?;
-    seconds("faults.until", end)?;
+    check_seconds("faults.at", start)?;
+    check_seconds("faults.until", end)?;
     require(start <= end, "faults.until", end, "no earlier than the fault's begin")
 }
 
 fn check_zone(configuration: &Configuration, zone: u32) -> Check {
-    let known = zone < configuration.topology.zones;
-    require(known, "faults.zone", f64::from(zone), "below topology.zones")
+    let zone_exists = zone < configuration.topology.zones;
+    require(zone_exists, "faults.zone", f64::from(zone), "below topology.zones")
 }
 
 fn check_fault(configuration: &Configuration, fault: &Fault) -> Check {
     match *fault {
-        Fault::RestartAtOnce { at, share: part } | Fault::LoseCounterEntries { at, share: part } => {
-            seconds("faults.at", at)?;
-            share("faults.share", part)
+        Fault::RestartAtOnce { at, share: value } | Fault::LoseCounterEntries { at, share: value } => {
+            check_seconds("faults.at", at)?;
+            check_share("faults.share", value)
         }
         Fault::RestartOneByOne { from, until, count } => {
             check_span(from, until)?;
@@ -263,14 +265,14 @@
         }
         Fault::SlowCounter { at, until, factor } => {
             check_span(at, until)?;
-            positive("faults.factor", factor)
+            check_positive("faults.factor", factor)
         }
         Fault::SilenceCounter { at, until } => check_span(at, until),
-        Fault::CrashEndpoints { at, until, share: part }
-        | Fault::HangEndpoints { at, until, share: part }
-        | Fault::DrainEndpoints { at, until, share: part } => {
+        Fault::CrashEndpoints { at, until, share: value }
+        | Fault::HangEndpoints { at, until, share: value }
+        | Fault::DrainEndpoints { at, until, share: value } => {
             check_span(at, until)?;
-            share("faults.share", part)
+            check_share("faults.share", value)
         }
     }
 }
--- a/lab/src/fleet/wire_size.rs
+++ b/lab/src/fleet/wire_size.rs
@@ -84,12 +84,12 @@
         "X-Lane: {}\r\nX-Plan: {}\r\nX-Customer: 0123456789abcdef\r\n",
         head.class, quota.plan
     ));
-    let figures = length(format_args!(
+    let quota_header = length(format_args!(
         "X-Quota: units={},spread={},first={}\r\n",
         quota.units, quota.gateway_count, quota.first_gateway
     ));
     let retry = if quota.is_retry { length(format_args!("X-Resent: 1\r\n")) } else { 0 };
-    head.common() + names + figures + retry
+    head.common() + names + quota_header + retry
 }
 
 /// Bytes of an attempt from a gateway to an endpoint.
@@ -145,12 +145,12 @@
 }
 
 /// Bytes of a call for the complete endpoint list.
-pub fn list_call() -> u64 {
+pub fn list_request() -> u64 {
     length(format_args!("GET /discovery/hosts HTTP/1.1\r\nHost: backend.local\r\n\r\n"))
 }
 
 /// Bytes of a call that watches for changes of the list.
-pub fn watch_call(version: u64, hold: Seconds) -> u64 {
+pub fn watch_request(version: u64, hold: Seconds) -> u64 {
     let milliseconds = (hold * MILLISECONDS_PER_SECOND) as u64;
     length(format_args!(
         "GET /discovery/hosts?from={version}&hold_ms={milliseconds} HTTP/1.1\r\nHost: backend.local\r\n\r\n"
@@ -173,7 +173,7 @@
 }
 
 /// Bytes of a response that holds a list.
-pub fn list_answer(endpoints: &[Endpoint], is_complete: bool) -> u64 {
+pub fn list_response(endpoints: &[Endpoint], is_complete: bool) -> u64 {
     let entries: u64 = endpoints.iter().map(list_entry).sum();
     let commas = endpoints.len().saturating_sub(1) as u64;
     let frame = length(format_args!(r#"{{"version":1000,"full":{is_complete},"servers":[]}}"#));
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -1,12 +1,14 @@
 //! The models of the simulated fleet, one by one.
 
 use oliverack::{Endpoint, Event, Lifecycle, Status};
-use oliverack_lab::fleet::configuration::{Counter as CounterFigures, Discovery as DiscoveryFigures};
-use oliverack_lab::fleet::configuration::{DiscoveryMode, Endpoints as EndpointFigures, Range};
+use oliverack_lab::fleet::configuration::{
+    Counter as CounterConfiguration, Discovery as DiscoveryConfiguration,
+};
+use oliverack_lab::fleet::configuration::{DiscoveryMode, Endpoints as EndpointsConfiguration, Range};
 use oliverack_lab::fleet::counter::{CallAdmission, Counter};
 use oliverack_lab::fleet::counter_calls::{CallResult, CounterCalls};
 use oliverack_lab::fleet::discovery::{Discovery, PollResult};
-use oliverack_lab::fleet::endpoints::{EndpointState, Reception, SimulatedEndpoint};
+use oliverack_lab::fleet::endpoints::{AttemptAdmission, EndpointState, SimulatedEndpoint};
 use oliverack_lab::fleet::event_queue::{EventQueue, RUN_START};
 use oliverack_lab::fleet::randomness::{Stream, stream};
 use oliverack_lab::fleet::requests::AttemptKey;
@@ -15,7 +17,7 @@
 
 /// A counter of one shard that serves 100 calls a second and queues two.
 fn counter() -> Counter {
-    Counter::new(&CounterFigures { shards: 1, calls_per_second: 100.0, queue: 2, delay: 0.0 })
+    Counter::new(&CounterConfiguration { shards: 1, calls_per_second: 100.0, queue: 2, delay: 0.0 })
 }
 
 fn assert_close(left: f64, right: f64) {
@@ -56,7 +58,7 @@
 #[test]
 fn counter_shards_have_separate_queues() {
     let mut counter =
-        Counter::new(&CounterFigures { shards: 2, calls_per_second: 100.0, queue: 0, delay: 0.0 });
+        Counter::new(&CounterConfiguration { shards: 2, calls_per_second: 100.0, queue: 0, delay: 0.0 });
     assert!(matches!(counter.admit(RUN_START, 0), CallAdmission::Admitted { .. }));
     assert!(matches!(counter.admit(RUN_START, 1), CallAdmission::Admitted { .. }));
     assert_eq!(counter.admit(RUN_START, 2), CallAdmission::Rejected);
@@ -122,8 +124,8 @@
     }
 }
 
-fn endpoint_figures() -> EndpointFigures {
-    EndpointFigures {
+fn endpoints_configuration() -> EndpointsConfiguration {
+    EndpointsConfiguration {
         count: 1,
         cells: 1,
         slots: 1,
@@ -144,9 +146,12 @@
 
 #[test]
 fn endpoint_serves_then_queues_then_rejects() {
-    let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
-    let receptions: Vec<Reception> = (0..3).map(|number| endpoint.receive(attempt(number))).collect();
-    assert_eq!(receptions, [Reception::Started, Reception::Queued, Reception::Rejected(Status::Rejected)]);
+    let mut endpoint = SimulatedEndpoint::new(&endpoints_configuration(), 0, 0.0);
+    let admissions: Vec<AttemptAdmission> = (0..3).map(|number| endpoint.receive(attempt(number))).collect();
+    assert_eq!(
+        admissions,
+        [AttemptAdmission::Started, AttemptAdmission::Queued, AttemptAdmission::Rejected(Status::Rejected)]
+    );
     assert_eq!(endpoint.start_next(|_| true), None);
     endpoint.finish(attempt(0));
     assert_eq!(endpoint.start_next(|_| true), Some(attempt(1)));
@@ -154,37 +159,37 @@
 
 #[test]
 fn endpoint_skips_queued_attempts_that_are_not_wanted() {
-    let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
+    let mut endpoint = SimulatedEndpoint::new(&endpoints_configuration(), 0, 0.0);
     endpoint.receive(attempt(0));
     endpoint.receive(attempt(1));
     endpoint.finish(attempt(0));
     assert_eq!(endpoint.start_next(|_| false), None);
-    assert_eq!(endpoint.receive(attempt(2)), Reception::Started);
+    assert_eq!(endpoint.receive(attempt(2)), AttemptAdmission::Started);
 }
 
 #[test]
 fn endpoint_reception_follows_its_state() {
-    let mut endpoint = SimulatedEndpoint::new(&endpoint_figures(), 0, 0.0);
+    let mut endpoint = SimulatedEndpoint::new(&endpoints_configuration(), 0, 0.0);
     endpoint.state = EndpointState::Draining;
-    assert_eq!(endpoint.receive(attempt(0)), Reception::Rejected(Status::Rejected));
+    assert_eq!(endpoint.receive(attempt(0)), AttemptAdmission::Rejected(Status::Rejected));
     endpoint.stop(EndpointState::Hung);
-    assert_eq!(endpoint.receive(attempt(0)), Reception::NoResponse);
+    assert_eq!(endpoint.receive(attempt(0)), AttemptAdmission::NoResponse);
     endpoint.stop(EndpointState::Unreachable);
-    assert_eq!(endpoint.receive(attempt(0)), Reception::NoResponse);
+    assert_eq!(endpoint.receive(attempt(0)), AttemptAdmission::NoResponse);
     endpoint.resume(None);
     endpoint.receive(attempt(1));
     assert_eq!(endpoint.stop(EndpointState::Down), [attempt(1)]);
-    assert_eq!(endpoint.receive(attempt(2)), Reception::Rejected(Status::ConnectFailed));
+    assert_eq!(endpoint.receive(attempt(2)), AttemptAdmission::Rejected(Status::ConnectFailed));
 }
 
 #[test]
 fn capacity_rises_from_the_initial_share_during_slow_start() {
-    let figures = endpoint_figures();
-    let endpoint = SimulatedEndpoint::new(&figures, 0, RUN_START);
-    assert_close(endpoint.capacity(RUN_START, &figures), 0.2);
-    assert_close(endpoint.capacity(RUN_START + 5.0, &figures), 0.6);
-    assert_close(endpoint.capacity(RUN_START + 10.0, &figures), 1.0);
-    assert_close(SimulatedEndpoint::new(&figures, 0, 0.0).capacity(RUN_START, &figures), 1.0);
+    let configuration = endpoints_configuration();
+    let endpoint = SimulatedEndpoint::new(&configuration, 0, RUN_START);
+    assert_close(endpoint.capacity(RUN_START, &configuration), 0.2);
+    assert_close(endpoint.capacity(RUN_START + 5.0, &configuration), 0.6);
+    assert_close(endpoint.capacity(RUN_START + 10.0, &configuration), 1.0);
+    assert_close(SimulatedEndpoint::new(&configuration, 0, 0.0).capacity(RUN_START, &configuration), 1.0);
 }
 
 fn endpoint(id: &str, lifecycle: Lifecycle) -> Endpoint {
@@ -192,14 +197,14 @@
 }
 
 fn discovery() -> Discovery {
-    let figures = DiscoveryFigures {
+    let configuration = DiscoveryConfiguration {
         mode: DiscoveryMode::Poll,
         propagation_delay: Range { min: 0.0, max: 0.0 },
         calls_per_second: 10.0,
         poll_timeout: 0.15,
         watch_hold: 2.5,
     };
-    Discovery::new(&figures, vec![endpoint("a", Lifecycle::Running), endpoint("b", Lifecycle::Running)])
+    Discovery::new(&configuration, vec![endpoint("a", Lifecycle::Running), endpoint("b", Lifecycle::Running)])
 }
 
 #[test]
@@ -214,8 +219,8 @@
 #[test]
 fn list_at_a_past_time_has_the_changes_until_then() {
     let mut discovery = discovery();
-    discovery.change(RUN_START + 1.0, endpoint("a", Lifecycle::Gone));
-    discovery.change(RUN_START + 2.0, endpoint("c", Lifecycle::Running));
+    discovery.record_change(RUN_START + 1.0, endpoint("a", Lifecycle::Gone));
+    discovery.record_change(RUN_START + 2.0, endpoint("c", Lifecycle::Running));
     let mut names = |at: f64| -> Vec<String> {
         discovery.list_at(RUN_START + at).endpoints.iter().map(|s| s.id.to_string()).collect()
     };
@@ -242,5 +247,5 @@
     assert_eq!(wire_size::counter_busy(), "busy\r\n".len() as u64);
     assert_eq!(wire_size::served(2), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".len() as u64);
     let watch = "GET /discovery/hosts?from=41&hold_ms=2500 HTTP/1.1\r\nHost: backend.local\r\n\r\n";
-    assert_eq!(wire_size::watch_call(41, 2.5), watch.len() as u64);
+    assert_eq!(wire_size::watch_request(41, 2.5), watch.len() as u64);
 }
