--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,4 +1,5 @@
-//! What the operators ask of the text of the program: its size, and which part may use which.
+//! Checks of the source text: limits on files and functions, the policy files that `deploy/balancer.toml` lists, the
+//! dependencies between the node's modules, and the file names in the documentation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -6,42 +7,43 @@
     path::{Path, PathBuf},
 };
 
-/// Most lines of a file of the policy.
+/// Limit on the lines of a policy file.
 const MAX_POLICY_FILE_LINES: usize = 250;
-/// Most characters of a line.
-const MAX_WIDTH: usize = 110;
+/// Limit on the characters in a line of a policy file.
+const MAX_POLICY_LINE_WIDTH: usize = 110;
 
-/// The files that the deploy file names under `policy`.
-fn named(root: &Path) -> BTreeSet<String> {
-    let deploy = fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
-    let line = deploy.lines().find(|line| line.starts_with("policy = ")).expect("a policy");
+/// Returns the files that `deploy/balancer.toml` lists under `policy`.
+fn listed_policy_files(root: &Path) -> BTreeSet<String> {
+    let deploy = fs::read_to_string(root.join("deploy/balancer.toml")).expect("readable deploy file");
+    let line = deploy.lines().find(|line| line.starts_with("policy = ")).expect("a line `policy = `");
     line.split('"').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-/// The Rust files of the policy, below the repository's root.
+/// Returns the paths of the policy's Rust files, each beginning with `root`.
 fn policy_files(root: &Path) -> Vec<PathBuf> {
     rust_files(&root.join("src/policy"))
 }
 
 #[test]
-fn policy_files_are_short_and_narrow() {
+fn policy_files_stay_within_length_and_width_limits() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for path in policy_files(root) {
-        let text = fs::read_to_string(&path).expect("text");
+        let text = fs::read_to_string(&path).expect("readable file");
         let count = text.lines().count();
         assert!(count <= MAX_POLICY_FILE_LINES, "{}: {count} lines", path.display());
-        let wide = text.lines().find(|line| line.chars().count() > MAX_WIDTH);
+        let wide = text.lines().find(|line| line.chars().count() > MAX_POLICY_LINE_WIDTH);
         assert_eq!(wide, None, "{}", path.display());
     }
-    let module = fs::read_to_string(root.join("src/policy/mod.rs")).expect("the policy's own page");
-    assert!(module.lines().next().is_some_and(|line| line.contains("src/interface/")));
+    let policy_module =
+        fs::read_to_string(root.join("src/policy/mod.rs")).expect("readable src/policy/mod.rs");
+    assert!(policy_module.lines().next().is_some_and(|line| line.contains("src/interface/")));
 }
 
-/// The type that each `impl` of a file is for, without its generics.
+/// Returns the types that the `impl` blocks of a file are for, without generic parameters.
 fn implemented_types(text: &str) -> BTreeSet<String> {
     let type_of = |line: &str| {
         let rest = line.strip_prefix("impl")?;
-        // Without the parameters of the `impl` itself.
+        // Skips the generic parameters of the `impl` itself.
         let rest = if rest.starts_with('<') { rest.split_once("> ")?.1 } else { rest };
         let implemented = rest.split_once(" for ").map_or(rest, |(_, implemented)| implemented);
         let name = implemented.trim().split(['<', ' ', '{']).next()?;
@@ -51,13 +53,13 @@
 }
 
 #[test]
-fn each_type_of_the_policy_is_implemented_in_one_file() {
+fn each_policy_type_is_implemented_in_one_file() {
     let text = "impl A {\nimpl<'a> fmt::Display for B<'a> {\nimpl<T: Ord> C<T> {\n    impl D {\n";
     assert_eq!(implemented_types(text), ["A", "B", "C"].map(str::to_owned).into());
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut owners: BTreeMap<String, PathBuf> = BTreeMap::new();
     for path in policy_files(root) {
-        for name in implemented_types(&fs::read_to_string(&path).expect("text")) {
+        for name in implemented_types(&fs::read_to_string(&path).expect("readable file")) {
             let other = owners.insert(name.clone(), path.clone());
             assert_eq!(other, None, "{name} is implemented in {}, too", path.display());
         }
@@ -66,24 +68,25 @@
 }
 
 #[test]
-fn policy_imports_by_name() {
+fn policy_has_no_glob_imports() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for path in policy_files(root) {
-        let text = fs::read_to_string(&path).expect("text");
+        let text = fs::read_to_string(&path).expect("readable file");
         let glob = text.lines().find(|line| line.contains("::*"));
         assert_eq!(glob, None, "{}", path.display());
     }
 }
 
 #[test]
-fn every_file_of_the_policy_is_named_in_the_deploy_file() {
+fn deploy_file_lists_exactly_the_policy_files() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let name = |path: PathBuf| path.strip_prefix(root).expect("below it").display().to_string();
+    let name = |path: PathBuf| path.strip_prefix(root).expect("path below the folder").display().to_string();
     let present: BTreeSet<String> = policy_files(root).into_iter().map(name).collect();
-    assert_eq!(present, named(root));
+    assert_eq!(present, listed_policy_files(root));
 }
 
-/// The layers of the node, each using only those before it; a name stands for the file or the folder.
+/// Layers of the node's modules. A module uses only its own layer and those before it. A name stands for a file or a
+/// folder below `src/node`.
 const LAYERS: [&[&str]; 5] = [
     &["config", "config_check", "metrics", "wire"],
     &["hot_restart"],
@@ -102,174 +105,184 @@
     ],
 ];
 
-/// All Rust files below a folder.
+/// Returns all Rust files below a folder.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+    let entries =
+        fs::read_dir(folder).expect("readable folder").map(|entry| entry.expect("readable entry").path());
     let (folders, files): (Vec<_>, Vec<_>) = entries.partition(|path| path.is_dir());
-    let rust = files.into_iter().filter(|path| path.extension().is_some_and(|ending| ending == "rs"));
+    let rust = files.into_iter().filter(|path| path.extension().is_some_and(|extension| extension == "rs"));
     rust.chain(folders.iter().flat_map(|folder| rust_files(folder))).collect()
 }
 
-/// The paths below `node` that a file's `use` declarations name, each up to its file: `wire::stream`.
-fn used(text: &str) -> BTreeSet<String> {
+/// Returns the paths below `crate::node` that the `use` declarations of a file name, such as `wire::stream`.
+fn imported_paths(text: &str) -> BTreeSet<String> {
     let code: String = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
-    let mut used = BTreeSet::new();
+    let mut paths = BTreeSet::new();
     for declaration in code.split("use crate::node::").skip(1) {
         let declaration = declaration.split(';').next().unwrap_or_default();
-        expand("", declaration, &mut used);
+        expand_use_tree("", declaration, &mut paths);
     }
-    used
+    paths
 }
 
-/// Writes out a tree of paths, such as `a::{b, c::D}`.
-fn expand(prefix: &str, tree: &str, used: &mut BTreeSet<String>) {
+/// Adds each path of a `use` tree such as `a::{b, c::D}` to `paths`.
+fn expand_use_tree(prefix: &str, tree: &str, paths: &mut BTreeSet<String>) {
     let tree = tree.trim();
     let Some((head, rest)) = tree.split_once('{') else {
-        used.insert(format!("{prefix}{tree}"));
+        paths.insert(format!("{prefix}{tree}"));
         return;
     };
     let prefix = format!("{prefix}{}", head.trim());
     let (mut depth, mut start) = (0, 0);
     let inner = rest.strip_suffix('}').expect("balanced braces");
-    for (at, c) in inner.char_indices() {
+    for (index, c) in inner.char_indices() {
         match c {
             '{' => depth += 1,
             '}' => depth -= 1,
             ',' if depth == 0 => {
-                expand(&prefix, &inner[start..at], used);
-                start = at + 1;
+                expand_use_tree(&prefix, &inner[start..index], paths);
+                start = index + 1;
             }
             _ => {}
         }
     }
     if !inner[start..].trim().is_empty() {
-        expand(&prefix, &inner[start..], used);
+        expand_use_tree(&prefix, &inner[start..], paths);
     }
 }
 
-fn layer(module: &str) -> usize {
-    let found = LAYERS.iter().position(|layer| layer.contains(&module));
-    found.unwrap_or_else(|| panic!("{module} is in no layer"))
+fn layer_index(module: &str) -> usize {
+    let index = LAYERS.iter().position(|layer| layer.contains(&module));
+    index.unwrap_or_else(|| panic!("{module} is in no layer"))
 }
 
 #[test]
-fn a_tree_of_paths_is_written_out() {
+fn use_tree_expands_to_its_paths() {
     let text = "use crate::node::{\n    wire::{a, b::{C, D}},\n    config,\n};\nuse crate::node::runtime::clock::Clock;";
     let paths = ["config", "runtime::clock::Clock", "wire::a", "wire::b::C", "wire::b::D"];
-    assert_eq!(used(text), paths.map(str::to_owned).into());
+    assert_eq!(imported_paths(text), paths.map(str::to_owned).into());
 }
 
 #[test]
-fn the_layers_of_the_node_use_only_those_before_them() {
+fn node_modules_do_not_use_later_layers() {
     let node = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/node");
     for path in rust_files(&node) {
-        let name = path.strip_prefix(&node).expect("below it").with_extension("");
-        let module = name.iter().next().and_then(|part| part.to_str()).expect("a plain name").to_owned();
+        let name = path.strip_prefix(&node).expect("path below the folder").with_extension("");
+        let module = name.iter().next().and_then(|part| part.to_str()).expect("a UTF-8 name").to_owned();
         if module == "mod" {
             continue;
         }
-        for used in used(&fs::read_to_string(&path).expect("text")) {
-            let other = used.split("::").next().expect("a part");
-            assert!(layer(other) <= layer(&module), "{} uses {used}", name.display());
+        for import in imported_paths(&fs::read_to_string(&path).expect("readable file")) {
+            let imported_module = import.split("::").next().expect("a first part");
+            assert!(
+                layer_index(imported_module) <= layer_index(&module),
+                "{} uses {import}, of a later layer",
+                name.display()
+            );
         }
     }
 }
 
 #[test]
-fn no_files_of_the_node_use_each_other_in_a_circle() {
+fn node_files_have_no_circular_dependencies() {
     let node = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/node");
-    let module = |path: &Path| {
-        let name = path.strip_prefix(&node).expect("below it").with_extension("");
+    let module_path = |path: &Path| {
+        let name = path.strip_prefix(&node).expect("path below the folder").with_extension("");
         let parts: Vec<&str> = name.iter().filter_map(|part| part.to_str()).collect();
         parts.join("::").trim_end_matches("::mod").to_owned()
     };
     let files: BTreeMap<String, String> = rust_files(&node)
         .iter()
-        .map(|path| (module(path), fs::read_to_string(path).expect("text")))
+        .map(|path| (module_path(path), fs::read_to_string(path).expect("readable file")))
         .collect();
-    // A path names the longest file that it begins with.
+    // A path belongs to the file with the longest module path that it begins with.
     let file_of = |path: &str| {
-        let owns = |name: &&String| path == name.as_str() || path.starts_with(&format!("{name}::"));
-        files.keys().filter(owns).max_by_key(|name| name.len()).cloned()
+        let contains_path = |name: &&String| path == name.as_str() || path.starts_with(&format!("{name}::"));
+        files.keys().filter(contains_path).max_by_key(|name| name.len()).cloned()
     };
-    let mut left: BTreeMap<&String, BTreeSet<String>> = files
+    let mut remaining: BTreeMap<&String, BTreeSet<String>> = files
         .iter()
-        .map(|(name, text)| (name, used(text).iter().filter_map(|path| file_of(path)).collect()))
+        .map(|(name, text)| (name, imported_paths(text).iter().filter_map(|path| file_of(path)).collect()))
         .collect();
-    for (uses, name) in left.values_mut().zip(files.keys()) {
+    for (uses, name) in remaining.values_mut().zip(files.keys()) {
         uses.remove(name);
     }
-    while let Some(free) = left.iter().find(|(_, uses)| uses.is_empty()).map(|(name, _)| (*name).clone()) {
-        left.remove(&free);
-        for uses in left.values_mut() {
-            uses.retain(|other| *other != free);
+    while let Some(independent) =
+        remaining.iter().find(|(_, uses)| uses.is_empty()).map(|(name, _)| (*name).clone())
+    {
+        remaining.remove(&independent);
+        for uses in remaining.values_mut() {
+            uses.retain(|other| *other != independent);
         }
     }
-    assert!(left.is_empty(), "in a circle, or behind one: {left:?}");
+    assert!(remaining.is_empty(), "files with circular dependencies, and files that use them: {remaining:?}");
 }
 
 #[test]
-fn no_file_is_long() {
+fn source_files_stay_within_line_limit() {
     const MAX_LINES: usize = 500;
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for path in [root.join("src"), root.join("lab/src")].iter().flat_map(|folder| rust_files(folder)) {
-        let count = fs::read_to_string(&path).expect("text").lines().count();
+        let count = fs::read_to_string(&path).expect("readable file").lines().count();
         assert!(count <= MAX_LINES, "{}: {count} lines", path.display());
     }
 }
 
-/// The functions of a file and how many lines each has, by the indentation of their first and last lines.
+/// Returns the first line of each function in a file and the number of its lines. A function ends at the closing brace
+/// with the indentation of its first line.
 fn function_lengths(text: &str) -> Vec<(String, usize)> {
     let indent = |line: &str| line.len() - line.trim_start().len();
     let is_start = |line: &str| {
-        let words: Vec<&str> = line.split_whitespace().take_while(|word| *word != "fn").collect();
-        let known =
+        let words_before_fn: Vec<&str> = line.split_whitespace().take_while(|word| *word != "fn").collect();
+        let is_qualifier =
             |word: &&str| ["pub", "async", "const", "unsafe"].contains(word) || word.starts_with("pub(");
-        line.split_whitespace().any(|word| word == "fn") && words.iter().all(known)
+        line.split_whitespace().any(|word| word == "fn") && words_before_fn.iter().all(is_qualifier)
     };
-    let mut open: Option<(String, usize, usize)> = None;
+    let mut open_function: Option<(String, usize, usize)> = None;
     let mut lengths = Vec::new();
     for (number, line) in text.lines().enumerate() {
         if is_start(line) {
-            open = Some((line.trim().to_owned(), indent(line), number));
+            open_function = Some((line.trim().to_owned(), indent(line), number));
         }
-        if let Some((name, _, start)) = open.take_if(|(_, at, _)| line.trim() == "}" && indent(line) == *at) {
-            lengths.push((name, number + 1 - start));
+        if let Some((first_line, _, start)) =
+            open_function.take_if(|(_, indentation, _)| line.trim() == "}" && indent(line) == *indentation)
+        {
+            lengths.push((first_line, number + 1 - start));
         }
     }
     lengths
 }
 
 #[test]
-fn no_function_is_long() {
+fn functions_stay_within_line_limit() {
     const MAX_LINES: usize = 59;
     let text = "fn a() {\n    if b {\n    }\n}\n\nimpl C {\n    pub(super) async fn d() {\n    }\n}\n";
     let lengths: Vec<usize> = function_lengths(text).into_iter().map(|(_, length)| length).collect();
     assert_eq!(lengths, [4, 2]);
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for path in [root.join("src"), root.join("lab/src")].iter().flat_map(|folder| rust_files(folder)) {
-        for (name, length) in function_lengths(&fs::read_to_string(&path).expect("text")) {
-            assert!(length <= MAX_LINES, "{}: {length} lines: {name}", path.display());
+        for (first_line, length) in function_lengths(&fs::read_to_string(&path).expect("readable file")) {
+            assert!(length <= MAX_LINES, "{}: {length} lines in {first_line}", path.display());
         }
     }
 }
 
-/// The paths below `src`, `lab` and `tests` that a page names in code spans.
+/// Returns the paths below `src`, `lab` and `tests` that a Markdown page names in code spans.
 fn named_paths(text: &str) -> Vec<&str> {
     let is_path = |span: &&str| ["src/", "lab/", "tests/"].iter().any(|root| span.starts_with(root));
-    // Code blocks hold commands, not paths.
+    // Skips code blocks, which contain commands.
     let prose = text.split("```").step_by(2);
     prose.flat_map(|prose| prose.split('`').skip(1).step_by(2)).filter(is_path).collect()
 }
 
 #[test]
-fn pages_name_only_files_that_exist() {
+fn documentation_names_only_existing_files() {
     assert_eq!(named_paths("a `src/x.rs` b `c` ```sh\n`lab/no`\n``` `lab/y`"), ["src/x.rs", "lab/y"]);
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for page in ["README.md", "docs/architecture.md", "docs/operations.md"] {
-        let text = fs::read_to_string(root.join(page)).expect("a page");
+        let text = fs::read_to_string(root.join(page)).expect("readable page");
         for path in named_paths(&text) {
-            assert!(root.join(path).exists(), "{page} names {path}");
+            assert!(root.join(path).exists(), "{page} names {path}, which does not exist");
         }
     }
 }
