--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -1,15 +1,15 @@
-//! Settings, requests, endpoints and events with the defaults that most tests want.
+//! Builds plans, settings, endpoints, requests and events with defaults that suit most tests.
 
 use oliverack::{
     Class, Effect, Endpoint, EndpointId, Event, Lifecycle, LoadReport, Plan, Request, RequestId, Seconds,
     Settings, Status, Time,
 };
 
-/// Builder of a plan with a quota.
+/// Builder of a [`Plan`].
 pub struct PlanBuilder(Plan);
 
 impl PlanBuilder {
-    /// A plan with a quota of `rate` units a second and a burst of `burst` units; 0 is none.
+    /// Starts with a quota of `rate` units a second and a burst of `burst` units; a rate of 0 means no quota.
     pub fn new(rate: f64, burst: f64) -> Self {
         let mut plan = Plan::default();
         plan.rate = rate;
@@ -18,26 +18,26 @@
         Self(plan)
     }
 
-    /// The hard limit, in units a second and units.
+    /// Sets the ceiling: units a second, and the burst in units.
     pub fn ceiling(mut self, rate: f64, burst: f64) -> Self {
         self.0.ceiling_rate = rate;
         self.0.ceiling_burst = burst;
         self
     }
 
-    /// The concurrency limit.
+    /// Sets the concurrency limit.
     pub fn max_concurrent_attempts(mut self, count: u32) -> Self {
         self.0.max_concurrent_attempts = count;
         self
     }
 
-    /// What a served unit is worth.
+    /// Sets the weight of a unit relative to other plans; 1 by default.
     pub fn priority_weight(mut self, weight: f64) -> Self {
         self.0.priority_weight = weight;
         self
     }
 
-    /// What a unit beyond the quota costs and what it is worth, as shares of the priority weight.
+    /// Sets the cost and the weight of a unit beyond the quota, both as shares of the priority weight.
     pub fn over_quota(mut self, cost_share: f64, weight_share: f64) -> Self {
         self.0.over_quota_cost_share = cost_share;
         self.0.over_quota_weight_share = weight_share;
@@ -49,12 +49,12 @@
     }
 }
 
-/// A plan with a quota and nothing else.
+/// Returns a plan with a quota and no other limit.
 pub fn plan(rate: f64, burst: f64) -> Plan {
     PlanBuilder::new(rate, burst).build()
 }
 
-/// Settings of one of two gateways with a counter, one idempotent class and one plan with a quota.
+/// Returns settings of one of two gateways with a counter, one idempotent class and one plan with a quota.
 pub fn settings() -> Settings {
     let mut settings = Settings::default();
     settings.gateway_count = 2;
@@ -71,7 +71,7 @@
     settings
 }
 
-/// The same without a quota, and with a class of this effect.
+/// Returns [`settings`] without a quota and with the given effect of the class.
 pub fn settings_without_quota(effect: Effect) -> Settings {
     let mut settings = settings();
     settings.plans = vec![Plan::default()];
@@ -83,12 +83,12 @@
     Endpoint { id: name.into(), zone: 0, cell: 0, started, lifecycle }
 }
 
-/// Endpoints `s000`, `s001` and so on, which have run for long.
+/// Returns endpoints `s000`, `s001` and so on, which started long ago.
 pub fn running_endpoints(count: u32) -> Vec<Endpoint> {
-    (0..count).map(|i| endpoint(&format!("s{i:03}"), Lifecycle::Running, 0.0)).collect()
+    (0..count).map(|index| endpoint(&format!("s{index:03}"), Lifecycle::Running, 0.0)).collect()
 }
 
-/// A request of one unit that its client gives 3 s.
+/// Returns a request of one unit with a deadline in 3 s.
 pub fn request(request_id: &str, now: Time) -> Request {
     Request {
         id: request_id.into(),
@@ -103,7 +103,7 @@
     }
 }
 
-/// Builder of the event for an attempt that ended; by default a request's first one, successful after 0.1 s.
+/// Builder of [`Event::AttemptEnded`]; by default for the first attempt of a request, successful after 0.1 s.
 pub struct AttemptEnd {
     request_id: RequestId,
     endpoint: EndpointId,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Index among the request's attempts.
+    /// Sets the index of the attempt among the request's attempts, from 0.
     pub fn attempt(mut self, attempt: u32) -> Self {
         self.attempt = attempt;
         self
@@ -146,7 +146,7 @@
         self
     }
 
-    /// The event; only a successful attempt finishes its request.
+    /// Returns the event. Only a successful attempt finishes its request.
     pub fn event(self) -> Event {
         Event::AttemptEnded {
             request_id: self.request_id,
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -1,18 +1,18 @@
-//! The harness around one gateway.
+//! A harness that drives one gateway with a clock set by the test and records the actions that the gateway returns.
 
 use super::{AttemptEnd, FakeCounter, endpoint, request};
 use oliverack::{
     Action, Endpoint, EndpointId, Event, Gateway, Lifecycle, ListKind, RequestId, Settings, Status, Time,
 };
 
-/// Time on the gateway's clock when a test starts.
-const START: Time = 100.0;
-/// Seed of a gateway whose test does not choose one.
+/// Default time on the gateway's clock at the start of a test.
+const START_TIME: Time = 100.0;
+/// Seed of the gateway's random decisions unless the test sets another.
 const DEFAULT_SEED: u64 = 7;
-/// Time that a counter call takes, in seconds.
-const COUNTER_CALL_TIME: f64 = 0.002;
+/// Duration of a counter call, in seconds.
+const COUNTER_CALL_DURATION: f64 = 0.002;
 
-/// A gateway, its clock, and all actions that it has returned.
+/// A gateway with its clock and the actions that it has returned since the test last took or cleared them.
 pub struct GatewayHarness {
     pub gateway: Gateway,
     pub now: Time,
@@ -33,26 +33,26 @@
         self
     }
 
-    /// Time on the gateway's clock at the start.
+    /// Sets the time on the gateway's clock at the start.
     pub fn now(mut self, now: Time) -> Self {
         self.now = now;
         self
     }
 
-    /// Index of the gateway in its fleet.
+    /// Sets the index of the gateway in its fleet.
     pub fn gateway_index(mut self, index: u32) -> Self {
         self.settings.gateway_index = index;
         self
     }
 
-    /// The cached endpoint list that the gateway starts with.
+    /// Sets the cached endpoint list that the gateway starts with; none by default.
     pub fn endpoints(mut self, endpoints: Vec<Endpoint>) -> Self {
         self.endpoints = Some(endpoints);
         self
     }
 
     pub fn build(self) -> GatewayHarness {
-        let gateway = Gateway::new(self.settings, self.seed).expect("usable settings");
+        let gateway = Gateway::new(self.settings, self.seed).expect("valid settings");
         let mut harness = GatewayHarness { gateway, now: self.now, actions: Vec::new() };
         if let Some(endpoints) = self.endpoints {
             harness.update_endpoints(ListKind::Stale, endpoints);
@@ -63,16 +63,16 @@
 
 impl GatewayHarness {
     pub fn builder(settings: Settings) -> HarnessBuilder {
-        HarnessBuilder { settings, seed: DEFAULT_SEED, now: START, endpoints: None }
+        HarnessBuilder { settings, seed: DEFAULT_SEED, now: START_TIME, endpoints: None }
     }
 
-    /// A gateway that knows the endpoints `a`, `b` and `c`.
+    /// Returns a gateway that has an endpoint list with `a`, `b` and `c`.
     pub fn new(settings: Settings) -> Self {
         let endpoints = ["a", "b", "c"].map(|name| endpoint(name, Lifecycle::Running, 0.0)).to_vec();
         Self::builder(settings).endpoints(endpoints).build()
     }
 
-    /// A gateway that has not yet received an endpoint list.
+    /// Returns a gateway that has not yet received an endpoint list.
     pub fn without_endpoints(settings: Settings) -> Self {
         Self::builder(settings).build()
     }
@@ -95,7 +95,7 @@
     }
 
     pub fn counter_replied(&mut self, counter: u64, status: Status, total: f64) -> Vec<Action> {
-        self.handle(Event::CounterReplied { counter, status, total, elapsed: COUNTER_CALL_TIME })
+        self.handle(Event::CounterReplied { counter, status, total, elapsed: COUNTER_CALL_DURATION })
     }
 
     pub fn attempt_ended(
@@ -109,7 +109,7 @@
     }
 }
 
-/// All `count` gateways of a fleet, each with these endpoints.
+/// Returns a fleet of `count` gateways that all have the same endpoint list.
 pub fn fleet(count: u32, settings: &Settings, endpoints: &[Endpoint]) -> Vec<GatewayHarness> {
     let gateway = |index: u32| {
         let mut settings = settings.clone();
@@ -123,7 +123,7 @@
     (0..count).map(gateway).collect()
 }
 
-/// Counter calls among `actions`: the count's name and the units to add.
+/// Returns the counter calls among `actions`: the name of the count and the units to add.
 pub fn counter_calls(actions: &[Action]) -> Vec<(u64, f64)> {
     let call = |action: &Action| match action {
         Action::AddToCounter { counter, amount, .. } => Some((*counter, *amount)),
@@ -132,7 +132,7 @@
     actions.iter().filter_map(call).collect()
 }
 
-/// Attempts that `actions` start: the request and the endpoint.
+/// Returns the request and the endpoint of each attempt that `actions` start.
 pub fn started_attempts(actions: &[Action]) -> Vec<(RequestId, EndpointId)> {
     let attempt = |action: &Action| match action {
         Action::StartAttempt { request_id, endpoint, .. } => Some((request_id.clone(), endpoint.clone())),
@@ -149,7 +149,8 @@
     actions.iter().filter(|action| matches!(action, Action::Fail { .. })).count()
 }
 
-/// Advances the clock to `now` and fires every timer that is due, with counter calls answered by `counter`.
+/// Sets the clock to `now` and fires every timer that is due by then; `counter` replies to the resulting calls. Takes the
+/// recorded actions, so a timer that is not yet due is dropped.
 pub fn fire_timers(harness: &mut GatewayHarness, counter: &mut FakeCounter, now: Time) {
     let actions = std::mem::take(&mut harness.actions);
     harness.now = now;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A harness that drives one gateway alone and records the actions that it returns, and what the tests build for it.
-// No test file uses all of it.
+//! Test support for the policy: a harness around one gateway, builders of settings and events, a fake counter, and a
+//! simulation of a fleet. Performs no I/O.
+// Each test file uses only a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod builders;
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -1,25 +1,27 @@
-//! A fleet of gateways on one clock, with endpoints that respond in 50 ms and a counter of a given capacity.
+//! Simulation of a fleet on one clock, with endpoints that respond in 50 ms and a counter of limited capacity.
 
 use super::{AttemptEnd, GatewayHarness};
 use oliverack::{Action, EndpointId, Event, RequestId, Seconds, Status, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time that an endpoint takes to respond.
+/// Response time of every endpoint.
 const RESPONSE_TIME: Seconds = 0.05;
 
-/// The counter service: it works off calls one by one.
+/// A counter that processes calls one after another at a fixed rate.
 pub struct CounterModel {
+    /// Calls that the counter processes per second.
     pub calls_per_second: f64,
-    /// Time on the network, there and back.
+    /// Network time of a call and its reply together.
     pub round_trip: Seconds,
-    /// Queueing time beyond which it rejects calls.
+    /// Queueing time beyond which the counter rejects calls.
     pub max_queue_time: Seconds,
     /// Time after which a gateway abandons a call.
     pub call_timeout: Seconds,
-    /// It replies to nobody before this moment.
+    /// Time before which the counter replies to no call.
     pub silent_until: Time,
+    /// Units in each count, by the name of the count.
     totals: BTreeMap<u64, f64>,
-    /// When it will have worked off its queue.
+    /// Time at which all queued calls will have been processed.
     idle_at: Time,
 }
 
@@ -41,12 +43,12 @@
         }
     }
 
-    /// Forgets all counts.
+    /// Deletes all counts.
     pub fn clear_totals(&mut self) {
         self.totals.clear();
     }
 
-    /// When a call that is made now ends, and how.
+    /// Processes a call made at `now`. Returns the time at which it ends, and the event that reports its result.
     fn call(&mut self, now: Time, counter: u64, amount: f64) -> (Time, Event) {
         let ended = |status, total, elapsed| {
             (now + elapsed, Event::CounterReplied { counter, status, total, elapsed })
@@ -70,53 +72,60 @@
     }
 }
 
-/// Orders pending events: the bits of their time, then the order in which they were scheduled.
+/// Sort key of pending events: the bits of the time, then the order in which the events were scheduled. The bits sort as
+/// the times do, because no time is negative.
 type ScheduleKey = (u64, u64);
 
-/// A fleet and its pending events: counter replies, responses and timers.
+/// A fleet with a counter, and the pending counter replies, responses and timers.
 pub struct Simulation {
     pub gateways: Vec<GatewayHarness>,
     pub counter: CounterModel,
     /// Pending events, each with the index of its gateway.
     pending: BTreeMap<ScheduleKey, (usize, Event)>,
     scheduled_count: u64,
-    /// Requests of which an attempt was started.
-    sent: BTreeSet<RequestId>,
+    /// Requests that have had an attempt.
+    sent_requests: BTreeSet<RequestId>,
 }
 
 impl Simulation {
     pub fn new(gateways: Vec<GatewayHarness>, counter: CounterModel) -> Self {
-        Self { gateways, counter, pending: BTreeMap::new(), scheduled_count: 0, sent: BTreeSet::new() }
+        Self {
+            gateways,
+            counter,
+            pending: BTreeMap::new(),
+            scheduled_count: 0,
+            sent_requests: BTreeSet::new(),
+        }
     }
 
-    /// Replaces a gateway that was killed by a new one.
+    /// Replaces a killed gateway by a new one and drops the pending events of the old one.
     pub fn restart(&mut self, gateway: usize, harness: GatewayHarness) {
         self.gateways[gateway] = harness;
         self.pending.retain(|_, (owner, _)| *owner != gateway);
     }
 
-    /// Delivers all events that are due by `now`; returns the requests that are sent for the first time.
+    /// Delivers all events that are due by `now`. Returns the requests that get their first attempt.
     pub fn advance(&mut self, now: Time) -> Vec<RequestId> {
-        let mut first_sends = Vec::new();
+        let mut first_attempts = Vec::new();
         while let Some(entry) = self.pending.first_entry().filter(|e| f64::from_bits(e.key().0) <= now) {
             let (gateway, event) = entry.remove();
-            first_sends.extend(self.handle(gateway, now, event));
+            first_attempts.extend(self.handle(gateway, now, event));
         }
-        first_sends
+        first_attempts
     }
 
-    /// Delivers an event to one gateway; returns the requests that it sends for the first time.
+    /// Delivers an event to one gateway. Returns the requests that get their first attempt.
     pub fn handle(&mut self, gateway: usize, now: Time, event: Event) -> Vec<RequestId> {
         let harness = &mut self.gateways[gateway];
         harness.now = now;
         let actions = harness.handle(event);
         harness.actions.clear();
-        let mut first_sends = Vec::new();
+        let mut first_attempts = Vec::new();
         for action in actions {
             let (at, event) = match action {
                 Action::StartAttempt { request_id, endpoint, .. } => {
-                    if self.sent.insert(request_id.clone()) {
-                        first_sends.push(request_id.clone());
+                    if self.sent_requests.insert(request_id.clone()) {
+                        first_attempts.push(request_id.clone());
                     }
                     (now + RESPONSE_TIME, response_event(&request_id, &endpoint))
                 }
@@ -127,7 +136,7 @@
             self.scheduled_count += 1;
             self.pending.insert((at.to_bits(), self.scheduled_count), (gateway, event));
         }
-        first_sends
+        first_attempts
     }
 }
 
