--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits of plans: slots, their share at one gateway, and the queue for them.
+//! Concurrency limits of plans: the slots that one gateway gets, and the queue of requests that wait for one.
 
 mod common;
 use common::{
@@ -7,8 +7,9 @@
 };
 use oliverack::{Action, Event, Request, Status};
 
-/// Six requests at once where this gateway's share of the concurrency limit is two slots; returns their actions, too.
-fn six_for_two_slots() -> (GatewayHarness, FakeCounter, Vec<Action>) {
+/// Sends six requests at once to a gateway with two of four concurrency slots. Returns the gateway, the counter and the
+/// resulting actions.
+fn send_six_requests_for_two_slots() -> (GatewayHarness, FakeCounter, Vec<Action>) {
     let mut settings = settings();
     settings.plans = vec![PlanBuilder::new(10.0, 20.0).max_concurrent_attempts(4).build()];
     let (mut harness, mut counter) = (GatewayHarness::new(settings), FakeCounter::default());
@@ -20,19 +21,19 @@
 }
 
 #[test]
-fn concurrency_limit_is_shared_evenly_and_leased_requests_queue() {
-    let (mut harness, mut counter, actions) = six_for_two_slots();
+fn requests_beyond_concurrency_slots_queue_until_one_frees() {
+    let (mut harness, mut counter, actions) = send_six_requests_for_two_slots();
     assert_eq!(
         (started_attempts(&actions).len(), rejected_count(&actions)),
         (2, 0),
         "two of four slots at one of two gateways"
     );
-    let mut actions = started_attempts(&actions);
-    for left in (0..6).rev() {
+    let mut running = started_attempts(&actions);
+    for remaining in (0..6).rev() {
         harness.now += 0.05;
-        let (request_id, endpoint) = actions.remove(0);
-        actions.extend(started_attempts(&harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok)));
-        assert_eq!(actions.len(), left.min(2), "each ended attempt frees a slot for one");
+        let (request_id, endpoint) = running.remove(0);
+        running.extend(started_attempts(&harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok)));
+        assert_eq!(running.len(), remaining.min(2), "each ended attempt frees a slot for one request");
     }
     assert_eq!(
         started_attempts(&counter.send_request(&mut harness, "k")).len(),
@@ -43,32 +44,37 @@
 
 #[test]
 fn concurrency_limit_shares_add_up_to_limit() {
-    for first in [0, 1] {
-        let at_once = |gateway_index: u32| {
+    for first_index in [0, 1] {
+        let sent_at_once = |gateway_index: u32| {
             let mut settings = settings();
             settings.gateway_index = gateway_index;
             settings.plans = vec![PlanBuilder::new(10.0, 20.0).max_concurrent_attempts(3).build()];
             let (mut harness, mut counter) = (GatewayHarness::new(settings), FakeCounter::default());
             let mut sent = 0;
             for i in 0..6 {
-                let request = Request { first_gateway: first, ..request(&format!("j{i}"), harness.now) };
+                let request =
+                    Request { first_gateway: first_index, ..request(&format!("j{i}"), harness.now) };
                 let actions = harness.handle(Event::Request(request));
                 sent += started_attempts(&actions).len()
                     + started_attempts(&counter.reply_to_calls(&mut harness, &actions)).len();
             }
             sent
         };
-        let (one, two) = (at_once(first), at_once(1 - first));
-        assert_eq!((one, two), (2, 1), "three at two gateways, of which number {first} is the first");
+        let (first, second) = (sent_at_once(first_index), sent_at_once(1 - first_index));
+        assert_eq!(
+            (first, second),
+            (2, 1),
+            "three slots at two gateways, the first with index {first_index}"
+        );
     }
 }
 
 #[test]
 fn queued_requests_are_rejected_when_no_slot_frees_in_time() {
-    let (mut harness, mut counter, actions) = six_for_two_slots();
+    let (mut harness, mut counter, actions) = send_six_requests_for_two_slots();
     let running = started_attempts(&actions);
     fire_timers(&mut harness, &mut counter, 100.5);
-    assert_eq!(rejected_count(&harness.actions), 4, "well within the latency objective of a second");
+    assert_eq!(rejected_count(&harness.actions), 4, "rejected well within the latency objective of 1 s");
     for (request_id, endpoint) in running {
         assert!(
             started_attempts(&harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok)).is_empty(),
@@ -77,20 +83,20 @@
     }
     assert!(
         counter_calls(&harness.send_request("k")).is_empty(),
-        "what was not sent was not spent: the lease covers the next"
+        "requests that were not sent took no units of the lease"
     );
 }
 
 #[test]
-fn request_with_too_long_expected_queue_time_is_rejected_at_once() {
-    let (mut harness, mut counter, actions) = six_for_two_slots();
+fn request_with_long_expected_queue_time_is_rejected_at_once() {
+    let (mut harness, mut counter, actions) = send_six_requests_for_two_slots();
     let (request_id, endpoint) = started_attempts(&actions).remove(0);
     harness.handle(AttemptEnd::new(&request_id, &endpoint).elapsed(0.7).event());
     let actions = counter.send_request(&mut harness, "late");
     assert_eq!(
         rejected_count(&actions),
         1,
-        "two slots, three queued before it, and responses take most of a second"
+        "two slots, three requests queued before, and a response time of 0.7 s"
     );
 }
 
@@ -105,8 +111,8 @@
     let first = started_attempts(&harness.send_request("a"));
     assert_eq!((first.len(), started_attempts(&harness.send_request("b")).len()), (1, 0));
     let freed = started_attempts(&harness.handle(Event::ResponseStarted { request_id: "a".into() }));
-    assert_eq!(freed.first().map(|(request_id, _)| &**request_id), Some("b"), "who waits goes");
-    assert_eq!(started_attempts(&harness.send_request("c")).len(), 0, "it is taken again");
+    assert_eq!(freed.first().map(|(request_id, _)| &**request_id), Some("b"), "the queued request is sent");
+    assert_eq!(started_attempts(&harness.send_request("c")).len(), 0, "the freed slot is in use again");
     // The end of the streamed response frees no further slot.
     assert_eq!(started_attempts(&harness.attempt_ended("a", 0, &first[0].1, Status::Ok)).len(), 0);
     assert_eq!(started_attempts(&harness.send_request("d")).len(), 0);
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -1,4 +1,4 @@
-//! What one gateway forgets, so that its memory stays bounded.
+//! One gateway forgets removed endpoints and idle customers, so that its memory stays bounded.
 
 mod common;
 use common::{
@@ -6,7 +6,7 @@
 };
 use oliverack::{Action, Effect, Event, Lifecycle, ListKind, Request, Status};
 
-/// A measure of the gateway's state: the length of its debug text.
+/// Returns the length of the gateway's debug text, as a measure of the size of its state.
 fn state_size(harness: &GatewayHarness) -> usize {
     format!("{:?}", harness.gateway).len()
 }
@@ -20,12 +20,16 @@
         harness.update_endpoints(ListKind::Changes, vec![endpoint(name, Lifecycle::Running, 0.0)]);
         harness.update_endpoints(ListKind::Changes, vec![endpoint(name, Lifecycle::Gone, 0.0)]);
     }
-    assert!(state_size(&harness) < before + 2000, "{} after {before}", state_size(&harness));
-    // A complete list may omit an endpoint too; it is kept until its last attempt has ended.
+    assert!(
+        state_size(&harness) < before + 2000,
+        "state of {} characters, {before} before",
+        state_size(&harness)
+    );
+    // An endpoint that a complete list omits is kept until its last attempt has ended.
     let (_, last) = started_attempts(&harness.send_request("j")).remove(0);
     harness.update_endpoints(ListKind::Full, vec![endpoint("d", Lifecycle::Running, 0.0)]);
     harness.attempt_ended("j", 0, &last, Status::Ok);
-    assert!(!harness.gateway.is_known_endpoint(&last), "{last} is still known");
+    assert!(!harness.gateway.is_known_endpoint(&last), "{last} is still known after its last attempt");
     assert_eq!(&*started_attempts(&harness.send_request("k"))[0].1, "d");
 }
 
@@ -46,13 +50,17 @@
                 Action::StartAttempt { request_id, endpoint, .. } => {
                     drop(harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok));
                 }
-                // Fired early, but no work is left for the timer.
+                // The timer fires early, but no work is left for it.
                 Action::SetTimer { token, .. } => drop(harness.handle(Event::Timer { token })),
                 _ => {}
             }
         }
     }
-    let (customers, most) = (format!("{:?}", harness.gateway).matches("once-").count(), 64);
-    assert!(customers <= 4 * most, "{customers} mentions of customers");
-    assert!(state_size(&harness) < before + 200_000, "{} after {before}", state_size(&harness));
+    let (mentions, max_customers) = (format!("{:?}", harness.gateway).matches("once-").count(), 64);
+    assert!(mentions <= 4 * max_customers, "customers are mentioned {mentions} times");
+    assert!(
+        state_size(&harness) < before + 200_000,
+        "state of {} characters, {before} before",
+        state_size(&harness)
+    );
 }
