--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -101,19 +101,20 @@
     let mut file = NamedTempFile::new().map_err(Error::system("writing the program's configuration"))?;
     let text = configuration(addresses, &entries).to_string();
     file.write_all(text.as_bytes()).map_err(Error::system("writing the program's configuration"))?;
-    let program = start(&arguments.program, file.path()).map_err(Error::system("starting the program"))?;
+    let program =
+        start_program(&arguments.program, file.path()).map_err(Error::system("starting the program"))?;
     println!("configuration: {}", file.path().display());
-    wait(KillOnDrop(program), arguments.seconds.map(Duration::from_secs))
+    wait_for_exit(KillOnDrop(program), arguments.seconds.map(Duration::from_secs))
         .map_err(Error::system("waiting for the program"))
 }
 
-fn start(program: &Path, configuration: &Path) -> io::Result<Child> {
+fn start_program(program: &Path, configuration: &Path) -> io::Result<Child> {
     let mut command = Command::new(program);
     command.env("NODE_CONFIG", configuration).env_remove("NODE_OPERATOR").env_remove("NODE_ACCEPT_FD");
     command.stdin(Stdio::null()).spawn()
 }
 
-fn wait(mut program: KillOnDrop, limit: Option<Duration>) -> io::Result<()> {
+fn wait_for_exit(mut program: KillOnDrop, limit: Option<Duration>) -> io::Result<()> {
     let started = Instant::now();
     while program.0.try_wait()?.is_none() && limit.is_none_or(|limit| started.elapsed() < limit) {
         thread::sleep(EXIT_POLL_INTERVAL);
--- a/lab/src/process/bounds.rs
+++ b/lab/src/process/bounds.rs
@@ -1,6 +1,6 @@
 //! The bounds that a checked run compares its report with.
 
-use super::report::{Axis, Metric, Report, RowFailure, Subject, Summary};
+use super::report::{Axis, Metric, Report, RowFailure, RowKey, Summary};
 use std::fmt;
 
 /// The count of endpoints at which the bounds hold.
@@ -41,7 +41,7 @@
 }
 
 impl Statistic {
-    fn of(self, summary: Summary) -> Option<f64> {
+    fn select(self, summary: Summary) -> Option<f64> {
         match self {
             Self::Median => Some(summary.median),
             Self::Highest => Some(summary.highest),
@@ -70,7 +70,7 @@
 }
 
 impl Limit {
-    fn holds(self, value: f64) -> bool {
+    fn is_kept_by(self, value: f64) -> bool {
         match self {
             Self::AtMost(limit) => value <= limit,
             Self::Below(limit) => value < limit,
@@ -103,7 +103,7 @@
 pub enum CheckFailure {
     /// The value of a row violates a bound, or was not measured.
     #[error(
-        "{subject}: {}, {}: {}, bound {}",
+        "{row_key}: {}, {}: {}, bound {}",
         .bound.metric.title(),
         .bound.statistic,
         value_text(*.value),
@@ -111,7 +111,7 @@
     )]
     Violated {
         /// The row.
-        subject: Subject,
+        row_key: RowKey,
         /// The bound.
         bound: Bound,
         /// The value; `None` if it was not measured.
@@ -128,18 +128,18 @@
 }
 
 /// The row that the bounds are for, in a run with this count of gateways.
-pub fn bounded_subject(gateways: u32) -> Subject {
-    Subject { axis: Axis::Endpoints, gateways, size: BOUND_SIZE }
+pub fn bounded_row_key(gateways: u32) -> RowKey {
+    RowKey { axis: Axis::Endpoints, gateways, size: BOUND_SIZE }
 }
 
 /// Compares the values of rows with their bounds. Each failed row of the report is a failure of the check, too.
-pub fn check(report: &Report, bounds: impl IntoIterator<Item = (Subject, Bound)>) -> Vec<CheckFailure> {
-    let violated = bounds.into_iter().filter_map(|(subject, bound)| violation(report, subject, bound));
+pub fn check(report: &Report, bounds: impl IntoIterator<Item = (RowKey, Bound)>) -> Vec<CheckFailure> {
+    let violated = bounds.into_iter().filter_map(|(row_key, bound)| violation(report, row_key, bound));
     violated.chain(report.failures().map(CheckFailure::Row)).collect()
 }
 
-fn violation(report: &Report, subject: Subject, bound: Bound) -> Option<CheckFailure> {
-    let value = report.summary(subject, bound.metric).and_then(|summary| bound.statistic.of(summary));
-    let holds = value.is_some_and(|value| bound.limit.holds(value));
-    (!holds).then_some(CheckFailure::Violated { subject, bound, value })
+fn violation(report: &Report, row_key: RowKey, bound: Bound) -> Option<CheckFailure> {
+    let value = report.summary(row_key, bound.metric).and_then(|summary| bound.statistic.select(summary));
+    let is_kept = value.is_some_and(|value| bound.limit.is_kept_by(value));
+    (!is_kept).then_some(CheckFailure::Violated { row_key, bound, value })
 }
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -34,7 +34,7 @@
     /// Address of the counter; `None` for a program without one.
     pub counter: Option<SocketAddr>,
     /// The endpoint list at the start.
-    pub known: Value,
+    pub initial_list: Value,
     /// Gateways in the settings.
     pub gateways: u32,
     /// Memory limit, in MiB.
@@ -49,7 +49,7 @@
 pub const CLASS: &str = "lookup";
 
 impl Configuration {
-    fn file(&self) -> Value {
+    fn to_json(&self) -> Value {
         json!({
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -57,7 +57,7 @@
             "seed": "8c1f30d27a5be964",
             "counter": self.counter,
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": 1024},
-            "known": self.known,
+            "known": self.initial_list,
             "settings": self.settings(),
         })
     }
@@ -119,14 +119,14 @@
         let mut child = KillOnDrop(child);
         let stderr = child.0.stderr.take().ok_or(Error::ProcField("log of the program"))?;
         let log = Log::default();
-        let (bound, address) = channel();
-        let kept = log.clone();
-        thread::spawn(move || follow_log(stderr, &kept, &bound));
+        let (address_sender, address) = channel();
+        let thread_log = log.clone();
+        thread::spawn(move || follow_log(stderr, &thread_log, &address_sender));
         let address = address.recv_timeout(START_TIMEOUT).map_err(|error| match error {
             RecvTimeoutError::Timeout => {
                 Error::TimedOut { event: "the program's listening socket", limit: START_TIMEOUT }
             }
-            RecvTimeoutError::Disconnected => Error::ProgramEnded(last_line(&log)),
+            RecvTimeoutError::Disconnected => Error::ProgramEnded(last_log_line(&log)),
         })?;
         Ok(Self { address, child, log, _configuration: file })
     }
@@ -150,34 +150,34 @@
     }
 
     /// The last line of its log; empty if there is none.
-    pub fn last_line(&self) -> String {
-        last_line(&self.log)
+    pub fn last_log_line(&self) -> String {
+        last_log_line(&self.log)
     }
 }
 
-fn last_line(log: &Log) -> String {
+fn last_log_line(log: &Log) -> String {
     log.lock().unwrap_or_else(PoisonError::into_inner).back().cloned().unwrap_or_default()
 }
 
 fn write_configuration(configuration: &Configuration) -> std::io::Result<NamedTempFile> {
     let mut file = NamedTempFile::new()?;
-    file.write_all(configuration.file().to_string().as_bytes())?;
+    file.write_all(configuration.to_json().to_string().as_bytes())?;
     file.flush()?;
     Ok(file)
 }
 
 /// The address that a line of the log says the program listens on: its last word, or the value of its last field. Both
 /// are accepted, so that builds with an older format of the log can be compared.
-fn bound_address(line: &str) -> Option<SocketAddr> {
+fn listen_address(line: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once(LISTEN_MARKER)?;
     rest.rsplit([' ', '=']).next()?.trim().parse().ok()
 }
 
 /// Stores the last lines of the log, and sends the address on which the program listens.
-fn follow_log(stderr: ChildStderr, log: &Log, bound: &Sender<SocketAddr>) {
+fn follow_log(stderr: ChildStderr, log: &Log, address_sender: &Sender<SocketAddr>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-        if let Some(address) = bound_address(&line) {
-            let _ = bound.send(address);
+        if let Some(address) = listen_address(&line) {
+            let _ = address_sender.send(address);
         }
         let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
         if log.len() == MAX_LOG_LINES {
--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -5,7 +5,7 @@
     Error,
     bounds::BOUND_MEMORY_MB,
     program_row::{MICROSECONDS_PER_SECOND, Row, TestBed},
-    report::{Axis, BASE_SIZE, Subject},
+    report::{Axis, BASE_SIZE, RowKey},
     stand_in_discovery::ListFormat,
 };
 use std::path::{Path, PathBuf};
@@ -57,11 +57,11 @@
         if !program.is_file() {
             return Err(Error::ProgramMissing(program.to_owned()));
         }
-        let subject =
-            Subject { axis: Axis::Endpoints, gateways: arguments.gateways, size: arguments.endpoints };
+        let row_key =
+            RowKey { axis: Axis::Endpoints, gateways: arguments.gateways, size: arguments.endpoints };
         let row = Row {
             program,
-            subject,
+            row_key,
             requests: arguments.requests,
             connections: arguments.connections,
             changes: 0,
--- a/lab/src/process/error.rs
+++ b/lab/src/process/error.rs
@@ -43,7 +43,7 @@
     ProgramEnded(String),
     /// The program did not accept an endpoint list; the text is the last line of its log.
     #[error("the list was not taken in; last log line: {0}")]
-    ListNotTaken(String),
+    ListNotApplied(String),
     /// The program used more memory than its limit.
     #[error(
         "peak memory of {} KiB is over the limit of {} KiB",
@@ -65,14 +65,16 @@
         sent: u64,
     },
     /// Too few requests led to a counter call for a row of tenants to show its cost.
-    #[error("the counter was called {calls} times in {sent} requests, fewer than {least} a request")]
+    #[error(
+        "the counter was called {calls} times in {sent} requests, fewer than {min_calls_per_request} a request"
+    )]
     TooFewCounterCalls {
         /// Calls of the counter.
         calls: u64,
         /// Requests sent.
         sent: u64,
         /// Calls a request that are needed at least.
-        least: f64,
+        min_calls_per_request: f64,
     },
     /// A request costs too much of the baseline's processor time.
     #[error("the ratio of {ratio:.4} is over {bound}")]
--- a/lab/src/process/http.rs
+++ b/lab/src/process/http.rs
@@ -32,26 +32,26 @@
 ///
 /// # Errors
 /// The stream fails, or the message is malformed.
-pub fn read_message(from: &mut impl BufRead) -> io::Result<Option<Message>> {
+pub fn read_message(reader: &mut impl BufRead) -> io::Result<Option<Message>> {
     let mut message = Message::default();
-    if from.read_line(&mut message.start_line)? == 0 {
+    if reader.read_line(&mut message.start_line)? == 0 {
         return Ok(None);
     }
     message.start_line.truncate(message.start_line.trim_end().len());
-    let length = read_headers(from)?;
+    let length = read_headers(reader)?;
     message.body.resize(length, 0);
-    from.read_exact(&mut message.body)?;
+    reader.read_exact(&mut message.body)?;
     Ok(Some(message))
 }
 
 /// Reads the headers and returns the length of the body.
-fn read_headers(from: &mut impl BufRead) -> io::Result<usize> {
+fn read_headers(reader: &mut impl BufRead) -> io::Result<usize> {
     let malformed = |text| io::Error::new(io::ErrorKind::InvalidData, text);
     let mut length = 0;
     let mut line = String::new();
     loop {
         line.clear();
-        if from.read_line(&mut line)? == 0 {
+        if reader.read_line(&mut line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let text = line.trim_end();
--- a/lab/src/process/load.rs
+++ b/lab/src/process/load.rs
@@ -29,7 +29,7 @@
     /// How many requests are sent.
     pub requests: u64,
     /// How many were sent before; the tenants take turns after them.
-    pub before: u64,
+    pub sent_before: u64,
     /// Connections on which they are sent.
     pub connections: u64,
     /// Tenants with a quota, which take turns; `None` for one tenant without a quota.
@@ -53,13 +53,13 @@
     /// # Errors
     /// A connection fails.
     pub fn run(&self, address: SocketAddr) -> Result<LoadResult, Error> {
-        let share = self.requests.div_ceil(self.connections);
+        let requests_per_client = self.requests.div_ceil(self.connections);
         let clients: Vec<_> = (0..self.connections)
             .map(|client| {
                 let load = *self;
-                let first = (client * share).min(load.requests);
-                let last = (first + share).min(load.requests);
-                thread::spawn(move || load.run_client(address, first..last))
+                let start = (client * requests_per_client).min(load.requests);
+                let end = (start + requests_per_client).min(load.requests);
+                thread::spawn(move || load.run_client(address, start..end))
             })
             .collect();
         let mut total = LoadResult::default();
@@ -80,22 +80,22 @@
         let mut result = LoadResult::default();
         for number in requests {
             socket.write_all(self.request(number).as_bytes())?;
-            let answer = http::read_message(&mut reader)?.ok_or(io::ErrorKind::UnexpectedEof)?;
+            let response = http::read_message(&mut reader)?.ok_or(io::ErrorKind::UnexpectedEof)?;
             result.sent += 1;
-            result.served += u64::from(answer.status() == Some(200));
+            result.served += u64::from(response.status() == Some(200));
         }
         Ok(result)
     }
 
     fn request(&self, number: u64) -> String {
-        let transaction = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
+        let transaction_id = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
         let plan = if self.metered_tenants.is_some() { PLAN_METERED } else { PLAN_FREE };
-        let tenant = (self.before + number) % self.metered_tenants.unwrap_or(1).max(1);
-        let customer_gateway_count = GATEWAYS_PER_TENANT.min(self.gateways);
+        let tenant = (self.sent_before + number) % self.metered_tenants.unwrap_or(1).max(1);
+        let tenant_gateway_count = GATEWAYS_PER_TENANT.min(self.gateways);
         format!(
-            "GET /{CLASS} HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {transaction:016x}\r\nX-Lane: {CLASS}\r\n\
+            "GET /{CLASS} HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {transaction_id:016x}\r\nX-Lane: {CLASS}\r\n\
              X-Plan: {plan}\r\nX-Customer: {tenant:016x}\r\nX-Remaining: 4.0\r\n\
-             X-Quota: units=1,spread={customer_gateway_count},first=0\r\n\r\n"
+             X-Quota: units=1,spread={tenant_gateway_count},first=0\r\n\r\n"
         )
     }
 }
--- a/lab/src/process/mod.rs
+++ b/lab/src/process/mod.rs
@@ -27,12 +27,12 @@
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
     #[command(subcommand)]
-    part: Part,
+    benchmark: Benchmark,
 }
 
 /// What is measured.
 #[derive(Debug, clap::Subcommand)]
-enum Part {
+enum Benchmark {
     /// Measures the built program, as a child process against stand-ins on loopback.
     Program(program::Arguments),
     /// Measures the policy alone, inside this process: processor time and bytes of state.
@@ -47,9 +47,9 @@
 /// Arguments that cannot be used, a report that cannot be written, and bounds that a checked run has violated. Rows
 /// that could not be measured are part of the report, and no errors.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
-    match &arguments.part {
-        Part::Program(arguments) => program::run(arguments),
-        Part::Policy(arguments) => policy::run(arguments),
-        Part::Compare(arguments) => compare::run(arguments),
+    match &arguments.benchmark {
+        Benchmark::Program(arguments) => program::run(arguments),
+        Benchmark::Policy(arguments) => policy::run(arguments),
+        Benchmark::Compare(arguments) => compare::run(arguments),
     }
 }
--- a/lab/src/process/policy.rs
+++ b/lab/src/process/policy.rs
@@ -6,7 +6,7 @@
     policy_driver::{Driver, Scenario},
     policy_memory,
     program_row::MICROSECONDS_PER_SECOND,
-    report::{Axis, Metric, Report, Subject},
+    report::{Axis, Metric, Report, RowKey},
     rounds::{CHECK_POSITION, RoundArguments, TENANT_ROW_ENDPOINTS},
 };
 use cpu_time::ThreadTime;
@@ -30,7 +30,7 @@
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
     #[command(flatten)]
-    shared: RoundArguments,
+    round_arguments: RoundArguments,
     /// Counts of gateways in the settings; the rows of workers are measured at each, those of tenants at the largest.
     #[arg(long, value_delimiter = ',', default_value = "1,100,680")]
     gateways: Vec<u32>,
@@ -55,7 +55,7 @@
         if self.rounds == 0 || self.requests == 0 || self.changes == 0 {
             return Err(Error::InvalidArgument("rounds, requests and changes must be above 0"));
         }
-        self.shared.check_sizes()?;
+        self.round_arguments.check_sizes()?;
         if self.gateways.is_empty() || self.gateways.contains(&0) {
             return Err(Error::InvalidArgument("counts of gateways must be above 0"));
         }
@@ -64,7 +64,7 @@
 
     /// Checks that the run measures what the bounds are for.
     fn check_bounded(&self) -> Result<(), Error> {
-        self.shared.check_has_bounded_rows()?;
+        self.round_arguments.check_has_bounded_rows()?;
         // The subset of a single gateway is all endpoints, so none is outside it.
         if self.gateways.iter().all(|gateways| *gateways == 1) {
             return Err(Error::InvalidArgument("a checked run needs a count of gateways above 1"));
@@ -72,28 +72,27 @@
         Ok(())
     }
 
-    fn subjects(&self) -> Vec<Subject> {
-        let mut subjects = Vec::new();
-        for size in &self.shared.endpoints {
-            let subject =
-                |gateways: &u32| Subject { axis: Axis::Endpoints, gateways: *gateways, size: *size };
-            subjects.extend(self.gateways.iter().map(subject));
+    fn row_keys(&self) -> Vec<RowKey> {
+        let mut row_keys = Vec::new();
+        for size in &self.round_arguments.endpoints {
+            let row_key = |gateways: &u32| RowKey { axis: Axis::Endpoints, gateways: *gateways, size: *size };
+            row_keys.extend(self.gateways.iter().map(row_key));
         }
         let gateways = self.gateways.iter().copied().max().unwrap_or(1);
-        let subject = |size: &usize| Subject { axis: Axis::Tenants, gateways, size: *size };
-        subjects.extend(self.shared.tenants.iter().map(subject));
-        subjects
+        let row_key = |size: &usize| RowKey { axis: Axis::Tenants, gateways, size: *size };
+        row_keys.extend(self.round_arguments.tenants.iter().map(row_key));
+        row_keys
     }
 
     /// The bounds that a checked run has to keep.
-    fn bounds(&self) -> Vec<(Subject, Bound)> {
+    fn bounds(&self) -> Vec<(RowKey, Bound)> {
         let mut bounds = Vec::new();
         for gateways in &self.gateways {
-            let subject = bounds::bounded_subject(*gateways);
-            bounds.push((subject, bounds::CHANGE));
+            let row_key = bounds::bounded_row_key(*gateways);
+            bounds.push((row_key, bounds::CHANGE));
             // The subset of a single gateway is all endpoints.
             if *gateways > 1 {
-                bounds.push((subject, bounds::OUTSIDE_STATE));
+                bounds.push((row_key, bounds::OUTSIDE_STATE));
             }
         }
         bounds
@@ -107,19 +106,19 @@
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     arguments.check_values()?;
     let report = measure(arguments);
-    arguments.shared.publish("policy", &report, arguments.check.then(|| arguments.bounds()))
+    arguments.round_arguments.publish("policy", &report, arguments.check.then(|| arguments.bounds()))
 }
 
 fn measure(arguments: &Arguments) -> Report {
-    let measure_row = |round, subject, report: &mut Report| {
+    let measure_row = |round, row_key, report: &mut Report| {
         // The state is the same in every round.
-        measure_row(arguments, subject, round == 0, report)
+        measure_row(arguments, row_key, round == 0, report)
     };
-    let mut report = arguments.shared.measure(arguments.rounds, &arguments.subjects(), measure_row);
-    if policy_memory::is_counted() {
+    let mut report = arguments.round_arguments.measure(arguments.rounds, &arguments.row_keys(), measure_row);
+    if policy_memory::is_allocation_counted() {
         if let Err(error) = policy_memory::measure_open_requests(OPEN_REQUEST_ENDPOINTS, &mut report) {
-            let subject = Subject { axis: Axis::Endpoints, gateways: 1, size: OPEN_REQUEST_ENDPOINTS };
-            report.fail(subject, &error);
+            let row_key = RowKey { axis: Axis::Endpoints, gateways: 1, size: OPEN_REQUEST_ENDPOINTS };
+            report.record_failure(row_key, &error);
         }
     }
     report
@@ -128,34 +127,35 @@
 /// Measures the times of one row, and the bytes of its state if `measures_memory`.
 fn measure_row(
     arguments: &Arguments,
-    subject: Subject,
+    row_key: RowKey,
     measures_memory: bool,
     report: &mut Report,
 ) -> Result<(), Error> {
-    let metered = subject.axis == Axis::Tenants;
-    let (endpoints, tenants) = if metered { (TENANT_ROW_ENDPOINTS, subject.size) } else { (subject.size, 1) };
-    let mut driver = Driver::new(Scenario { gateways: subject.gateways, tenants, metered })?;
-    driver.list(endpoints);
-    let warm_up = if metered { tenants } else { WARM_UP_REQUESTS };
+    let is_metered = row_key.axis == Axis::Tenants;
+    let (endpoints, tenants) =
+        if is_metered { (TENANT_ROW_ENDPOINTS, row_key.size) } else { (row_key.size, 1) };
+    let mut driver = Driver::new(Scenario { gateways: row_key.gateways, tenants, is_metered })?;
+    driver.update_list(endpoints);
+    let warm_up = if is_metered { tenants } else { WARM_UP_REQUESTS };
     for _ in 0..warm_up {
-        driver.request();
+        driver.complete_request();
     }
-    measure_requests(arguments, subject, &mut driver, report);
-    if metered {
-        measure_sweeps(subject, &mut driver, report);
+    measure_requests(arguments, row_key, &mut driver, report);
+    if is_metered {
+        measure_sweeps(row_key, &mut driver, report);
     } else {
-        measure_changes(arguments, subject, &mut driver, report);
+        measure_changes(arguments, row_key, &mut driver, report);
     }
-    match (measures_memory && policy_memory::is_counted(), subject.axis) {
-        (true, Axis::Endpoints) => policy_memory::measure_endpoints(subject, report),
-        (true, Axis::Tenants) => policy_memory::measure_tenants(subject, TENANT_ROW_ENDPOINTS, report),
+    match (measures_memory && policy_memory::is_allocation_counted(), row_key.axis) {
+        (true, Axis::Endpoints) => policy_memory::measure_endpoints(row_key, report),
+        (true, Axis::Tenants) => policy_memory::measure_tenants(row_key, TENANT_ROW_ENDPOINTS, report),
         (false, _) => Ok(()),
     }
 }
 
 /// Repeats `work` up to `max_repetitions` times within the time limit of a batch. Returns the mean processor time of a
 /// repetition, in microseconds.
-fn batch(max_repetitions: usize, mut work: impl FnMut(usize)) -> f64 {
+fn measure_batch(max_repetitions: usize, mut work: impl FnMut(usize)) -> f64 {
     let started = ThreadTime::now();
     let mut done = 0;
     while done < max_repetitions {
@@ -169,41 +169,41 @@
 }
 
 /// Measures requests from their arrival to their response, and then the timers that they have set.
-fn measure_requests(arguments: &Arguments, subject: Subject, driver: &mut Driver, report: &mut Report) {
+fn measure_requests(arguments: &Arguments, row_key: RowKey, driver: &mut Driver, report: &mut Report) {
     let (mut served, mut sent) = (0_u64, 0_u64);
-    let micros = batch(arguments.requests, |_| {
-        served += u64::from(driver.request());
+    let micros = measure_batch(arguments.requests, |_| {
+        served += u64::from(driver.complete_request());
         sent += 1;
     });
-    report.record(subject, Metric::RequestProcessorMicros, micros);
-    report.record(subject, Metric::ServedShare, served as f64 / sent as f64);
+    report.record(row_key, Metric::RequestProcessorMicros, micros);
+    report.record(row_key, Metric::ServedShare, served as f64 / sent as f64);
     driver.advance(TIMER_DELAY);
     // The oldest timer is the sweep over the tenants, set at the start; it sets the next one.
     driver.deliver_timer();
-    let timers = driver.timers().saturating_sub(1);
+    let timers = driver.pending_timers().saturating_sub(1);
     if timers > 0 {
-        let micros = batch(timers, |_| {
+        let micros = measure_batch(timers, |_| {
             driver.deliver_timer();
         });
-        report.record(subject, Metric::TimerProcessorMicros, micros);
+        report.record(row_key, Metric::TimerProcessorMicros, micros);
     }
-    while driver.timers() > 1 && driver.deliver_timer() {}
+    while driver.pending_timers() > 1 && driver.deliver_timer() {}
 }
 
 /// Measures changes of one entry: endpoints all over the list drain and are back.
-fn measure_changes(arguments: &Arguments, subject: Subject, driver: &mut Driver, report: &mut Report) {
-    let micros = batch(arguments.changes, |change| {
-        let number = change / 2 * subject.size / arguments.changes.div_ceil(2);
+fn measure_changes(arguments: &Arguments, row_key: RowKey, driver: &mut Driver, report: &mut Report) {
+    let micros = measure_batch(arguments.changes, |change| {
+        let number = change / 2 * row_key.size / arguments.changes.div_ceil(2);
         let lifecycle = if change % 2 == 0 { Lifecycle::Draining } else { Lifecycle::Running };
-        driver.change(number, lifecycle);
+        driver.change_endpoint(number, lifecycle);
     });
-    report.record(subject, Metric::ChangeProcessorMicros, micros);
+    report.record(row_key, Metric::ChangeProcessorMicros, micros);
 }
 
 /// Measures sweeps over the tenants: the only timer that is left, which each sweep sets again.
-fn measure_sweeps(subject: Subject, driver: &mut Driver, report: &mut Report) {
-    let micros = batch(SWEEP_COUNT, |_| {
+fn measure_sweeps(row_key: RowKey, driver: &mut Driver, report: &mut Report) {
+    let micros = measure_batch(SWEEP_COUNT, |_| {
         driver.deliver_timer();
     });
-    report.record(subject, Metric::SweepProcessorMicros, micros);
+    report.record(row_key, Metric::SweepProcessorMicros, micros);
 }
--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -30,8 +30,8 @@
 pub struct Driver {
     gateway: Gateway,
     now: Time,
-    metered: bool,
-    customer_gateway_count: u32,
+    is_metered: bool,
+    tenant_gateway_count: u32,
     requests: u64,
     tenants: Vec<CustomerId>,
     counter_totals: HashMap<u64, f64>,
@@ -56,23 +56,23 @@
     /// Tenants, which take turns.
     pub tenants: usize,
     /// True if the tenants have a quota and there is a counter.
-    pub metered: bool,
+    pub is_metered: bool,
 }
 
 impl Scenario {
     fn settings(self) -> Settings {
         let mut class = Class::default();
         class.latency_objective = 2.0;
-        let mut metered = Plan::default();
-        metered.rate = 1000.0;
-        metered.burst = 2000.0;
-        metered.priority_weight = 1.0;
-        metered.over_quota_cost_share = 1.0;
+        let mut metered_plan = Plan::default();
+        metered_plan.rate = 1000.0;
+        metered_plan.burst = 2000.0;
+        metered_plan.priority_weight = 1.0;
+        metered_plan.over_quota_cost_share = 1.0;
         let mut settings = Settings::default();
         settings.gateway_count = self.gateways;
         settings.classes = vec![class];
-        settings.plans = vec![Plan::default(), metered];
-        settings.has_counter = self.metered;
+        settings.plans = vec![Plan::default(), metered_plan];
+        settings.has_counter = self.is_metered;
         settings.hedging_enabled = true;
         settings.max_attempts = 3;
         settings
@@ -100,8 +100,8 @@
         Ok(Self {
             gateway,
             now: 1.0,
-            metered: scenario.metered,
-            customer_gateway_count: GATEWAYS_PER_TENANT.min(scenario.gateways),
+            is_metered: scenario.is_metered,
+            tenant_gateway_count: GATEWAYS_PER_TENANT.min(scenario.gateways),
             requests: 0,
             tenants,
             counter_totals: HashMap::new(),
@@ -113,27 +113,27 @@
 
     /// Notifies the gateway of a complete list, as at its start. This also sets the timer of its sweeps, which
     /// [`Driver::deliver_timer`] delivers first.
-    pub fn list(&mut self, endpoints: usize) {
+    pub fn update_list(&mut self, endpoints: usize) {
         let endpoints = (0..endpoints).map(|number| endpoint(number, Lifecycle::Running)).collect();
         self.handle(Event::EndpointsUpdated { kind: ListKind::Stale, endpoints });
     }
 
     /// Notifies the gateway of the change of one entry.
-    pub fn change(&mut self, number: usize, lifecycle: Lifecycle) {
+    pub fn change_endpoint(&mut self, number: usize, lifecycle: Lifecycle) {
         self.now += REQUEST_SPACING;
         let endpoints = vec![endpoint(number, lifecycle)];
         self.handle(Event::EndpointsUpdated { kind: ListKind::Changes, endpoints });
     }
 
     /// One request, from its arrival to its response. Returns whether it was served.
-    pub fn request(&mut self) -> bool {
+    pub fn complete_request(&mut self) -> bool {
         self.open_request();
         self.now += RESPONSE_TIME;
         self.serve_all(None)
     }
 
-    /// Like [`Driver::request`]; adds the endpoints that were reached.
-    pub fn request_and_record(&mut self, reached: &mut BTreeSet<EndpointId>) -> bool {
+    /// Like [`Driver::complete_request`]; adds the endpoints that were reached.
+    pub fn complete_request_and_record(&mut self, reached: &mut BTreeSet<EndpointId>) -> bool {
         self.open_request();
         self.now += RESPONSE_TIME;
         self.serve_all(Some(reached))
@@ -148,8 +148,8 @@
             id: format!("{:016x}", self.requests).into(),
             units: 1.0,
             deadline: self.now + CLIENT_DEADLINE,
-            plan: if self.metered { PLAN_METERED } else { PLAN_FREE },
-            customer_gateway_count: self.customer_gateway_count,
+            plan: if self.is_metered { PLAN_METERED } else { PLAN_FREE },
+            customer_gateway_count: self.tenant_gateway_count,
             first_gateway: 0,
             class: 0,
             customer: self.tenants[tenant].clone(),
@@ -193,7 +193,7 @@
     }
 
     /// How many timers have not been delivered.
-    pub fn timers(&self) -> usize {
+    pub fn pending_timers(&self) -> usize {
         self.timers.len()
     }
 
--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -6,7 +6,7 @@
 use super::{
     Error,
     policy_driver::{Driver, Scenario},
-    report::{Axis, Metric, Report, Subject},
+    report::{Axis, Metric, Report, RowKey},
 };
 use oliverack::Seconds;
 use stats_alloc::INSTRUMENTED_SYSTEM;
@@ -24,42 +24,42 @@
 const TIMER_DELAY: Seconds = 1.0;
 
 /// Bytes that are allocated now; `None` if the allocator does not count.
-fn allocated() -> Option<isize> {
+fn allocated_bytes() -> Option<isize> {
     let stats = INSTRUMENTED_SYSTEM.stats();
     (stats.allocations > 0).then(|| stats.bytes_allocated.wrapping_sub(stats.bytes_deallocated) as isize)
 }
 
 /// Bytes that `work` allocated and did not free.
-fn growth(work: impl FnOnce()) -> Option<f64> {
-    let before = allocated()?;
+fn measure_growth(work: impl FnOnce()) -> Option<f64> {
+    let before = allocated_bytes()?;
     work();
-    Some((allocated()? - before) as f64)
+    Some((allocated_bytes()? - before) as f64)
 }
 
 /// True if this program counts the bytes that it allocates.
-pub fn is_counted() -> bool {
-    allocated().is_some()
+pub fn is_allocation_counted() -> bool {
+    allocated_bytes().is_some()
 }
 
 /// Records the bytes of an endpoint inside and outside the gateway's subset.
 ///
 /// # Errors
 /// The policy rejects the settings.
-pub fn measure_endpoints(subject: Subject, report: &mut Report) -> Result<(), Error> {
-    let scenario = Scenario { gateways: subject.gateways, tenants: 1, metered: false };
+pub fn measure_endpoints(row_key: RowKey, report: &mut Report) -> Result<(), Error> {
+    let scenario = Scenario { gateways: row_key.gateways, tenants: 1, is_metered: false };
     // The subset of a single gateway is all endpoints.
     let mut single = Driver::new(Scenario { gateways: 1, ..scenario })?;
-    let Some(all_inside) = growth(|| single.list(subject.size)) else { return Ok(()) };
-    let inside = all_inside / subject.size as f64;
+    let Some(all_inside) = measure_growth(|| single.update_list(row_key.size)) else { return Ok(()) };
+    let inside = all_inside / row_key.size as f64;
     let mut driver = Driver::new(scenario)?;
-    let Some(idle) = growth(|| driver.list(subject.size)) else { return Ok(()) };
-    let subset = reach_subset(subject, driver);
+    let Some(idle) = measure_growth(|| driver.update_list(row_key.size)) else { return Ok(()) };
+    let subset = reach_whole_subset(row_key, driver);
     let added = subset.added_bytes / subset.size.max(1) as f64;
-    report.record(subject, Metric::EndpointInsideBytes, inside);
-    report.record(subject, Metric::EndpointAnsweredBytes, inside + added);
-    if subset.size < subject.size && subject.gateways > 1 {
-        let outside = (idle - subset.size as f64 * inside) / (subject.size - subset.size) as f64;
-        report.record(subject, Metric::EndpointOutsideBytes, outside);
+    report.record(row_key, Metric::EndpointInsideBytes, inside);
+    report.record(row_key, Metric::EndpointRespondedBytes, inside + added);
+    if subset.size < row_key.size && row_key.gateways > 1 {
+        let outside = (idle - subset.size as f64 * inside) / (row_key.size - subset.size) as f64;
+        report.record(row_key, Metric::EndpointOutsideBytes, outside);
     }
     Ok(())
 }
@@ -72,40 +72,40 @@
 }
 
 /// Sends requests until almost certainly each endpoint of the subset has responded.
-fn reach_subset(subject: Subject, mut driver: Driver) -> RespondedSubset {
-    let requests = (REQUESTS_PER_ENDPOINT * subject.size).clamp(MIN_REQUESTS, MAX_REQUESTS);
+fn reach_whole_subset(row_key: RowKey, mut driver: Driver) -> RespondedSubset {
+    let requests = (REQUESTS_PER_ENDPOINT * row_key.size).clamp(MIN_REQUESTS, MAX_REQUESTS);
     let mut reached = BTreeSet::new();
     // The state of the tenant and its plan must not be counted as that of endpoints.
-    driver.request();
-    let before = allocated().unwrap_or_default();
+    driver.complete_request();
+    let before = allocated_bytes().unwrap_or_default();
     for _ in 0..requests {
-        driver.request_and_record(&mut reached);
+        driver.complete_request_and_record(&mut reached);
     }
     driver.advance(TIMER_DELAY);
-    while driver.timers() > 1 && driver.deliver_timer() {}
+    while driver.pending_timers() > 1 && driver.deliver_timer() {}
     driver.shrink();
     let size = reached.len();
     // The set of ids must not be counted as state of the gateway.
     drop(reached);
-    RespondedSubset { size, added_bytes: (allocated().unwrap_or_default() - before) as f64 }
+    RespondedSubset { size, added_bytes: (allocated_bytes().unwrap_or_default() - before) as f64 }
 }
 
 /// Records the bytes of a tenant.
 ///
 /// # Errors
 /// The policy rejects the settings.
-pub fn measure_tenants(subject: Subject, endpoints: usize, report: &mut Report) -> Result<(), Error> {
+pub fn measure_tenants(row_key: RowKey, endpoints: usize, report: &mut Report) -> Result<(), Error> {
     let mut driver =
-        Driver::new(Scenario { gateways: subject.gateways, tenants: subject.size, metered: true })?;
-    driver.list(endpoints);
-    let grown = growth(|| {
-        for _ in 0..subject.size {
-            driver.request();
+        Driver::new(Scenario { gateways: row_key.gateways, tenants: row_key.size, is_metered: true })?;
+    driver.update_list(endpoints);
+    let grown = measure_growth(|| {
+        for _ in 0..row_key.size {
+            driver.complete_request();
         }
         driver.shrink();
     });
     if let Some(grown) = grown {
-        report.record(subject, Metric::TenantBytes, grown / subject.size as f64);
+        report.record(row_key, Metric::TenantBytes, grown / row_key.size as f64);
     }
     Ok(())
 }
@@ -115,20 +115,20 @@
 /// # Errors
 /// The policy rejects the settings.
 pub fn measure_open_requests(endpoints: usize, report: &mut Report) -> Result<(), Error> {
-    let subject = Subject { axis: Axis::Endpoints, gateways: 1, size: endpoints };
-    let mut driver = Driver::new(Scenario { gateways: 1, tenants: 1, metered: false })?;
-    driver.list(endpoints);
+    let row_key = RowKey { axis: Axis::Endpoints, gateways: 1, size: endpoints };
+    let mut driver = Driver::new(Scenario { gateways: 1, tenants: 1, is_metered: false })?;
+    driver.update_list(endpoints);
     for _ in 0..OPEN_REQUESTS {
-        driver.request();
+        driver.complete_request();
     }
     let mut in_flight = 0;
-    let grown = growth(|| {
+    let grown = measure_growth(|| {
         for _ in 0..OPEN_REQUESTS {
             in_flight = driver.open_request();
         }
     });
     if let Some(grown) = grown.filter(|_| in_flight > 0) {
-        report.record(subject, Metric::OpenRequestBytes, grown / in_flight as f64);
+        report.record(row_key, Metric::OpenRequestBytes, grown / in_flight as f64);
     }
     Ok(())
 }
--- a/lab/src/process/program.rs
+++ b/lab/src/process/program.rs
@@ -4,7 +4,7 @@
     Error,
     bounds::{self, BOUND_MEMORY_MB},
     program_row::{self, Row},
-    report::{Axis, Report, Subject},
+    report::{Axis, Report, RowKey},
     rounds::{CHECK_POSITION, RoundArguments},
 };
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
     #[arg(long)]
     program: Option<PathBuf>,
     #[command(flatten)]
-    shared: RoundArguments,
+    round_arguments: RoundArguments,
     /// Gateways in the program's settings, in the rows of workers.
     #[arg(long, default_value_t = 680)]
     gateways: u32,
@@ -61,13 +61,13 @@
                 "both counts of gateways, rounds, requests, connections and changes must be above 0",
             ));
         }
-        self.shared.check_sizes()?;
+        self.round_arguments.check_sizes()?;
         if self.check { self.check_bounded() } else { Ok(()) }
     }
 
     /// Checks that the run measures what the bounds are for.
     fn check_bounded(&self) -> Result<(), Error> {
-        self.shared.check_has_bounded_rows()?;
+        self.round_arguments.check_has_bounded_rows()?;
         if self.memory_mb > BOUND_MEMORY_MB {
             return Err(Error::InvalidArgument("a checked run needs a memory limit of 32 MB at most"));
         }
@@ -79,12 +79,15 @@
         if path.is_file() { Ok(path) } else { Err(Error::ProgramMissing(path)) }
     }
 
-    fn subjects(&self) -> Vec<Subject> {
-        let subject = |axis, gateways, size: &usize| Subject { axis, gateways, size: *size };
+    fn row_keys(&self) -> Vec<RowKey> {
+        let row_key = |axis, gateways, size: &usize| RowKey { axis, gateways, size: *size };
         let endpoints =
-            self.shared.endpoints.iter().map(|size| subject(Axis::Endpoints, self.gateways, size));
-        let tenants =
-            self.shared.tenants.iter().map(|size| subject(Axis::Tenants, self.tenant_gateways, size));
+            self.round_arguments.endpoints.iter().map(|size| row_key(Axis::Endpoints, self.gateways, size));
+        let tenants = self
+            .round_arguments
+            .tenants
+            .iter()
+            .map(|size| row_key(Axis::Tenants, self.tenant_gateways, size));
         endpoints.chain(tenants).collect()
     }
 }
@@ -102,23 +105,23 @@
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     arguments.check_values()?;
     let program = arguments.program()?;
-    let measure_row = |_round, subject, report: &mut Report| {
-        program_row::measure(&row(arguments, &program, subject), report)
+    let measure_row = |_round, row_key, report: &mut Report| {
+        program_row::measure(&row(arguments, &program, row_key), report)
     };
-    let report = arguments.shared.measure(arguments.rounds, &arguments.subjects(), measure_row);
-    let subject = bounds::bounded_subject(arguments.gateways);
-    let bounds = arguments.check.then(|| bounds::PROGRAM.map(|bound| (subject, bound)).to_vec());
-    arguments.shared.publish("program", &report, bounds)
+    let report = arguments.round_arguments.measure(arguments.rounds, &arguments.row_keys(), measure_row);
+    let row_key = bounds::bounded_row_key(arguments.gateways);
+    let bounds = arguments.check.then(|| bounds::PROGRAM.map(|bound| (row_key, bound)).to_vec());
+    arguments.round_arguments.publish("program", &report, bounds)
 }
 
-fn row<'a>(arguments: &Arguments, program: &'a Path, subject: Subject) -> Row<'a> {
-    let memory_mb = match subject.axis {
+fn row<'a>(arguments: &Arguments, program: &'a Path, row_key: RowKey) -> Row<'a> {
+    let memory_mb = match row_key.axis {
         Axis::Endpoints => arguments.memory_mb,
         Axis::Tenants => arguments.tenant_memory_mb,
     };
     Row {
         program,
-        subject,
+        row_key,
         requests: arguments.requests,
         connections: arguments.connections,
         changes: arguments.changes,
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -4,7 +4,7 @@
     Error,
     child::{ChildProgram, Configuration},
     load::{Load, LoadResult},
-    report::{Axis, Metric, Report, Subject},
+    report::{Axis, Metric, Report, RowKey},
     rounds::TENANT_ROW_ENDPOINTS,
     stand_in_counter::StandInCounter,
     stand_in_discovery::{DiscoveryEvent, EntryState, ListEntry, ListFormat, ListResponse, StandInDiscovery},
@@ -46,7 +46,7 @@
     /// The built program.
     pub program: &'a Path,
     /// Its place in the report.
-    pub subject: Subject,
+    pub row_key: RowKey,
     /// Requests that are measured.
     pub requests: u64,
     /// Connections that they come on.
@@ -59,27 +59,27 @@
 
 impl Row<'_> {
     fn endpoints(&self) -> usize {
-        match self.subject.axis {
-            Axis::Endpoints => self.subject.size,
+        match self.row_key.axis {
+            Axis::Endpoints => self.row_key.size,
             Axis::Tenants => TENANT_ROW_ENDPOINTS,
         }
     }
 
     fn metered_tenants(&self) -> Option<u64> {
-        match self.subject.axis {
+        match self.row_key.axis {
             Axis::Endpoints => None,
-            Axis::Tenants => Some(self.subject.size as u64),
+            Axis::Tenants => Some(self.row_key.size as u64),
         }
     }
 
     /// A load of so many requests, after those that were sent before.
-    pub fn load(&self, requests: u64, before: u64) -> Load {
+    pub fn load(&self, requests: u64, sent_before: u64) -> Load {
         Load {
             requests,
-            before,
+            sent_before,
             connections: self.connections,
             metered_tenants: self.metered_tenants(),
-            gateways: self.subject.gateways,
+            gateways: self.row_key.gateways,
         }
     }
 }
@@ -105,13 +105,13 @@
         let entry = |number| ListEntry::new(number, endpoints.address(number), EntryState::Serving);
         let entries: Vec<ListEntry> = (0..row.endpoints()).map(entry).collect();
         let counter = row.metered_tenants().map(|_| StandInCounter::start()).transpose()?;
-        let known = &entries[..entries.len().min(CONFIGURED_ENDPOINTS)];
-        let discovery = StandInDiscovery::start(known.to_vec())?;
+        let initial_list = &entries[..entries.len().min(CONFIGURED_ENDPOINTS)];
+        let discovery = StandInDiscovery::start(initial_list.to_vec())?;
         let configuration = Configuration {
             discovery: discovery.address,
             counter: counter.as_ref().map(|counter| counter.address),
-            known: serde_json::json!(ListResponse { version: 0, full: true, endpoints: known }),
-            gateways: row.subject.gateways,
+            initial_list: serde_json::json!(ListResponse { version: 0, full: true, endpoints: initial_list }),
+            gateways: row.row_key.gateways,
             memory_mb: row.memory_mb,
         };
         let child = ChildProgram::start(row.program, &configuration)?;
@@ -141,12 +141,12 @@
         let mut written = None;
         loop {
             match (self.next_event("a watch")?, written) {
-                (DiscoveryEvent::Answer { version: answered, at }, _) if answered >= version => {
+                (DiscoveryEvent::Response { version: answered, at }, _) if answered >= version => {
                     written = Some(at);
                 }
                 (DiscoveryEvent::Call { from, at }, Some(started)) => {
                     if from.is_none_or(|from| from < version) {
-                        return Err(Error::ListNotTaken(self.child.last_line()));
+                        return Err(Error::ListNotApplied(self.child.last_log_line()));
                     }
                     return Ok(at.duration_since(started));
                 }
@@ -179,7 +179,7 @@
 pub fn measure(row: &Row<'_>, report: &mut Report) -> Result<(), Error> {
     let test_bed = TestBed::start(row)?;
     let mut benchmark = RowBenchmark { row, report, test_bed, sent: 0 };
-    match row.subject.axis {
+    match row.row_key.axis {
         Axis::Endpoints => benchmark.measure_endpoints(),
         Axis::Tenants => benchmark.measure_tenants(),
     }
@@ -203,7 +203,7 @@
     fn measure_tenants(&mut self) -> Result<(), Error> {
         self.test_bed.send_list(ListFormat::Compact)?;
         // Each tenant sends one request, so that the program knows all of them when the measurement begins.
-        let load = self.row.load(self.row.subject.size as u64, self.sent);
+        let load = self.row.load(self.row.row_key.size as u64, self.sent);
         self.send(Load { connections: TENANT_CONNECTIONS, ..load })?;
         self.wait_for_steady_counter_calls()?;
         self.measure_requests()?;
@@ -213,7 +213,7 @@
     }
 
     fn record(&mut self, metric: Metric, value: f64) {
-        self.report.record(self.row.subject, metric, value);
+        self.report.record(self.row.row_key, metric, value);
     }
 
     fn check_memory(&self) -> Result<(), Error> {
@@ -266,8 +266,12 @@
     fn record_counter_calls(&mut self, calls: u64, sent: u64) -> Result<(), Error> {
         let calls_per_request = calls as f64 / sent as f64;
         self.record(Metric::CounterCallsPerRequest, calls_per_request);
-        let least = MIN_CALLS_PER_REQUEST;
-        if calls_per_request < least { Err(Error::TooFewCounterCalls { calls, sent, least }) } else { Ok(()) }
+        let min_calls_per_request = MIN_CALLS_PER_REQUEST;
+        if calls_per_request < min_calls_per_request {
+            Err(Error::TooFewCounterCalls { calls, sent, min_calls_per_request })
+        } else {
+            Ok(())
+        }
     }
 
     /// Sends requests until the rate of counter calls a request is steady, or for [`STEADY_STATE_TIMEOUT`].
--- a/lab/src/process/report.rs
+++ b/lab/src/process/report.rs
@@ -49,7 +49,7 @@
 
 /// A row of the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Subject {
+pub struct RowKey {
     /// What the size is of.
     pub axis: Axis,
     /// Gateways in the settings.
@@ -58,7 +58,7 @@
     pub size: usize,
 }
 
-impl fmt::Display for Subject {
+impl fmt::Display for RowKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}, {} gateways", self.size, self.axis.title(), self.gateways)
     }
@@ -104,7 +104,7 @@
     EndpointInsideBytes,
     /// Bytes of state for an endpoint of the subset that has responded.
     #[serde(rename = "worker_answered_bytes")]
-    EndpointAnsweredBytes,
+    EndpointRespondedBytes,
     /// Bytes of state for a tenant.
     TenantBytes,
     /// Bytes of state for an open request with its timer.
@@ -131,7 +131,7 @@
             Self::PeakIndentedKibibytes => "peak resident memory after the indented list [KiB]",
             Self::EndpointOutsideBytes => "state a worker outside the subset [bytes]",
             Self::EndpointInsideBytes => "state a worker inside the subset [bytes]",
-            Self::EndpointAnsweredBytes => "state a worker inside the subset that has answered [bytes]",
+            Self::EndpointRespondedBytes => "state a worker inside the subset that has answered [bytes]",
             Self::TenantBytes => "state a tenant [bytes]",
             Self::OpenRequestBytes => "state an open request [bytes]",
         }
@@ -155,10 +155,10 @@
 
 /// Why a row could not be measured completely.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{subject}, in {rounds} rounds: {reason}")]
+#[error("{row_key}, in {rounds} rounds: {reason}")]
 pub struct RowFailure {
     /// The row.
-    pub subject: Subject,
+    pub row_key: RowKey,
     /// What the error said.
     pub reason: String,
     /// In how many rounds.
@@ -168,9 +168,9 @@
 /// Measured values, by quantity and row, and the rows that failed.
 #[derive(Debug, Default)]
 pub struct Report {
-    values: BTreeMap<(Axis, Metric), BTreeMap<Subject, Vec<f64>>>,
+    values: BTreeMap<(Axis, Metric), BTreeMap<RowKey, Vec<f64>>>,
     /// By row and reason, in how many rounds it failed.
-    failures: BTreeMap<Subject, BTreeMap<String, usize>>,
+    failures: BTreeMap<RowKey, BTreeMap<String, usize>>,
 }
 
 /// One line of the JSON file.
@@ -180,7 +180,7 @@
     Measured {
         part: &'a str,
         #[serde(flatten)]
-        subject: Subject,
+        row_key: RowKey,
         metric: Metric,
         #[serde(flatten)]
         summary: Summary,
@@ -188,7 +188,7 @@
     Failed {
         part: &'a str,
         #[serde(flatten)]
-        subject: Subject,
+        row_key: RowKey,
         failed: &'a str,
         rounds: usize,
     },
@@ -196,35 +196,35 @@
 
 impl Report {
     /// Adds a value.
-    pub fn record(&mut self, subject: Subject, metric: Metric, value: f64) {
-        self.values.entry((subject.axis, metric)).or_default().entry(subject).or_default().push(value);
+    pub fn record(&mut self, row_key: RowKey, metric: Metric, value: f64) {
+        self.values.entry((row_key.axis, metric)).or_default().entry(row_key).or_default().push(value);
     }
 
     /// Adds a failure of a row.
-    pub fn fail(&mut self, subject: Subject, error: &Error) {
-        *self.failures.entry(subject).or_default().entry(error.to_string()).or_default() += 1;
+    pub fn record_failure(&mut self, row_key: RowKey, error: &Error) {
+        *self.failures.entry(row_key).or_default().entry(error.to_string()).or_default() += 1;
     }
 
     /// The summary of one quantity of one row; `None` if it was not measured.
-    pub fn summary(&self, subject: Subject, metric: Metric) -> Option<Summary> {
-        let values = self.values.get(&(subject.axis, metric))?.get(&subject)?;
+    pub fn summary(&self, row_key: RowKey, metric: Metric) -> Option<Summary> {
+        let values = self.values.get(&(row_key.axis, metric))?.get(&row_key)?;
         let mut summary = summarize(values)?;
-        let base = Subject { size: BASE_SIZE, ..subject };
-        let base = self.values.get(&(subject.axis, metric))?.get(&base).and_then(|values| summarize(values));
+        let base = RowKey { size: BASE_SIZE, ..row_key };
+        let base = self.values.get(&(row_key.axis, metric))?.get(&base).and_then(|values| summarize(values));
         summary.ratio = base.filter(|base| base.median != 0.0).map(|base| summary.median / base.median);
         Some(summary)
     }
 
     /// The rows of which a quantity was measured.
-    pub fn subjects(&self, axis: Axis, metric: Metric) -> impl Iterator<Item = Subject> + '_ {
+    pub fn row_keys(&self, axis: Axis, metric: Metric) -> impl Iterator<Item = RowKey> + '_ {
         self.values.get(&(axis, metric)).into_iter().flat_map(|rows| rows.keys().copied())
     }
 
     /// The failures of rows.
     pub fn failures(&self) -> impl Iterator<Item = RowFailure> + '_ {
-        self.failures.iter().flat_map(|(subject, reasons)| {
+        self.failures.iter().flat_map(|(row_key, reasons)| {
             let failure = |(reason, rounds): (&String, &usize)| RowFailure {
-                subject: *subject,
+                row_key: *row_key,
                 reason: reason.clone(),
                 rounds: *rounds,
             };
@@ -258,14 +258,14 @@
                 "ratio",
                 "rounds"
             );
-            for subject in self.subjects(*axis, *metric) {
-                let Some(summary) = self.summary(subject, *metric) else { continue };
+            for row_key in self.row_keys(*axis, *metric) {
+                let Some(summary) = self.summary(row_key, *metric) else { continue };
                 let ratio = summary.ratio.map_or("-".to_owned(), |ratio| format!("{ratio:.2}"));
                 let _ = writeln!(
                     text,
                     "{:>10} {:>9} {:>12.2} {:>12.2} {:>12.2} {ratio:>7} {:>6}",
-                    subject.size,
-                    subject.gateways,
+                    row_key.size,
+                    row_key.gateways,
                     summary.median,
                     summary.lowest,
                     summary.highest,
@@ -283,15 +283,15 @@
     pub fn json_lines(&self, part: &str) -> String {
         let mut lines = Vec::new();
         for (axis, metric) in self.values.keys() {
-            for subject in self.subjects(*axis, *metric) {
-                if let Some(summary) = self.summary(subject, *metric) {
-                    lines.push(Line::Measured { part, subject, metric: *metric, summary });
+            for row_key in self.row_keys(*axis, *metric) {
+                if let Some(summary) = self.summary(row_key, *metric) {
+                    lines.push(Line::Measured { part, row_key, metric: *metric, summary });
                 }
             }
         }
-        for (subject, reasons) in &self.failures {
+        for (row_key, reasons) in &self.failures {
             for (failed, rounds) in reasons {
-                lines.push(Line::Failed { part, subject: *subject, failed, rounds: *rounds });
+                lines.push(Line::Failed { part, row_key: *row_key, failed, rounds: *rounds });
             }
         }
         let write =
--- a/lab/src/process/rounds.rs
+++ b/lab/src/process/rounds.rs
@@ -3,7 +3,7 @@
 use super::{
     Error,
     bounds::{self, BOUND_SIZE, Bound},
-    report::{BASE_SIZE, Report, Subject, check_sizes},
+    report::{BASE_SIZE, Report, RowKey, check_sizes},
 };
 use std::{
     path::PathBuf,
@@ -66,18 +66,18 @@
     pub fn measure(
         &self,
         rounds: usize,
-        subjects: &[Subject],
-        mut measure_row: impl FnMut(usize, Subject, &mut Report) -> Result<(), Error>,
+        row_keys: &[RowKey],
+        mut measure_row: impl FnMut(usize, RowKey, &mut Report) -> Result<(), Error>,
     ) -> Report {
         let limit = Duration::from_secs(self.time_limit);
         let started = Instant::now();
         let mut report = Report::default();
         for round in 0..rounds {
-            for subject in subjects {
+            for row_key in row_keys {
                 if started.elapsed() >= limit {
-                    report.fail(*subject, &Error::TimedOut { event: "the row's turn", limit });
-                } else if let Err(error) = measure_row(round, *subject, &mut report) {
-                    report.fail(*subject, &error);
+                    report.record_failure(*row_key, &Error::TimedOut { event: "the row's turn", limit });
+                } else if let Err(error) = measure_row(round, *row_key, &mut report) {
+                    report.record_failure(*row_key, &error);
                 }
             }
         }
@@ -92,7 +92,7 @@
         &self,
         part: &str,
         report: &Report,
-        bounds: Option<Vec<(Subject, Bound)>>,
+        bounds: Option<Vec<(RowKey, Bound)>>,
     ) -> Result<(), Error> {
         report.publish(part, self.json.as_deref())?;
         let Some(bounds) = bounds else { return Ok(()) };
--- a/lab/src/process/stand_in_counter.rs
+++ b/lab/src/process/stand_in_counter.rs
@@ -37,10 +37,10 @@
         let address = listener.local_addr().map_err(&system)?;
         let totals = Totals::default();
         let calls = Arc::new(AtomicU64::new(0));
-        let served = calls.clone();
+        let thread_calls = calls.clone();
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let (totals, calls) = (totals.clone(), served.clone());
+                let (totals, calls) = (totals.clone(), thread_calls.clone());
                 thread::spawn(move || serve(&socket, &totals, &calls));
             }
         });
@@ -60,25 +60,25 @@
     }
     for line in BufReader::new(socket).lines().map_while(Result::ok) {
         calls.fetch_add(u64::from(line != PING), Ordering::Relaxed);
-        if socket.write_all(answer(&line, totals).as_bytes()).is_err() {
+        if socket.write_all(response(&line, totals).as_bytes()).is_err() {
             return;
         }
     }
 }
 
-fn answer(line: &str, totals: &Totals) -> String {
+fn response(line: &str, totals: &Totals) -> String {
     let words: Vec<&str> = line.split_whitespace().collect();
     match words[..] {
         [PING] => "pong\r\n".to_owned(),
         ["bump", name, amount, _time_to_live] => match amount.parse::<f64>() {
-            Ok(amount) if amount.is_finite() => format!("ok {}\r\n", add(totals, name, amount)),
+            Ok(amount) if amount.is_finite() => format!("ok {}\r\n", add_to_total(totals, name, amount)),
             _ => "error\r\n".to_owned(),
         },
         _ => "error\r\n".to_owned(),
     }
 }
 
-fn add(totals: &Totals, name: &str, amount: f64) -> f64 {
+fn add_to_total(totals: &Totals, name: &str, amount: f64) -> f64 {
     let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
     let total = totals.entry(name.to_owned()).or_default();
     *total += amount;
--- a/lab/src/process/stand_in_discovery.rs
+++ b/lab/src/process/stand_in_discovery.rs
@@ -72,7 +72,7 @@
 }
 
 impl ListFormat {
-    fn write(self, list: &ListResponse<'_>) -> String {
+    fn to_json(self, list: &ListResponse<'_>) -> String {
         let text = match self {
             Self::Compact => serde_json::to_string(list),
             Self::Indented => {
@@ -94,7 +94,7 @@
         at: Instant,
     },
     /// A response is about to be written.
-    Answer {
+    Response {
         /// Version of the list after it.
         version: u64,
         /// When the write started.
@@ -115,7 +115,7 @@
 struct ListHistory {
     version: u64,
     /// Oldest version from which changes are known; watches from earlier ones get the complete list.
-    oldest_watchable: u64,
+    oldest_watchable_version: u64,
     format: ListFormat,
     entries: Vec<ListEntry>,
     changes: Vec<EntryChange>,
@@ -123,14 +123,18 @@
 
 impl ListHistory {
     /// Body of the response to a watch from a version, or to a call for the complete list.
-    fn body_for(&self, from: Option<u64>) -> String {
-        match from.filter(|from| *from >= self.oldest_watchable) {
+    fn response_body(&self, from: Option<u64>) -> String {
+        match from.filter(|from| *from >= self.oldest_watchable_version) {
             Some(from) => {
                 let newer = self.changes.iter().filter(|change| change.version > from);
                 let endpoints: Vec<ListEntry> = newer.map(|change| change.entry.clone()).collect();
-                self.format.write(&ListResponse { version: self.version, full: false, endpoints: &endpoints })
+                self.format.to_json(&ListResponse {
+                    version: self.version,
+                    full: false,
+                    endpoints: &endpoints,
+                })
             }
-            None => self.format.write(&ListResponse {
+            None => self.format.to_json(&ListResponse {
                 version: self.version,
                 full: true,
                 endpoints: &self.entries,
@@ -140,12 +144,12 @@
 }
 
 #[derive(Debug)]
-struct Shared {
+struct SharedList {
     history: Mutex<ListHistory>,
     changed: Condvar,
 }
 
-impl Shared {
+impl SharedList {
     fn lock(&self) -> MutexGuard<'_, ListHistory> {
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -158,7 +162,7 @@
     pub address: SocketAddr,
     /// Calls and responses in their order.
     pub events: Receiver<DiscoveryEvent>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedList>,
 }
 
 impl StandInDiscovery {
@@ -172,18 +176,18 @@
         let address = listener.local_addr().map_err(&system)?;
         let history = ListHistory {
             version: 1,
-            oldest_watchable: 1,
+            oldest_watchable_version: 1,
             format: ListFormat::Compact,
             entries,
             changes: Vec::new(),
         };
-        let shared = Arc::new(Shared { history: Mutex::new(history), changed: Condvar::new() });
-        let (report, events) = channel();
-        let served = shared.clone();
+        let shared = Arc::new(SharedList { history: Mutex::new(history), changed: Condvar::new() });
+        let (event_sender, events) = channel();
+        let thread_shared = shared.clone();
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let (shared, report) = (served.clone(), report.clone());
-                thread::spawn(move || serve(&socket, &shared, &report));
+                let (shared, event_sender) = (thread_shared.clone(), event_sender.clone());
+                thread::spawn(move || serve(&socket, &shared, &event_sender));
             }
         });
         Ok(Self { address, events, shared })
@@ -193,7 +197,7 @@
     pub fn replace(&self, entries: Vec<ListEntry>, format: ListFormat) -> u64 {
         let mut history = self.shared.lock();
         history.version += 1;
-        history.oldest_watchable = history.version;
+        history.oldest_watchable_version = history.version;
         history.format = format;
         history.entries = entries;
         history.changes.clear();
@@ -217,7 +221,7 @@
     }
 }
 
-fn serve(mut socket: &TcpStream, shared: &Shared, report: &Sender<DiscoveryEvent>) {
+fn serve(mut socket: &TcpStream, shared: &SharedList, event_sender: &Sender<DiscoveryEvent>) {
     // Without this, a response waits until the client has acknowledged the one before.
     if socket.set_nodelay(true).is_err() {
         return;
@@ -225,7 +229,7 @@
     let mut reader = BufReader::new(socket);
     while let Ok(Some(call)) = http::read_message(&mut reader) {
         let from = call.query("from").and_then(|version| version.parse().ok());
-        if report.send(DiscoveryEvent::Call { from, at: Instant::now() }).is_err() {
+        if event_sender.send(DiscoveryEvent::Call { from, at: Instant::now() }).is_err() {
             return;
         }
         let hold = call
@@ -233,7 +237,7 @@
             .and_then(|hold| hold.parse().ok())
             .map_or(Duration::ZERO, Duration::from_millis);
         let response = wait_for_response(shared, from, hold.min(MAX_HOLD));
-        let _ = report.send(DiscoveryEvent::Answer { version: response.version, at: Instant::now() });
+        let _ = event_sender.send(DiscoveryEvent::Response { version: response.version, at: Instant::now() });
         if socket.write_all(http::ok_response(&response.body).as_bytes()).is_err() {
             return;
         }
@@ -248,10 +252,10 @@
 }
 
 /// Waits until there is a version other than `from`, or the hold has elapsed.
-fn wait_for_response(shared: &Shared, from: Option<u64>, hold: Duration) -> Response {
+fn wait_for_response(shared: &SharedList, from: Option<u64>, hold: Duration) -> Response {
     let history = shared.lock();
     let is_unchanged = |history: &mut ListHistory| from == Some(history.version);
     let waited = shared.changed.wait_timeout_while(history, hold, is_unchanged);
     let (history, _) = waited.unwrap_or_else(PoisonError::into_inner);
-    Response { version: history.version, body: history.body_for(from) }
+    Response { version: history.version, body: history.response_body(from) }
 }
--- a/lab/tests/demo.rs
+++ b/lab/tests/demo.rs
@@ -7,8 +7,13 @@
 };
 
 fn addresses() -> Addresses {
-    let nowhere = "127.0.0.1:0".parse().expect("an address");
-    Addresses { listen: nowhere, operator: nowhere, discovery: nowhere, counter: nowhere }
+    let unused_address = "127.0.0.1:0".parse().expect("an address");
+    Addresses {
+        listen: unused_address,
+        operator: unused_address,
+        discovery: unused_address,
+        counter: unused_address,
+    }
 }
 
 #[test]
@@ -24,7 +29,7 @@
         Event::EndpointsUpdated { kind: ListKind::Stale, endpoints: vec![endpoint] },
         &mut actions,
     );
-    let (mut sent, mut refused, mut total) = (0, Vec::new(), 0.0);
+    let (mut sent, mut retry_afters, mut total) = (0, Vec::new(), 0.0);
     for number in 0..4 {
         let request = Request {
             id: format!("j{number}").into(),
@@ -46,12 +51,12 @@
                     gateway.handle(now, event, &mut actions);
                 }
                 Action::StartAttempt { .. } => sent += 1,
-                Action::Reject { retry_after, .. } => refused.push(retry_after),
+                Action::Reject { retry_after, .. } => retry_afters.push(retry_after),
                 _ => {}
             }
         }
         now += 0.01;
     }
-    assert_eq!((sent, refused.len()), (3, 1));
-    assert!(refused[0] > 1.0 && refused[0] <= 2.0, "at one in two seconds: {refused:?}");
+    assert_eq!((sent, retry_afters.len()), (3, 1));
+    assert!(retry_afters[0] > 1.0 && retry_afters[0] <= 2.0, "at one in two seconds: {retry_afters:?}");
 }
--- a/lab/tests/process_bounds.rs
+++ b/lab/tests/process_bounds.rs
@@ -3,103 +3,106 @@
 use oliverack_lab::process::{
     Error,
     bounds::{self, Bound, CheckFailure},
-    report::{Metric, Report, Subject},
+    report::{Metric, Report, RowKey},
     steady_state::SteadyState,
 };
 
 const GATEWAYS: u32 = 680;
 
 /// A report in which all values of the bounded row are at their bounds.
-fn report_at_the_bounds() -> Report {
-    let subject = bounds::bounded_subject(GATEWAYS);
+fn report_at_bounds() -> Report {
+    let row_key = bounds::bounded_row_key(GATEWAYS);
     let mut report = Report::default();
-    report.record(Subject { size: 100, ..subject }, Metric::RequestProcessorMicros, 100.0);
-    report.record(subject, Metric::RequestProcessorMicros, 125.0);
-    report.record(subject, Metric::ChangeProcessorMicros, 200.0);
-    report.record(subject, Metric::PeakIndentedKibibytes, 32.0 * 1024.0);
-    report.record(subject, Metric::EndpointOutsideBytes, 149.9);
+    report.record(RowKey { size: 100, ..row_key }, Metric::RequestProcessorMicros, 100.0);
+    report.record(row_key, Metric::RequestProcessorMicros, 125.0);
+    report.record(row_key, Metric::ChangeProcessorMicros, 200.0);
+    report.record(row_key, Metric::PeakIndentedKibibytes, 32.0 * 1024.0);
+    report.record(row_key, Metric::EndpointOutsideBytes, 149.9);
     report
 }
 
-fn program(report: &Report) -> Vec<CheckFailure> {
-    let subject = bounds::bounded_subject(GATEWAYS);
-    bounds::check(report, bounds::PROGRAM.map(|bound| (subject, bound)))
+fn check_program(report: &Report) -> Vec<CheckFailure> {
+    let row_key = bounds::bounded_row_key(GATEWAYS);
+    bounds::check(report, bounds::PROGRAM.map(|bound| (row_key, bound)))
 }
 
-fn policy(report: &Report) -> Vec<CheckFailure> {
-    let subject = bounds::bounded_subject(GATEWAYS);
-    bounds::check(report, [bounds::CHANGE, bounds::OUTSIDE_STATE].map(|bound| (subject, bound)))
+fn check_policy(report: &Report) -> Vec<CheckFailure> {
+    let row_key = bounds::bounded_row_key(GATEWAYS);
+    bounds::check(report, [bounds::CHANGE, bounds::OUTSIDE_STATE].map(|bound| (row_key, bound)))
 }
 
-fn violated(failures: &[CheckFailure]) -> Vec<Metric> {
-    let metric = |failure: &CheckFailure| match failure {
+fn violated_metrics(failures: &[CheckFailure]) -> Vec<Metric> {
+    let violated_metric = |failure: &CheckFailure| match failure {
         CheckFailure::Violated { bound: Bound { metric, .. }, .. } => Some(*metric),
         CheckFailure::Row(_) => None,
     };
-    failures.iter().filter_map(metric).collect()
+    failures.iter().filter_map(violated_metric).collect()
 }
 
 #[test]
 fn values_at_the_bounds_pass_the_check() {
-    assert_eq!(program(&report_at_the_bounds()), []);
-    assert_eq!(policy(&report_at_the_bounds()), []);
+    assert_eq!(check_program(&report_at_bounds()), []);
+    assert_eq!(check_policy(&report_at_bounds()), []);
 }
 
 #[test]
 fn each_value_over_its_bound_fails_the_check() {
-    let subject = bounds::bounded_subject(GATEWAYS);
-    let over = |metric, value| {
-        let mut report = report_at_the_bounds();
+    let row_key = bounds::bounded_row_key(GATEWAYS);
+    let report_with = |metric, value| {
+        let mut report = report_at_bounds();
         // Two values move the median of the three.
         for _ in 0..2 {
-            report.record(subject, metric, value);
+            report.record(row_key, metric, value);
         }
         report
     };
     let metric = Metric::RequestProcessorMicros;
-    assert_eq!(violated(&program(&over(metric, 125.1))), [metric]);
+    assert_eq!(violated_metrics(&check_program(&report_with(metric, 125.1))), [metric]);
     let metric = Metric::ChangeProcessorMicros;
-    assert_eq!(violated(&program(&over(metric, 200.1))), [metric]);
-    assert_eq!(violated(&policy(&over(metric, 200.1))), [metric]);
+    assert_eq!(violated_metrics(&check_program(&report_with(metric, 200.1))), [metric]);
+    assert_eq!(violated_metrics(&check_policy(&report_with(metric, 200.1))), [metric]);
     let metric = Metric::EndpointOutsideBytes;
-    assert_eq!(violated(&policy(&over(metric, 150.0))), [metric]);
+    assert_eq!(violated_metrics(&check_policy(&report_with(metric, 150.0))), [metric]);
 }
 
 #[test]
 fn memory_over_its_bound_in_one_round_fails_the_check() {
     let metric = Metric::PeakIndentedKibibytes;
-    let mut report = report_at_the_bounds();
+    let mut report = report_at_bounds();
     for _ in 0..4 {
-        report.record(bounds::bounded_subject(GATEWAYS), metric, 1024.0);
+        report.record(bounds::bounded_row_key(GATEWAYS), metric, 1024.0);
     }
-    report.record(bounds::bounded_subject(GATEWAYS), metric, 32.0 * 1024.0 + 1.0);
-    assert_eq!(violated(&program(&report)), [metric]);
+    report.record(bounds::bounded_row_key(GATEWAYS), metric, 32.0 * 1024.0 + 1.0);
+    assert_eq!(violated_metrics(&check_program(&report)), [metric]);
 }
 
 #[test]
 fn missing_values_fail_the_check() {
-    let failures = program(&Report::default());
-    assert_eq!(violated(&failures), bounds::PROGRAM.map(|bound| bound.metric));
+    let failures = check_program(&Report::default());
+    assert_eq!(violated_metrics(&failures), bounds::PROGRAM.map(|bound| bound.metric));
     assert_eq!(
         failures[0].to_string(),
         "9200 workers, 680 gateways: processor time a request [us], ratio: not measured, bound at most 1.25"
     );
-    assert_eq!(policy(&Report::default()).len(), 2);
+    assert_eq!(check_policy(&Report::default()).len(), 2);
 }
 
 #[test]
 fn ratio_without_its_base_row_fails_the_check() {
     let mut report = Report::default();
-    report.record(bounds::bounded_subject(GATEWAYS), Metric::RequestProcessorMicros, 100.0);
-    assert!(violated(&program(&report)).contains(&Metric::RequestProcessorMicros));
+    report.record(bounds::bounded_row_key(GATEWAYS), Metric::RequestProcessorMicros, 100.0);
+    assert!(violated_metrics(&check_program(&report)).contains(&Metric::RequestProcessorMicros));
 }
 
 #[test]
 fn failed_row_fails_the_check_with_its_reason() {
-    let mut report = report_at_the_bounds();
-    let row = Subject { size: 10, ..bounds::bounded_subject(GATEWAYS) };
-    report.fail(row, &Error::TooFewCounterCalls { calls: 3, sent: 6000, least: 0.01 });
-    let failures = program(&report);
+    let mut report = report_at_bounds();
+    let row = RowKey { size: 10, ..bounds::bounded_row_key(GATEWAYS) };
+    report.record_failure(
+        row,
+        &Error::TooFewCounterCalls { calls: 3, sent: 6000, min_calls_per_request: 0.01 },
+    );
+    let failures = check_program(&report);
     assert_eq!(failures.len(), 1);
     assert_eq!(
         failures[0].to_string(),
--- a/lab/tests/process_command.rs
+++ b/lab/tests/process_command.rs
@@ -3,13 +3,13 @@
 use serde_json::Value;
 use std::process::{Command, Output};
 
-fn process(arguments: &str) -> Output {
+fn run_process(arguments: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oliverack-lab"));
     command.arg("process").args(arguments.split_whitespace()).output().expect("the lab starts")
 }
 
 fn assert_rejected(arguments: &str, reason: &str) {
-    let output = process(arguments);
+    let output = run_process(arguments);
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success() && text.contains(reason), "{arguments}: {text}");
 }
@@ -18,39 +18,39 @@
 fn small_policy_run_measures_times_and_state() {
     let json = tempfile::NamedTempFile::new().expect("a writable folder for temporary files");
     let path = json.path().display();
-    let output = process(&format!(
+    let output = run_process(&format!(
         "policy --workers 10,100 --tenants 20 --gateways 1,100 --rounds 2 --requests 40 --changes 4 --json {path}"
     ));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = std::fs::read_to_string(json.path()).expect("the report");
     let lines: Vec<Value> = text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
-    let of = |axis: &str, size: u64, gateways: u64, metric: &str| {
-        let same = |line: &&Value| {
+    let line_of = |axis: &str, size: u64, gateways: u64, metric: &str| {
+        let is_requested = |line: &&Value| {
             line["axis"] == axis
                 && line["size"] == size
                 && line["gateways"] == gateways
                 && line["metric"] == metric
         };
-        lines.iter().find(same).unwrap_or_else(|| panic!("{metric} of {size} {axis}: {text}"))
+        lines.iter().find(is_requested).unwrap_or_else(|| panic!("{metric} of {size} {axis}: {text}"))
     };
     for gateways in [1, 100] {
-        let request = of("workers", 100, gateways, "request_processor_micros");
+        let request = line_of("workers", 100, gateways, "request_processor_micros");
         assert_eq!((&request["rounds"], &request["ratio"]), (&2.into(), &1.0.into()));
-        assert_eq!(of("workers", 10, gateways, "served_share")["median"], 1.0);
-        of("workers", 10, gateways, "change_processor_micros");
-        of("workers", 10, gateways, "timer_processor_micros");
+        assert_eq!(line_of("workers", 10, gateways, "served_share")["median"], 1.0);
+        line_of("workers", 10, gateways, "change_processor_micros");
+        line_of("workers", 10, gateways, "timer_processor_micros");
     }
-    let positive = |line: &Value| line["median"].as_f64().is_some_and(|bytes| bytes > 0.0);
-    assert!(positive(of("workers", 100, 100, "worker_outside_bytes")));
-    assert!(positive(of("workers", 100, 1, "worker_inside_bytes")));
-    assert!(positive(of("tenants", 20, 100, "tenant_bytes")));
-    assert!(positive(of("workers", 1000, 1, "open_request_bytes")));
-    of("tenants", 20, 100, "sweep_processor_micros");
+    let is_positive = |line: &Value| line["median"].as_f64().is_some_and(|bytes| bytes > 0.0);
+    assert!(is_positive(line_of("workers", 100, 100, "worker_outside_bytes")));
+    assert!(is_positive(line_of("workers", 100, 1, "worker_inside_bytes")));
+    assert!(is_positive(line_of("tenants", 20, 100, "tenant_bytes")));
+    assert!(is_positive(line_of("workers", 1000, 1, "open_request_bytes")));
+    line_of("tenants", 20, 100, "sweep_processor_micros");
 }
 
 #[test]
 fn program_that_ends_at_once_fails_its_rows_but_not_the_run() {
-    let output = process("program --program /bin/false --workers 10 --tenants 20 --rounds 1");
+    let output = run_process("program --program /bin/false --workers 10 --tenants 20 --rounds 1");
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     assert!(
@@ -62,7 +62,8 @@
 
 #[test]
 fn checked_program_run_fails_on_failed_rows_and_missing_values() {
-    let output = process("program --check --program /bin/false --workers 100,9200 --tenants 20 --rounds 1");
+    let output =
+        run_process("program --check --program /bin/false --workers 100,9200 --tenants 20 --rounds 1");
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "{text}");
     for reason in [
@@ -95,7 +96,7 @@
 
 #[test]
 fn help_lists_both_benchmarks() {
-    let output = process("--help");
+    let output = run_process("--help");
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success() && text.contains("program") && text.contains("policy"), "{text}");
 }
--- a/lab/tests/process_report.rs
+++ b/lab/tests/process_report.rs
@@ -2,27 +2,27 @@
 
 use oliverack_lab::process::{
     Error, proc_fs,
-    report::{Axis, Metric, Report, Subject},
+    report::{Axis, Metric, Report, RowKey},
 };
 use serde_json::Value;
 use std::time::Duration;
 
 const METRIC: Metric = Metric::RequestProcessorMicros;
 
-fn subject(size: usize) -> Subject {
-    Subject { axis: Axis::Endpoints, gateways: 1, size }
+fn endpoint_row(size: usize) -> RowKey {
+    RowKey { axis: Axis::Endpoints, gateways: 1, size }
 }
 
-fn report() -> Report {
+fn sample_report() -> Report {
     let mut report = Report::default();
     for value in [30.0, 10.0, 20.0] {
-        report.record(subject(100), METRIC, value);
+        report.record(endpoint_row(100), METRIC, value);
     }
     for value in [50.0, 30.0] {
-        report.record(subject(9200), METRIC, value);
+        report.record(endpoint_row(9200), METRIC, value);
     }
     for _ in 0..2 {
-        report.fail(subject(9200), &Error::ProgramEnded("out of luck".to_owned()));
+        report.record_failure(endpoint_row(9200), &Error::ProgramEnded("out of luck".to_owned()));
     }
     report
 }
@@ -43,20 +43,20 @@
 
 #[test]
 fn summary_has_median_extremes_and_ratio_to_the_base_row() {
-    let report = report();
-    let base = report.summary(subject(100), METRIC).expect("measured");
+    let report = sample_report();
+    let base = report.summary(endpoint_row(100), METRIC).expect("measured");
     assert_eq!((base.median, base.lowest, base.highest, base.rounds), (20.0, 10.0, 30.0, 3));
-    let large = report.summary(subject(9200), METRIC).expect("measured");
+    let large = report.summary(endpoint_row(9200), METRIC).expect("measured");
     assert_eq!((large.median, large.ratio), (40.0, Some(2.0)));
-    assert_eq!(report.summary(subject(10), METRIC), None);
+    assert_eq!(report.summary(endpoint_row(10), METRIC), None);
 }
 
 #[test]
 fn table_and_json_lines_have_values_and_failures() {
-    let table = report().table();
+    let table = sample_report().table();
     assert!(table.contains("processor time a request [us]"), "{table}");
     assert!(table.contains("FAILED: 9200 workers, 1 gateways, in 2 rounds: the program ended"), "{table}");
-    let lines = report().json_lines("policy");
+    let lines = sample_report().json_lines("policy");
     let lines: Vec<Value> = lines.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
     assert_eq!(lines.len(), 3);
     assert_eq!((&lines[1]["size"], &lines[1]["ratio"]), (&9200.into(), &2.0.into()));
@@ -84,7 +84,7 @@
         (Metric::PeakIndentedKibibytes, "peak_indented_kibibytes"),
         (Metric::EndpointOutsideBytes, "worker_outside_bytes"),
         (Metric::EndpointInsideBytes, "worker_inside_bytes"),
-        (Metric::EndpointAnsweredBytes, "worker_answered_bytes"),
+        (Metric::EndpointRespondedBytes, "worker_answered_bytes"),
         (Metric::TenantBytes, "tenant_bytes"),
         (Metric::OpenRequestBytes, "open_request_bytes"),
     ];
--- a/lab/tests/process_stand_ins.rs
+++ b/lab/tests/process_stand_ins.rs
@@ -13,14 +13,14 @@
     time::Duration,
 };
 
-const LIMIT: Duration = Duration::from_secs(30);
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Client(BufReader<TcpStream>);
 
 impl Client {
     fn connect(address: SocketAddr) -> Self {
         let socket = TcpStream::connect(address).expect("it listens");
-        socket.set_read_timeout(Some(LIMIT)).expect("a socket");
+        socket.set_read_timeout(Some(READ_TIMEOUT)).expect("a socket");
         Self(BufReader::new(socket))
     }
 
@@ -33,13 +33,13 @@
         read_message(&mut self.0).expect("an answer").expect("a whole answer")
     }
 
-    fn list(&mut self, target: &str) -> Value {
-        let answer = self.get(target);
-        assert_eq!(answer.status(), Some(200));
-        serde_json::from_slice(&answer.body).expect("JSON")
+    fn get_list(&mut self, target: &str) -> Value {
+        let response = self.get(target);
+        assert_eq!(response.status(), Some(200));
+        serde_json::from_slice(&response.body).expect("JSON")
     }
 
-    fn line(&mut self, call: &str) -> String {
+    fn call(&mut self, call: &str) -> String {
         self.send(&format!("{call}\r\n"));
         let mut line = String::new();
         self.0.read_line(&mut line).expect("an answer");
@@ -56,13 +56,13 @@
 fn endpoints_respond_on_persistent_connections_to_separate_addresses() {
     let endpoints = StandInEndpoints::start().expect("a free port");
     let addresses = [0, 1, 249, 250, 9199, 62_500].map(|number| endpoints.address(number));
-    for (place, address) in addresses.into_iter().enumerate() {
+    for (index, address) in addresses.into_iter().enumerate() {
         assert!(address.ip().is_loopback());
-        assert!(!addresses[..place].contains(&address), "{address} twice");
+        assert!(!addresses[..index].contains(&address), "{address} twice");
         let mut client = Client::connect(address);
         for _ in 0..3 {
-            let answer = client.get("/lookup");
-            assert_eq!((answer.status(), answer.body.as_slice()), (Some(200), &b"ok"[..]));
+            let response = client.get("/lookup");
+            assert_eq!((response.status(), response.body.as_slice()), (Some(200), &b"ok"[..]));
         }
     }
 }
@@ -70,13 +70,13 @@
 #[test]
 fn counter_adds_and_responds_with_the_total() {
     let counter = StandInCounter::start().expect("a free port");
-    let (mut one, mut other) = (Client::connect(counter.address), Client::connect(counter.address));
-    assert_eq!(one.line("ping"), "pong\r\n");
-    assert_eq!(one.line("bump a 2.5 4000"), "ok 2.5\r\n");
-    assert_eq!(other.line("bump a -1 4000"), "ok 1.5\r\n");
-    assert_eq!(other.line("bump b 1 4000"), "ok 1\r\n");
-    assert_eq!(other.line("bump b inf 4000"), "error\r\n");
-    assert_eq!(other.line("bump b"), "error\r\n");
+    let (mut first, mut second) = (Client::connect(counter.address), Client::connect(counter.address));
+    assert_eq!(first.call("ping"), "pong\r\n");
+    assert_eq!(first.call("bump a 2.5 4000"), "ok 2.5\r\n");
+    assert_eq!(second.call("bump a -1 4000"), "ok 1.5\r\n");
+    assert_eq!(second.call("bump b 1 4000"), "ok 1\r\n");
+    assert_eq!(second.call("bump b inf 4000"), "error\r\n");
+    assert_eq!(second.call("bump b"), "error\r\n");
     assert_eq!(counter.calls(), 5);
 }
 
@@ -84,19 +84,19 @@
 fn discovery_sends_the_complete_list_then_changes() {
     let discovery = StandInDiscovery::start(entries(3)).expect("a free port");
     let mut client = Client::connect(discovery.address);
-    let list = client.list("/discovery/hosts");
+    let list = client.get_list("/discovery/hosts");
     assert_eq!((&list["version"], &list["full"]), (&1.into(), &true.into()));
     let ids: Vec<&Value> = list["servers"].as_array().expect("entries").iter().map(|e| &e["id"]).collect();
     assert_eq!(ids, ["s-00000000", "s-00000001", "s-00000002"]);
     assert_eq!(discovery.change(1, EntryState::Draining), 2);
-    let changes = client.list("/discovery/hosts?from=1&hold_ms=20000");
+    let changes = client.get_list("/discovery/hosts?from=1&hold_ms=20000");
     assert_eq!((&changes["version"], &changes["full"]), (&2.into(), &false.into()));
     let changed = changes["servers"].as_array().expect("entries");
     assert_eq!(changed.len(), 1);
     assert_eq!((&changed[0]["id"], &changed[0]["state"]), (&"s-00000001".into(), &"DRAINING".into()));
-    let unchanged = client.list("/discovery/hosts?from=2&hold_ms=1");
+    let unchanged = client.get_list("/discovery/hosts?from=2&hold_ms=1");
     assert_eq!(unchanged["servers"], Value::Array(Vec::new()));
-    let complete_list = Client::connect(discovery.address).list("/discovery/hosts");
+    let complete_list = Client::connect(discovery.address).get_list("/discovery/hosts");
     assert_eq!(complete_list["servers"][1]["state"], "DRAINING");
 }
 
@@ -104,16 +104,16 @@
 fn waiting_watch_receives_a_replaced_list_in_its_format() {
     let discovery = StandInDiscovery::start(entries(1)).expect("a free port");
     let mut client = Client::connect(discovery.address);
-    client.list("/discovery/hosts");
+    client.get_list("/discovery/hosts");
     client.send("GET /discovery/hosts?from=1&hold_ms=60000 HTTP/1.1\r\n\r\n");
     let watches = |event| matches!(event, DiscoveryEvent::Call { from: Some(1), .. });
-    while !watches(discovery.events.recv_timeout(LIMIT).expect("the watch")) {}
+    while !watches(discovery.events.recv_timeout(READ_TIMEOUT).expect("the watch")) {}
     assert_eq!(discovery.replace(entries(2), ListFormat::Indented), 2);
-    let answer = read_message(&mut client.0).expect("an answer").expect("a whole answer");
-    let text = String::from_utf8(answer.body).expect("UTF-8");
+    let response = read_message(&mut client.0).expect("an answer").expect("a whole answer");
+    let text = String::from_utf8(response.body).expect("UTF-8");
     assert!(text.starts_with("{\r\n          \"version\": 2,\r\n"), "{text}");
     let list: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!((&list["full"], list["servers"].as_array().map(Vec::len)), (&true.into(), Some(2)));
-    let answers = |event| matches!(event, DiscoveryEvent::Answer { version: 2, .. });
-    while !answers(discovery.events.recv_timeout(LIMIT).expect("the answer")) {}
+    let answers = |event| matches!(event, DiscoveryEvent::Response { version: 2, .. });
+    while !answers(discovery.events.recv_timeout(READ_TIMEOUT).expect("the answer")) {}
 }
