--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of quota: grants, rejections, and degraded admission while the counter fails.
+//! Leases of quota: grants, rejections, and admission by even share while the counter fails.
 
 mod common;
 use common::{
@@ -13,33 +13,33 @@
     assert_eq!(
         (started_attempts(&actions).len(), counter_calls(&actions).len()),
         (1, 1),
-        "sent at once, while the counter is called"
+        "the request is sent while the counter is called"
     );
 }
 
 #[test]
-fn burst_is_leased_once_and_further_requests_are_rejected_without_counter_call() {
+fn requests_beyond_spent_burst_are_rejected_without_counter_call() {
     let (mut harness, mut counter) = (GatewayHarness::new(settings()), FakeCounter::default());
-    assert_eq!(counter.send_requests(&mut harness, "a", 60), 20, "the burst, to the unit");
+    assert_eq!(counter.send_requests(&mut harness, "a", 60), 20, "exactly the burst is sent");
     let actions = harness.send_request("b");
     assert_eq!(
         (rejected_count(&actions), counter_calls(&actions).len()),
         (1, 0),
-        "an empty quota needs no call"
+        "a spent quota is rejected without a counter call"
     );
     assert!(matches!(actions[0], Action::Reject { retry_after, .. } if retry_after > 0.0));
 }
 
 #[test]
 fn two_gateways_admit_one_burst_together() {
-    let (mut one, mut two, mut counter) =
+    let (mut first, mut second, mut counter) =
         (GatewayHarness::new(settings()), GatewayHarness::new(settings()), FakeCounter::default());
     let mut sent = 0;
     for i in 0..40 {
-        sent += counter.send_requests(&mut one, &format!("a{i}-"), 1);
-        sent += counter.send_requests(&mut two, &format!("b{i}-"), 1);
+        sent += counter.send_requests(&mut first, &format!("a{i}-"), 1);
+        sent += counter.send_requests(&mut second, &format!("b{i}-"), 1);
     }
-    assert!((18..=21).contains(&sent), "{sent} sent of a burst of 20 (one unit may be unreported)");
+    assert!((18..=21).contains(&sent), "{sent} sent of a burst of 20, of which one unit may be unreported");
 }
 
 #[test]
@@ -51,7 +51,7 @@
         fire_timers(&mut harness, &mut counter, at);
         sent += counter.send_requests(&mut harness, &format!("s{step}-"), 4);
     }
-    assert!((110..=124).contains(&sent), "{sent} sent; burst 20 and 10 a second for 10 s make 120");
+    assert!((110..=124).contains(&sent), "{sent} sent; a burst of 20 and 10 a second for 10 s make 120");
 }
 
 #[test]
@@ -62,17 +62,17 @@
     harness.now += 0.3;
     let sent = counter.send_requests(&mut harness, "b", 60);
     assert!(sent <= 4, "{sent} sent after 0.3 s at 10 a second");
-    assert!(counter.total() > 15.0, "the used units are reported again");
+    assert!(counter.total() > 15.0, "units sent before the reset are reported again");
 }
 
 #[test]
-fn counter_timeout_ends_waiting_request_once() {
+fn counter_timeout_sends_or_rejects_waiting_request_once() {
     let (mut harness, mut counter) = (GatewayHarness::new(settings()), FakeCounter::default());
     counter.send_requests(&mut harness, "a", 60);
     harness.now += 1.0;
     let actions = harness.send_request("lost");
-    let (name, _) = counter_calls(&actions)[0];
-    let actions = harness.counter_replied(name, Status::Timeout, 0.0);
+    let (counter_name, _) = counter_calls(&actions)[0];
+    let actions = harness.counter_replied(counter_name, Status::Timeout, 0.0);
     assert_eq!(started_attempts(&actions).len() + rejected_count(&actions), 1);
 }
 
@@ -85,10 +85,10 @@
             harness.now += 0.375;
             let before = sent;
             let mut actions = harness.send_request(&format!("s{i}"));
-            for (name, step) in counter_calls(&actions) {
-                assert!(step >= before as f64, "{status:?}: {step} reported, {before} sent unreported");
-                reported = step;
-                actions.extend(harness.counter_replied(name, status, 0.0));
+            for (counter_name, amount) in counter_calls(&actions) {
+                assert!(amount >= before as f64, "{status:?}: {amount} reported, {before} sent unreported");
+                reported = amount;
+                actions.extend(harness.counter_replied(counter_name, status, 0.0));
             }
             sent += started_attempts(&actions).len();
         }
@@ -105,9 +105,9 @@
     for i in 0..8 {
         harness.now += 0.375;
         let mut actions = harness.send_request(&format!("s{i}"));
-        for (name, step) in counter_calls(&actions) {
-            *counter.totals.entry(name).or_default() += step;
-            actions.extend(harness.counter_replied(name, Status::Error, 0.0));
+        for (counter_name, amount) in counter_calls(&actions) {
+            *counter.totals.entry(counter_name).or_default() += amount;
+            actions.extend(harness.counter_replied(counter_name, Status::Error, 0.0));
         }
         for (request_id, endpoint) in started_attempts(&actions) {
             sent += 1;
@@ -116,7 +116,7 @@
     }
     harness.now += 1.0;
     sent += counter.send_requests(&mut harness, "b", 60);
-    assert!((23..=25).contains(&sent), "{sent} sent of a burst of 20 and one a second for 4 s");
+    assert!((23..=25).contains(&sent), "{sent} sent; a burst of 20 and one a second for 4 s make 24");
 }
 
 #[test]
@@ -127,23 +127,26 @@
     for step in 1..=50 {
         harness.now = 100.0 + f64::from(step) * 0.1;
         let mut actions = harness.send_request(&format!("q{step}"));
-        for (name, _) in counter_calls(&actions) {
-            actions.extend(harness.counter_replied(name, Status::Timeout, 0.0));
+        for (counter_name, _) in counter_calls(&actions) {
+            actions.extend(harness.counter_replied(counter_name, Status::Timeout, 0.0));
         }
         for (request_id, endpoint) in started_attempts(&actions) {
             sent += 1;
             harness.attempt_ended(&request_id, 0, &endpoint, Status::Ok);
         }
     }
-    assert!((30..=36).contains(&sent), "{sent} sent in 5 s; half of burst 20 and of 10 a second makes 35");
+    assert!(
+        (30..=36).contains(&sent),
+        "{sent} sent in 5 s; half of a burst of 20 and of 10 a second makes 35"
+    );
 }
 
 #[test]
 fn unused_lease_expires_with_its_window() {
     let (mut harness, mut counter) = (GatewayHarness::new(settings()), FakeCounter::default());
     counter.send_requests(&mut harness, "a", 15);
-    // Windows are eight seconds here, so the rest of the lease is of an old one.
+    // A window lasts 8 s here, so the rest of the lease belongs to an earlier window.
     harness.now += 30.0;
     let actions = harness.send_request("b");
-    assert_eq!(counter_calls(&actions).len(), 1, "an expired lease covers nothing: the counter is called");
+    assert_eq!(counter_calls(&actions).len(), 1, "the lease has expired, so the counter is called");
 }
--- a/tests/replicas.rs
+++ b/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas: several processes of one gateway side by side, as in a hot restart.
+//! Replicas: several processes that serve one gateway side by side, as in a hot restart.
 
 mod common;
 use common::{FakeCounter, GatewayHarness, PlanBuilder, endpoint, plan, settings, started_attempts};
@@ -15,32 +15,36 @@
     harness.handle(Event::ReplicasChanged { index, count });
 }
 
-/// Sends `n` requests whose attempts succeed at once; returns the number of attempts.
-fn send_requests(harness: &mut GatewayHarness, tag: &str, n: usize) -> usize {
-    FakeCounter::default().send_requests(harness, tag, n)
+/// Sends `count` requests whose attempts succeed at once. Returns the number of attempts.
+fn send_requests(harness: &mut GatewayHarness, id_prefix: &str, count: usize) -> usize {
+    FakeCounter::default().send_requests(harness, id_prefix, count)
 }
 
 #[test]
-fn two_replicas_have_even_share_of_one() {
-    let mut alone = gateway_without_counter(plan(10.0, 20.0));
-    let whole = send_requests(&mut alone, "a", 30);
-    assert_eq!(whole, 10, "half of the burst, as two gateways carry it");
+fn two_replicas_admit_together_as_much_as_one_process() {
+    let mut only_process = gateway_without_counter(plan(10.0, 20.0));
+    let complete_share = send_requests(&mut only_process, "a", 30);
+    assert_eq!(complete_share, 10, "one of two gateways admits half of the burst");
     let mut predecessor = gateway_without_counter(plan(10.0, 20.0));
     set_replica(&mut predecessor, 0, 2);
     let mut successor = gateway_without_counter(plan(10.0, 20.0));
     successor.handle(Event::SnapshotReceived(predecessor.gateway.snapshot()));
     set_replica(&mut successor, 1, 2);
-    let both = |predecessor: &mut GatewayHarness, successor: &mut GatewayHarness, tag: &str| {
-        send_requests(predecessor, tag, 30) + send_requests(successor, tag, 30)
+    let sent_by_both = |predecessor: &mut GatewayHarness, successor: &mut GatewayHarness, id_prefix: &str| {
+        send_requests(predecessor, id_prefix, 30) + send_requests(successor, id_prefix, 30)
     };
-    assert!(both(&mut predecessor, &mut successor, "b") <= whole);
+    assert!(sent_by_both(&mut predecessor, &mut successor, "b") <= complete_share);
     predecessor.now += 100.0;
     successor.now += 100.0;
-    assert_eq!(both(&mut predecessor, &mut successor, "c"), whole, "and no less for long");
-    // Once the predecessor has ended, the successor has the complete share.
+    assert_eq!(
+        sent_by_both(&mut predecessor, &mut successor, "c"),
+        complete_share,
+        "two replicas admit the complete share between them"
+    );
+    // The successor has the complete share once the predecessor has ended.
     set_replica(&mut successor, 0, 1);
     successor.now += 100.0;
-    assert_eq!(send_requests(&mut successor, "d", 30), whole);
+    assert_eq!(send_requests(&mut successor, "d", 30), complete_share);
 }
 
 #[test]
@@ -51,7 +55,7 @@
         set_replica(&mut harness, index, count);
         (0..8).map(|i| started_attempts(&harness.send_request(&format!("j{i}"))).len()).sum::<usize>()
     };
-    // Eight slots at two gateways.
+    // Each of two gateways has four of the eight slots.
     assert_eq!(
         (
             started_by_replica(0, 1),
@@ -63,7 +67,7 @@
 }
 
 #[test]
-fn predecessor_snapshot_of_endpoints_applies_in_successor() {
+fn successor_keeps_maintenance_and_slow_start_of_snapshot() {
     let mut settings = settings();
     settings.plans = vec![plan(0.0, 0.0)];
     let mut predecessor = GatewayHarness::new(settings.clone());
@@ -71,25 +75,27 @@
     predecessor.handle(Event::MaintenanceChanged { endpoint: "b".into(), in_maintenance: true });
     predecessor.handle(Event::MaintenanceChanged { endpoint: "b".into(), in_maintenance: false });
     let snapshot = predecessor.gateway.snapshot();
-    let cold = snapshot.endpoints.iter().find(|endpoint| &*endpoint.id == "b").expect("it is listed");
-    assert_eq!(cold.warming_up_since, predecessor.now);
-    // Also if the successor receives the endpoint list only later.
-    for known in [true, false] {
-        let mut successor = if known {
+    let after_maintenance =
+        snapshot.endpoints.iter().find(|endpoint| &*endpoint.id == "b").expect("endpoint b in the snapshot");
+    assert_eq!(after_maintenance.warming_up_since, predecessor.now);
+    // The snapshot may arrive before or after the successor's first endpoint list.
+    for has_endpoints in [true, false] {
+        let mut successor = if has_endpoints {
             GatewayHarness::new(settings.clone())
         } else {
             GatewayHarness::without_endpoints(settings.clone())
         };
         successor.handle(Event::SnapshotReceived(snapshot.clone()));
-        let endpoints = ["a", "b", "c"].map(|n| endpoint(n, Lifecycle::Running, 0.0)).to_vec();
+        let endpoints = ["a", "b", "c"].map(|name| endpoint(name, Lifecycle::Running, 0.0)).to_vec();
         successor.update_endpoints(ListKind::Full, endpoints);
-        let to = |id: &str, harness: &mut GatewayHarness, tag: &str| {
-            let went: Vec<_> =
-                (0..9).flat_map(|i| started_attempts(&harness.send_request(&format!("{tag}{i}")))).collect();
-            went.iter().filter(|(_, endpoint)| &**endpoint == id).count()
+        let attempts_at = |id: &str, harness: &mut GatewayHarness, id_prefix: &str| {
+            let attempts: Vec<_> = (0..9)
+                .flat_map(|i| started_attempts(&harness.send_request(&format!("{id_prefix}{i}"))))
+                .collect();
+            attempts.iter().filter(|(_, endpoint)| &**endpoint == id).count()
         };
-        assert_eq!(to("a", &mut successor, "x"), 0, "in maintenance");
-        assert!(to("b", &mut successor, "y") <= 1, "in slow start");
+        assert_eq!(attempts_at("a", &mut successor, "x"), 0, "endpoint a is in maintenance");
+        assert!(attempts_at("b", &mut successor, "y") <= 1, "endpoint b is in slow start");
         assert_eq!(successor.gateway.snapshot().in_maintenance, snapshot.in_maintenance);
     }
 }
