--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Each request gets one final response in time, and retries and hedged requests heed its class.
+//! Each request gets one final response in time, and its class decides which retries and hedged requests are allowed.
 
 mod common;
 use common::{
@@ -13,19 +13,19 @@
 fn finished_request_ignores_later_events() {
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     let (_, endpoint) = started_attempts(&harness.send_request("j")).remove(0);
-    assert!(harness.send_request("j").is_empty(), "an id is accepted once");
+    assert!(harness.send_request("j").is_empty(), "a request id is accepted only once");
     harness.attempt_ended("j", 0, &endpoint, Status::Ok);
     assert!(
         harness.attempt_ended("j", 0, &endpoint, Status::Error).is_empty(),
-        "a late outcome causes no action"
+        "the late end of an attempt causes no action"
     );
     assert!(harness.handle(Event::ClientDisconnected { request_id: "j".into() }).is_empty());
 }
 
 #[test]
-fn request_awaiting_counter_is_answered_within_hold_time() {
+fn request_awaiting_silent_counter_is_answered_when_lease_wait_ends() {
     let mut settings = settings();
-    // No even share of one unit each, so the request waits for the counter's reply.
+    // A gateway's even share of the burst is less than one unit, so the request waits for the counter's reply.
     settings.plans[0].burst = 1.0;
     let mut harness = GatewayHarness::new(settings);
     let actions = harness.send_request("j");
@@ -37,26 +37,26 @@
         Action::SetTimer { token, at } => Some((*token, *at)),
         _ => None,
     });
-    let (token, at) = timer.expect("a hold has its timer");
-    assert!(at - harness.now <= 0.025, "a few milliseconds");
+    let (token, at) = timer.expect("a timer that ends the lease wait");
+    assert!(at - harness.now <= 0.025, "the lease wait lasts 25 ms at most");
     harness.now = at;
     let actions = harness.handle(Event::Timer { token });
     assert_eq!(
         started_attempts(&actions).len() + rejected_count(&actions),
         1,
-        "a silent counter does not hold it longer"
+        "the request is answered though the counter is silent"
     );
 }
 
 #[test]
-fn request_with_deadline_within_hold_time_is_rejected_at_once() {
+fn request_with_deadline_before_end_of_lease_wait_is_rejected_at_once() {
     let mut harness = GatewayHarness::new(settings());
-    let near = Request { deadline: harness.now + 0.003, ..request("j", harness.now) };
-    assert_eq!(rejected_count(&harness.handle(Event::Request(near))), 1);
+    let urgent = Request { deadline: harness.now + 0.003, ..request("j", harness.now) };
+    assert_eq!(rejected_count(&harness.handle(Event::Request(urgent))), 1);
 }
 
 #[test]
-fn at_most_once_request_that_may_have_run_is_neither_retried_nor_rejected() {
+fn at_most_once_request_that_may_have_run_fails_without_retry() {
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::AtMostOnce));
     let (_, endpoint) = started_attempts(&harness.send_request("j")).remove(0);
     let actions = harness.attempt_ended("j", 0, &endpoint, Status::Reset);
@@ -83,37 +83,39 @@
     let zone = |id: &EndpointId| usize::from(id.as_ref() >= "c");
     let (_, first) = started_attempts(&harness.send_request("j")).remove(0);
     let (_, second) = started_attempts(&harness.attempt_ended("j", 0, &first, Status::Error)).remove(0);
-    assert_eq!(zone(&first), zone(&second), "only this scope deduplicates the retry");
+    assert_eq!(zone(&first), zone(&second), "only endpoints of the same zone deduplicate the retry");
     harness.now += 2.0;
     let actions = harness.attempt_ended("j", 1, &second, Status::Error);
     assert_eq!(
         (started_attempts(&actions).len(), rejected_count(&actions), failed_count(&actions)),
         (0, 0, 1),
-        "the window of its scope has passed"
+        "the deduplication window has passed"
     );
 }
 
 #[test]
-fn attempts_with_idempotency_key_carry_end_of_deduplication_window() {
-    let until = |actions: &[Action]| {
-        let until = |a: &Action| {
+fn retries_with_idempotency_key_carry_end_of_deduplication_window() {
+    let dedup_end = |actions: &[Action]| {
+        let attempt_dedup_end = |a: &Action| {
             if let Action::StartAttempt { dedup_until, .. } = a { Some(*dedup_until) } else { None }
         };
-        actions.iter().find_map(until).expect("an attempt")
+        actions.iter().find_map(attempt_dedup_end).expect("an attempt")
     };
-    for group in [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Cell] {
-        let mut harness =
-            GatewayHarness::new(settings_without_quota(Effect::IdempotencyKey { scope: group, window: 1.0 }));
+    for idempotency_scope in [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Cell] {
+        let mut harness = GatewayHarness::new(settings_without_quota(Effect::IdempotencyKey {
+            scope: idempotency_scope,
+            window: 1.0,
+        }));
         let actions = harness.send_request("j");
-        assert_eq!(until(&actions), None, "the first attempt is no retry");
+        assert_eq!(dedup_end(&actions), None, "a first attempt needs no deduplication");
         let (_, first) = started_attempts(&actions).remove(0);
         harness.now += 0.4;
-        // The first attempt may have run since it was sent, so the window of the last starts there, too.
+        // The first attempt may have run, so the window of each retry starts when that attempt was sent.
         let actions = harness.attempt_ended("j", 0, &first, Status::Reset);
-        assert_eq!(until(&actions), Some(101.0));
+        assert_eq!(dedup_end(&actions), Some(101.0));
         let (_, second) = started_attempts(&actions).remove(0);
         harness.now += 0.4;
-        assert_eq!(until(&harness.attempt_ended("j", 1, &second, Status::Error)), Some(101.0));
+        assert_eq!(dedup_end(&harness.attempt_ended("j", 1, &second, Status::Error)), Some(101.0));
     }
     // The previous attempt never ran, so there is nothing to deduplicate yet.
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::IdempotencyKey {
@@ -123,19 +125,19 @@
     let (_, first) = started_attempts(&harness.send_request("j")).remove(0);
     harness.now += 0.4;
     let actions = harness.attempt_ended("j", 0, &first, Status::ConnectFailed);
-    assert_eq!(until(&actions), None);
+    assert_eq!(dedup_end(&actions), None);
     let (_, second) = started_attempts(&actions).remove(0);
     harness.now += 0.4;
-    assert_eq!(until(&harness.attempt_ended("j", 1, &second, Status::Reset)), Some(101.4));
-    // A retry of an idempotent request does no harm at any time.
+    assert_eq!(dedup_end(&harness.attempt_ended("j", 1, &second, Status::Reset)), Some(101.4));
+    // An idempotent request may be retried at any time.
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     let (_, first) = started_attempts(&harness.send_request("j")).remove(0);
-    assert_eq!(until(&harness.attempt_ended("j", 0, &first, Status::Reset)), None);
+    assert_eq!(dedup_end(&harness.attempt_ended("j", 0, &first, Status::Reset)), None);
 }
 
 #[test]
-fn disconnected_client_causes_no_attempt_in_any_waiting_state() {
-    let left = |harness: &mut GatewayHarness, request_id: &str| {
+fn request_of_disconnected_client_gets_no_attempt_in_any_waiting_state() {
+    let disconnect = |harness: &mut GatewayHarness, request_id: &str| {
         let actions = harness.handle(Event::ClientDisconnected { request_id: request_id.into() });
         assert!(
             started_attempts(&actions).is_empty() && rejected_count(&actions) + failed_count(&actions) == 0,
@@ -147,23 +149,23 @@
             |a: &Action| if let Action::SetTimer { token, at } = a { Some((*token, *at)) } else { None };
         actions.iter().filter_map(timer).collect()
     };
-    // Waiting for the counter: its reply and the end of the hold, in either order.
-    for late in [false, true] {
+    // The request waits for the counter; the reply comes before the lease wait ends, or after.
+    for reply_is_late in [false, true] {
         let mut settings = settings();
-        // No even share of one unit each, so the request waits for the counter's reply.
+        // A gateway's even share of the burst is less than one unit, so the request waits for the counter's reply.
         settings.plans[0].burst = 1.0;
         let mut harness = GatewayHarness::new(settings);
         let actions = harness.send_request("j");
         let (counter, amount) = counter_calls(&actions)[0];
-        left(&mut harness, "j");
-        if late {
+        disconnect(&mut harness, "j");
+        if reply_is_late {
             let (token, at) = timers(&actions)[0];
             harness.now = at;
             assert!(started_attempts(&harness.handle(Event::Timer { token })).is_empty());
         }
         assert!(started_attempts(&harness.counter_replied(counter, Status::Ok, amount)).is_empty());
     }
-    // Waiting for a concurrency slot.
+    // The request waits for a concurrency slot.
     let mut settings = settings_without_quota(Effect::Idempotent);
     settings.plans = vec![PlanBuilder::new(10.0, 20.0).max_concurrent_attempts(1).build()];
     settings.gateway_count = 1;
@@ -172,17 +174,17 @@
     let (_, endpoint) = started_attempts(&harness.send_request("first")).remove(0);
     let actions = harness.send_request("waits");
     assert!(started_attempts(&actions).is_empty() && rejected_count(&actions) == 0, "queued for the slot");
-    left(&mut harness, "waits");
+    disconnect(&mut harness, "waits");
     assert!(started_attempts(&harness.attempt_ended("first", 0, &endpoint, Status::Ok)).is_empty());
     for (token, at) in timers(&actions) {
         harness.now = at;
         assert!(started_attempts(&harness.handle(Event::Timer { token })).is_empty());
     }
-    // Waiting for a hedged request or a retry.
+    // The request waits for a hedged request or a retry.
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     let actions = harness.send_request("j");
     let (_, endpoint) = started_attempts(&actions).remove(0);
-    left(&mut harness, "j");
+    disconnect(&mut harness, "j");
     for (token, at) in timers(&actions) {
         harness.now = at;
         assert!(started_attempts(&harness.handle(Event::Timer { token })).is_empty());
@@ -197,5 +199,5 @@
     let mut harness = GatewayHarness::new(settings);
     let actions = harness.send_request("j");
     assert_eq!(started_attempts(&actions).len(), 1);
-    assert!(!actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "no hedge is even planned");
+    assert!(!actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "no hedged request is scheduled");
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -6,29 +6,27 @@
     Effect, Event, Gateway, IdempotencyScope, Options, Request, Settings, SettingsError, Status,
 };
 
-fn refused_settings(change: impl Fn(&mut Settings)) -> SettingsError {
+/// Applies `change` to valid settings and returns the error that a gateway reports for the result.
+fn settings_error(change: impl Fn(&mut Settings)) -> SettingsError {
     let mut settings = settings();
     change(&mut settings);
-    Gateway::new(settings, 1).expect_err("impossible settings")
+    Gateway::new(settings, 1).expect_err("invalid settings")
 }
 
 #[test]
 fn invalid_settings_return_typed_error() {
-    assert_eq!(refused_settings(|settings| settings.gateway_count = 0), SettingsError::NoGateways);
+    assert_eq!(settings_error(|settings| settings.gateway_count = 0), SettingsError::NoGateways);
+    assert_eq!(settings_error(|settings| settings.gateway_index = 2), SettingsError::GatewayIndexOutOfRange);
     assert_eq!(
-        refused_settings(|settings| settings.gateway_index = 2),
-        SettingsError::GatewayIndexOutOfRange
-    );
-    assert_eq!(
-        refused_settings(|settings| settings.plans[0].rate = -1.0),
+        settings_error(|settings| settings.plans[0].rate = -1.0),
         SettingsError::InvalidNumber("rate")
     );
     assert_eq!(
-        refused_settings(|settings| settings.counter_timeout = f64::NAN),
+        settings_error(|settings| settings.counter_timeout = f64::NAN),
         SettingsError::InvalidNumber("counter_timeout")
     );
     assert_eq!(
-        refused_settings(|settings| settings.classes[0].latency_objective = f64::INFINITY),
+        settings_error(|settings| settings.classes[0].latency_objective = f64::INFINITY),
         SettingsError::InvalidNumber("latency_objective")
     );
 }
@@ -45,9 +43,9 @@
     .iter()
     .enumerate()
     {
-        let mut odd = request(&format!("odd{i}"), harness.now);
-        change(&mut odd);
-        let actions = harness.handle(Event::Request(odd));
+        let mut invalid = request(&format!("invalid{i}"), harness.now);
+        change(&mut invalid);
+        let actions = harness.handle(Event::Request(invalid));
         assert_eq!((actions.len(), rejected_count(&actions)), (1, 1));
     }
     assert!(harness.handle(Event::Timer { token: 999 }).is_empty());
@@ -57,18 +55,20 @@
 }
 
 #[test]
-fn unknown_idempotency_group_gets_narrowest_scope() {
+fn unknown_idempotency_scope_is_read_as_narrowest_scope() {
     let effect = |class: serde_json::Value| {
-        let options = Options::read(&serde_json::json!({ "Classes": [class] })).expect("readable");
+        let options = Options::read(&serde_json::json!({ "Classes": [class] })).expect("valid options");
         options.settings.classes[0].effect
     };
-    let class = |group: &str| serde_json::json!({"Effect": "deduplicated", "Group": group, "Window": 1.5});
-    let keyed = |group| Effect::IdempotencyKey { scope: group, window: 1.5 };
-    assert_eq!(effect(class("all")), keyed(IdempotencyScope::All));
-    assert_eq!(effect(class("zone")), keyed(IdempotencyScope::Zone));
-    assert_eq!(effect(class("cell")), keyed(IdempotencyScope::Cell));
-    assert_eq!(effect(class("hall")), keyed(IdempotencyScope::Cell));
-    // Without a window nothing is deduplicated.
+    let class =
+        |scope_name: &str| serde_json::json!({"Effect": "deduplicated", "Group": scope_name, "Window": 1.5});
+    let effect_with_key =
+        |idempotency_scope| Effect::IdempotencyKey { scope: idempotency_scope, window: 1.5 };
+    assert_eq!(effect(class("all")), effect_with_key(IdempotencyScope::All));
+    assert_eq!(effect(class("zone")), effect_with_key(IdempotencyScope::Zone));
+    assert_eq!(effect(class("cell")), effect_with_key(IdempotencyScope::Cell));
+    assert_eq!(effect(class("hall")), effect_with_key(IdempotencyScope::Cell));
+    // A missing window is read as 0: endpoints deduplicate nothing.
     assert_eq!(
         effect(serde_json::json!({"Effect": "deduplicated"})),
         Effect::IdempotencyKey { scope: IdempotencyScope::Cell, window: 0.0 }
