--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -19,22 +19,22 @@
     let node = builder.start();
     let mut client = node.connect();
     let mut up = TestRequest::new("up");
-    up.line = "GET /up HTTP/1.1".into();
+    up.request_line = "GET /up HTTP/1.1".into();
     assert_eq!(client.send_request(&up).status(), 200, "the front takes it in");
     let mut request = TestRequest::new("9b1f03aa5c7e2d41");
-    request.line = "GET /check-answer/5?pupil=3 HTTP/1.1".into();
+    request.request_line = "GET /check-answer/5?pupil=3 HTTP/1.1".into();
     let response = client.send_request(&request);
     assert_eq!((response.status(), response.body.as_slice()), (200, b"marked: 7".as_slice()));
     let (first, forwarded) = endpoint.next_request();
-    assert_eq!(forwarded.line, request.line);
+    assert_eq!(forwarded.start_line, request.request_line);
     assert_eq!(forwarded.header("x-txn"), "9b1f03aa5c7e2d41");
     let wait: f64 = forwarded.header("x-remaining").parse().expect("how long the gateway waits");
     assert!(wait > 0.0 && wait <= 25.0, "{wait}");
     wait_until_connection_is_reusable();
-    assert_eq!(client.send_request(&TestRequest::submit("b")).status(), 200);
+    assert_eq!(client.send_request(&TestRequest::at_most_once("b")).status(), 200);
     let (second, forwarded) = endpoint.next_request();
     assert_eq!(
-        (forwarded.line.as_str(), forwarded.body.as_slice()),
+        (forwarded.start_line.as_str(), forwarded.body.as_slice()),
         ("POST /submit HTTP/1.1", b"answer".as_slice())
     );
     assert_eq!(first, second, "on the pooled connection");
@@ -47,7 +47,10 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     assert_eq!(
-        builder.start().send_request(&TestRequest::submit("k").header("Idempotency-Key", key)).status(),
+        builder
+            .start()
+            .send_request(&TestRequest::at_most_once("k").with_header("Idempotency-Key", key))
+            .status(),
         200
     );
     assert_eq!(endpoint.next_request().1.header("idempotency-key"), key);
@@ -72,7 +75,7 @@
     assert!(client.read_response().is_none(), "the gateway closes without a response");
     // An idempotent request whose attempt fails would be retried if the client were still connected.
     gate.open();
-    tried.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
+    tried.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
     for endpoint in [&endpoint, &other] {
         endpoint.set_behaviour(EndpointBehaviour::Respond("ok"));
     }
@@ -91,53 +94,59 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     let good = || TestRequest::new("x");
-    let line = |line: &str| TestRequest { line: line.into(), ..good() };
+    let line = |line: &str| TestRequest { request_line: line.into(), ..good() };
     let mut bad = vec![
-        good().header("X-Lane", "nonesuch"),
+        good().with_header("X-Lane", "nonesuch"),
         line("GET /submit HTTP/1.1"),
         line("DELETE /check-answer HTTP/1.1"),
-        good().header("X-Plan", "nonesuch"),
-        good().header("X-Customer", "b4d65521"),
-        good().header("X-Customer", "zzzzzzzzzzzzzzzz"),
-        good().header("X-Customer", "ffffffffffffffff"),
-        good().header("X-Customer", "+0000000b4d65521"),
-        good().header("X-Quota", "units=NaN,spread=2,first=0"),
-        good().header("X-Quota", "units=-1,spread=2,first=0"),
-        good().header("X-Quota", "units=1,spread=0,first=0"),
-        good().header("X-Quota", "units=1,spread=3,first=0"),
-        good().header("X-Quota", "units=1,spread=2,first=2"),
-        good().header("X-Quota", "units=1,spread=2"),
-        good().header("X-Quota", "nonsense"),
-        good().header("X-Quota", "units=0,spread=2,first=0"),
-        good().header("X-Quota", "units=2,spread=2,first=0"),
-        good().header("X-Quota", "units=1,units=1,spread=2,first=0"),
-        good().header("X-Quota", "units=1,spread=1.5,first=0"),
-        good().header("X-Quota", "units=1,spread=99999999999999999999,first=0"),
-        good().header("X-Resent", "maybe"),
-        good().header("X-Txn", "two words"),
+        good().with_header("X-Plan", "nonesuch"),
+        good().with_header("X-Customer", "b4d65521"),
+        good().with_header("X-Customer", "zzzzzzzzzzzzzzzz"),
+        good().with_header("X-Customer", "ffffffffffffffff"),
+        good().with_header("X-Customer", "+0000000b4d65521"),
+        good().with_header("X-Quota", "units=NaN,spread=2,first=0"),
+        good().with_header("X-Quota", "units=-1,spread=2,first=0"),
+        good().with_header("X-Quota", "units=1,spread=0,first=0"),
+        good().with_header("X-Quota", "units=1,spread=3,first=0"),
+        good().with_header("X-Quota", "units=1,spread=2,first=2"),
+        good().with_header("X-Quota", "units=1,spread=2"),
+        good().with_header("X-Quota", "nonsense"),
+        good().with_header("X-Quota", "units=0,spread=2,first=0"),
+        good().with_header("X-Quota", "units=2,spread=2,first=0"),
+        good().with_header("X-Quota", "units=1,units=1,spread=2,first=0"),
+        good().with_header("X-Quota", "units=1,spread=1.5,first=0"),
+        good().with_header("X-Quota", "units=1,spread=99999999999999999999,first=0"),
+        good().with_header("X-Resent", "maybe"),
+        good().with_header("X-Txn", "two words"),
     ];
     bad.extend(
         ["soon", "-1", "inf", "NaN", "", "1e300", "99999999", "+1", "0x1"]
-            .map(|v| good().header("X-Remaining", v)),
+            .map(|v| good().with_header("X-Remaining", v)),
     );
     bad.extend(
         ["X-Txn", "X-Lane", "X-Plan", "X-Customer", "X-Remaining", "X-Quota"]
             .map(|h| good().without_header(h)),
     );
     for request in &bad {
-        assert_eq!(node.send_request(request).status(), 400, "{} {:?}", request.line, request.headers);
+        assert_eq!(
+            node.send_request(request).status(),
+            400,
+            "{} {:?}",
+            request.request_line,
+            request.headers
+        );
     }
     let mut client = node.connect();
     client.reader.get_mut().write_all(b"\x16\x03 nonsense\r\n\r\n").expect("a socket");
     assert_eq!(client.read_response().map(|response| response.status()), Some(400));
-    let mut long = TestRequest::submit("long").header("Content-Length", "41943041");
+    let mut long = TestRequest::at_most_once("long").with_header("Content-Length", "41943041");
     assert_eq!(node.send_request(&long).status(), 413, "announced by its length");
-    long = TestRequest::submit("long").header("Transfer-Encoding", "chunked");
+    long = TestRequest::at_most_once("long").with_header("Transfer-Encoding", "chunked");
     long.body = b"2800001\r\n".to_vec();
     assert_eq!(node.send_request(&long).status(), 413, "detected while reading");
-    assert_eq!(node.send_request(&good().header("X-Lane", &"x".repeat(40_000))).status(), 431);
+    assert_eq!(node.send_request(&good().with_header("X-Lane", &"x".repeat(40_000))).status(), 431);
     assert!(endpoint.drain_requests().is_empty());
-    let mut most = TestRequest::submit("most");
+    let mut most = TestRequest::at_most_once("most");
     most.body = vec![b'x'; 65537];
     assert_eq!(node.send_request(&most).status(), 200, "larger than the buffer is allowed");
 }
@@ -185,10 +194,10 @@
     let hidden = String::from_utf8(TestRequest::new("hidden").to_bytes()).expect("text");
     let body = format!("0\r\n\r\n{hidden}");
     for order in [["Content-Length", "Transfer-Encoding"], ["Transfer-Encoding", "Content-Length"]] {
-        let mut request = TestRequest::submit("outer");
+        let mut request = TestRequest::at_most_once("outer");
         for name in order {
             let value = if name == "Content-Length" { body.len().to_string() } else { "chunked".into() };
-            request = request.header(name, &value);
+            request = request.with_header(name, &value);
         }
         request.body = body.clone().into_bytes();
         let mut client = node.connect();
@@ -224,7 +233,7 @@
     let node = builder.start();
     let mut usual = node.connect();
     assert_eq!(usual.send_request(&TestRequest::new("first")).status(), 200);
-    let half = String::from_utf8(TestRequest::submit("half").to_bytes()).expect("text");
+    let half = String::from_utf8(TestRequest::at_most_once("half").to_bytes()).expect("text");
     // Far more connections than the limit.
     let mut bad: Vec<Client> = (0..120)
         .map(|i| {
@@ -251,7 +260,7 @@
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
-    let mut head = TestRequest::submit("huge").header("Content-Length", "60000000");
+    let mut head = TestRequest::at_most_once("huge").with_header("Content-Length", "60000000");
     head.body.clear();
     let mut client = node.connect();
     client.send(&head);
@@ -271,8 +280,11 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     let mut client = node.connect();
-    let requests =
-        [TestRequest::submit("a"), TestRequest::new("b").header("X-Plan", "nonesuch"), TestRequest::new("c")];
+    let requests = [
+        TestRequest::at_most_once("a"),
+        TestRequest::new("b").with_header("X-Plan", "nonesuch"),
+        TestRequest::new("c"),
+    ];
     let bytes: Vec<u8> = requests.iter().flat_map(TestRequest::to_bytes).collect();
     client.reader.get_mut().write_all(&bytes).expect("a socket");
     let responses: Vec<u16> =
@@ -285,7 +297,7 @@
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
-    let mut request = TestRequest::submit("chunks").header("Transfer-Encoding", "chunked");
+    let mut request = TestRequest::at_most_once("chunks").with_header("Transfer-Encoding", "chunked");
     request.body = b"3\r\nans\r\n3\r\nwer\r\n0\r\n\r\n".to_vec();
     assert_eq!(node.send_request(&request).status(), 200);
     let forwarded = endpoint.next_request().1;
@@ -304,13 +316,13 @@
     // A quarter of the memory is for bodies: 64 of 64 KiB each.
     config["limits"]["memory_mb"] = json!(16);
     let node = builder.start_with_config(&config.to_string(), &LaunchOptions::default());
-    let mut half = TestRequest::submit("half").header("Content-Length", "65000");
+    let mut half = TestRequest::at_most_once("half").with_header("Content-Length", "65000");
     half.body = b"some".to_vec();
     let mut held: Vec<Client> = (0..200).map(|_| node.connect()).collect();
     for (i, client) in held.iter_mut().enumerate() {
-        client.send(&half.clone().header("X-Txn", &format!("h{i}")));
+        client.send(&half.clone().with_header("X-Txn", &format!("h{i}")));
     }
-    let mut whole = TestRequest::submit("whole");
+    let mut whole = TestRequest::at_most_once("whole");
     whole.body = vec![b'x'; 65_000];
     assert_eq!(node.send_request(&whole).status(), 200);
 }
--- a/tests/counter_connection.rs
+++ b/tests/counter_connection.rs
@@ -18,7 +18,8 @@
     let mut served = 0;
     for i in 0..20 {
         for node in [&one, &two] {
-            let response = node.send_request(&TestRequest::new(&format!("t{i}")).header("X-Plan", "pieni"));
+            let response =
+                node.send_request(&TestRequest::new(&format!("t{i}")).with_header("X-Plan", "pieni"));
             match response.status() {
                 200 => served += 1,
                 429 => assert!(response.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0)),
@@ -41,7 +42,7 @@
         builder.counter(counter.addr);
         let node = builder.start();
         let mut client = node.connect();
-        let request = |i: usize| TestRequest::new(&format!("c{i}")).header("X-Plan", "pieni");
+        let request = |i: usize| TestRequest::new(&format!("c{i}")).with_header("X-Plan", "pieni");
         let served = (0..12).filter(|i| client.send_request(&request(*i)).status() == 200).count();
         counter.next_call();
         assert!((3..=5).contains(&served), "{served} served; half of a burst of 8");
@@ -59,7 +60,7 @@
     builder.settings["Domain"]["CountLimit"] = json!(5.0);
     let node = builder.start();
     let request = |n: usize, txn: &str| {
-        TestRequest::new(txn).header("X-Plan", "pieni").header("X-Customer", &format!("{n:016x}"))
+        TestRequest::new(txn).with_header("X-Plan", "pieni").with_header("X-Customer", &format!("{n:016x}"))
     };
     assert_eq!(
         node.send_request(&request(1, "a")).status(),
@@ -94,8 +95,9 @@
     let (mut served, mut connections) = (0, std::collections::BTreeSet::new());
     for i in 0..200 {
         let customer = format!("{i:016x}");
-        let request =
-            TestRequest::new(&format!("k{i}")).header("X-Plan", "pieni").header("X-Customer", &customer);
+        let request = TestRequest::new(&format!("k{i}"))
+            .with_header("X-Plan", "pieni")
+            .with_header("X-Customer", &customer);
         served += usize::from(client.send_request(&request).status() == 200);
         connections.extend(counter.calls.try_iter().filter(|c| c.1 != "ping").map(|c| c.0));
         if connections.len() > 1 {
--- a/tests/discovery_connection.rs
+++ b/tests/discovery_connection.rs
@@ -145,7 +145,7 @@
         let (moved, _) = new.accept().expect("the move's call");
         let call = read_message(&mut BufReader::new(moved)).expect("a call");
         assert_eq!(
-            call.line, "GET /discovery/hosts HTTP/1.1",
+            call.start_line, "GET /discovery/hosts HTTP/1.1",
             "the complete list, as versions of another service are not comparable"
         );
         for i in 0..20 {
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -40,7 +40,7 @@
 fn accept_call(listener: &TcpListener) -> (TcpStream, String) {
     let (socket, _) = listener.accept().expect("a connection");
     let message = read_message(&mut BufReader::new(&socket)).expect("a call");
-    (socket, message.line)
+    (socket, message.start_line)
 }
 
 /// Time from a change at discovery to the next call of one of `gateways`, if the watch that would deliver the change
@@ -67,7 +67,7 @@
     let body = json!({"version": 7, "full": true, "servers": builder.known_endpoints}).to_string();
     socket.write_all(ok_response(&body).as_bytes()).expect("it reads");
     let watch = read_message(&mut BufReader::new(&socket)).expect("a watch on the same connection");
-    assert!(watch.line.contains("from=7&hold_ms="), "{}", watch.line);
+    assert!(watch.start_line.contains("from=7&hold_ms="), "{}", watch.start_line);
     // Discovery has the change from this moment on.
     let changed_at = Instant::now();
     match stage {
--- a/tests/endpoint_attempts.rs
+++ b/tests/endpoint_attempts.rs
@@ -23,7 +23,7 @@
         let (builder, _discovery) = NodeBuilder::new(&[&one, &two]);
         let node = builder.start();
         // Failed, not rejected: a rejection would promise that the request has not run.
-        assert_eq!(node.send_request(&TestRequest::submit("once")).status(), 502);
+        assert_eq!(node.send_request(&TestRequest::at_most_once("once")).status(), 502);
         assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "one attempt");
     }
 }
@@ -76,7 +76,7 @@
     let node = builder.start();
     // The order is random and the retry budget limited: repeat until the overloaded endpoint was tried.
     for i in 0.. {
-        assert_eq!(node.send_request(&TestRequest::submit(&format!("r{i}"))).status(), 200);
+        assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("r{i}"))).status(), 200);
         assert_eq!(healthy.drain_requests().len(), 1);
         if !overloaded.drain_requests().is_empty() {
             break;
@@ -112,10 +112,10 @@
     let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
-    assert_eq!(node.send_request(&TestRequest::new("t").header("X-Remaining", "0.3")).status(), 429);
-    endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
+    assert_eq!(node.send_request(&TestRequest::new("t").with_header("X-Remaining", "0.3")).status(), 429);
+    endpoint.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
     assert_eq!(
-        node.send_request(&TestRequest::submit("u").header("X-Remaining", "0.3")).status(),
+        node.send_request(&TestRequest::at_most_once("u").with_header("X-Remaining", "0.3")).status(),
         502,
         "it may have run"
     );
@@ -140,10 +140,10 @@
         let endpoint = FakeEndpoint::start(EndpointBehaviour::WriteRaw(response));
         let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
         let node = builder.start();
-        assert_eq!(node.send_request(&TestRequest::submit("once")).status(), 502, "{response}");
+        assert_eq!(node.send_request(&TestRequest::at_most_once("once")).status(), 502, "{response}");
         endpoint.next_request();
         // The connection is closed, and the request is not sent again.
-        endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
+        endpoint.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
         assert!(endpoint.drain_requests().is_empty(), "{response}");
     }
 }
@@ -160,7 +160,7 @@
         let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
         let node = builder.start();
         let mut client = node.connect();
-        client.send(&TestRequest::submit("once").header("Connection", "close"));
+        client.send(&TestRequest::at_most_once("once").with_header("Connection", "close"));
         endpoint.next_request();
         endpoint.set_behaviour(EndpointBehaviour::Respond("ok"));
         // An endless body is streamed until it is cut off, visibly to the client.
@@ -169,7 +169,7 @@
             response.starts_with("HTTP/1.1 502 ")
                 || (response.starts_with("HTTP/1.1 200 ") && !response.ends_with("0\r\n\r\n"))
         );
-        endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
+        endpoint.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
     }
 }
 
@@ -201,7 +201,11 @@
         let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
         let node = builder.start();
         for i in 0..3 {
-            assert_eq!(node.send_request(&TestRequest::submit(&format!("b{i}"))).body, b"ok", "{response}");
+            assert_eq!(
+                node.send_request(&TestRequest::at_most_once(&format!("b{i}"))).body,
+                b"ok",
+                "{response}"
+            );
         }
         assert_eq!(endpoint.drain_requests().len(), 3);
     }
--- a/tests/endpoint_pool.rs
+++ b/tests/endpoint_pool.rs
@@ -16,8 +16,8 @@
     let mut client = node.connect();
     // At-most-once requests, so that an attempt on the dead connection would be visible as a failure.
     for i in 0..4 {
-        assert_eq!(client.send_request(&TestRequest::submit(&format!("d{i}"))).status(), 200);
-        endpoint.wait_for(|event| matches!(event, EndpointEvent::WriteFinished));
+        assert_eq!(client.send_request(&TestRequest::at_most_once(&format!("d{i}"))).status(), 200);
+        endpoint.wait_for_event(|event| matches!(event, EndpointEvent::WriteFinished));
         wait_until_connection_is_reusable();
     }
 }
@@ -28,7 +28,7 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     let idle = || std::thread::sleep(std::time::Duration::from_millis(150));
-    let send = |txn: &str| node.send_request(&TestRequest::submit(txn)).status();
+    let send = |txn: &str| node.send_request(&TestRequest::at_most_once(txn)).status();
     assert_eq!(send("a"), 200);
     idle();
     assert_eq!(send("b"), 502, "it may have run");
@@ -45,10 +45,10 @@
     builder.settings["Limits"]["ConnIdle"] = json!(2.0);
     let node = builder.start();
     let mut client = node.connect();
-    assert_eq!(client.send_request(&TestRequest::submit("i")).status(), 200);
-    endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(0)));
+    assert_eq!(client.send_request(&TestRequest::at_most_once("i")).status(), 200);
+    endpoint.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(0)));
     assert_eq!(
-        client.send_request(&TestRequest::submit("j")).status(),
+        client.send_request(&TestRequest::at_most_once("j")).status(),
         200,
         "the next request has a new connection"
     );
@@ -62,9 +62,9 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     for i in 0..4 {
-        assert_eq!(node.send_request(&TestRequest::submit(&format!("l{i}"))).body, b"asked");
+        assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("l{i}"))).body, b"asked");
         gate.open();
-        endpoint.wait_for(|event| matches!(event, EndpointEvent::WriteFinished));
+        endpoint.wait_for_event(|event| matches!(event, EndpointEvent::WriteFinished));
         wait_until_connection_is_reusable();
     }
 }
--- a/tests/fakes/client.rs
+++ b/tests/fakes/client.rs
@@ -6,16 +6,16 @@
     net::{SocketAddr, TcpStream},
 };
 
-/// Builder of a client's request; by default a plain valid one.
+/// Request of a client; valid unless a test changes it.
 #[derive(Clone)]
 pub struct TestRequest {
-    pub line: String,
+    pub request_line: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
 }
 
 impl TestRequest {
-    /// A request of the idempotent class.
+    /// Returns a request of the idempotent class with the transaction id `txn`.
     pub fn new(txn: &str) -> Self {
         let headers = vec![
             ("Host", "backend.local".to_owned()),
@@ -26,19 +26,19 @@
             ("X-Remaining", "25.0".to_owned()),
             ("X-Quota", "units=1,spread=2,first=0".to_owned()),
         ];
-        Self { line: "GET /check-answer HTTP/1.1".into(), headers, body: Vec::new() }
+        Self { request_line: "GET /check-answer HTTP/1.1".into(), headers, body: Vec::new() }
     }
 
-    /// A request of the at-most-once class.
-    pub fn submit(txn: &str) -> Self {
-        let mut request = Self::new(txn).header("X-Lane", "submit");
-        request.line = "POST /submit HTTP/1.1".into();
+    /// Returns a request of the at-most-once class, with a body.
+    pub fn at_most_once(txn: &str) -> Self {
+        let mut request = Self::new(txn).with_header("X-Lane", "submit");
+        request.request_line = "POST /submit HTTP/1.1".into();
         request.body = b"answer".to_vec();
         request
     }
 
     /// Adds or replaces a header.
-    pub fn header(mut self, name: &'static str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
         self.headers.retain(|(n, _)| *n != name);
         self.headers.push((name, value.to_owned()));
         self
@@ -50,9 +50,9 @@
         self
     }
 
-    /// The request as it is sent.
+    /// Returns the bytes to send; adds `Content-Length` for a body whose framing no header gives.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let mut text = format!("{}\r\n", self.line);
+        let mut text = format!("{}\r\n", self.request_line);
         for (name, value) in &self.headers {
             text += &format!("{name}: {value}\r\n");
         }
@@ -74,18 +74,18 @@
 
 impl Client {
     pub fn connect(addr: SocketAddr) -> Self {
-        let socket = TcpStream::connect(addr).expect("it listens");
-        socket.set_read_timeout(Some(WAIT_LIMIT)).expect("a socket");
+        let socket = TcpStream::connect(addr).expect("the gateway listens");
+        socket.set_read_timeout(Some(WAIT_LIMIT)).expect("an open socket");
         Self { reader: BufReader::new(socket) }
     }
 
-    /// Sends a request and doesn't wait for the response.
+    /// Sends a request without waiting for the response.
     pub fn send(&mut self, request: &TestRequest) {
-        // The gateway may respond and close before it has read all of what is too long.
+        // The gateway may respond to an oversized request and close before it has read all of it.
         let _ = self.reader.get_mut().write_all(&request.to_bytes());
     }
 
-    /// The next response; `None` if the connection ends first.
+    /// Reads the next response; returns `None` if the connection ends first.
     pub fn read_response(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
@@ -96,12 +96,15 @@
         self.read_response().expect("a complete response")
     }
 
-    /// All that arrives until the gateway closes the connection, which it must do.
+    /// Returns everything that arrives until the gateway closes the connection; panics if the connection stays open.
     pub fn read_until_closed(&mut self) -> String {
         let mut received = Vec::new();
-        // A reset is a close too; what arrived before it counts.
+        // A reset is a close, too; the bytes that arrived before it are kept.
         let end = self.reader.read_to_end(&mut received);
-        assert!(end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset), "it stays open");
+        assert!(
+            end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset),
+            "the connection stays open"
+        );
         String::from_utf8_lossy(&received).into_owned()
     }
 }
--- a/tests/fakes/counter.rs
+++ b/tests/fakes/counter.rs
@@ -1,4 +1,4 @@
-//! A fake counter that replies well or badly.
+//! Fake counter whose replies a test chooses.
 
 use super::{
     WAIT_LIMIT,
@@ -14,27 +14,28 @@
     },
 };
 
-/// Connections that a gateway holds to the counter.
+/// Number of connections that a gateway holds to the counter.
 const GATEWAY_CONNECTIONS: usize = 4;
 
-/// How the counter replies.
+/// Replies of the fake counter.
 #[derive(Clone, Copy, PartialEq)]
 pub enum CounterBehaviour {
     Normal,
     Silent,
     Busy,
-    /// Replies with bytes that are no reply.
+    /// Replies with bytes that are not a valid reply.
     Invalid,
-    /// Replies to the first call of its first connection when a second has arrived, in their order.
+    /// Delays the reply to the first call on the first connection until the second call arrives there, and then replies
+    /// to both in order.
     FirstReplyAwaitsSecondCall,
-    /// Silent on its first connection, normal on others.
+    /// Silent on the first connection, normal on others.
     FirstConnectionSilent,
-    /// Silent on its first connections, as many as a gateway holds, normal on others.
+    /// Silent on the first connections, as many as a gateway holds, normal on others.
     InitialConnectionsSilent,
 }
 
 impl CounterBehaviour {
-    /// Whether a connection stays silent after its `call_count`th call.
+    /// Checks whether replies on `connection` are held back after its `call_count`th call.
     fn is_silent(self, connection: usize, call_count: usize) -> bool {
         match self {
             Self::Silent => true,
@@ -46,14 +47,14 @@
     }
 }
 
-/// A call of the counter as one line.
+/// Number of the connection and line of a call.
 type CounterCall = (usize, String);
 type Totals = Arc<Mutex<BTreeMap<String, f64>>>;
 
-/// A counter on a loopback socket.
+/// Counter on a loopback socket.
 pub struct FakeCounter {
     pub addr: SocketAddr,
-    /// The lines received, each with the number of its connection.
+    /// Calls received, pings included.
     pub calls: Receiver<CounterCall>,
     totals: Totals,
 }
@@ -63,7 +64,7 @@
         Self::start_with_total(behaviour, 0.0)
     }
 
-    /// The first count that is called stands at `first_total` already.
+    /// Starts a counter whose first count begins at `first_total` instead of 0.
     pub fn start_with_total(behaviour: CounterBehaviour, first_total: f64) -> Self {
         let (listener, addr) = listen();
         let (call_sender, calls) = channel();
@@ -75,7 +76,7 @@
         Self { addr, calls, totals }
     }
 
-    /// Waits for the next call, pings left out.
+    /// Waits for the next call that is not a ping.
     pub fn next_call(&self) -> CounterCall {
         loop {
             let call = self.calls.recv_timeout(WAIT_LIMIT).expect("a call");
@@ -85,9 +86,9 @@
         }
     }
 
-    /// The sum of all counts.
+    /// Returns the sum of all counts.
     pub fn total(&self) -> f64 {
-        self.totals.lock().expect("no panic inside").values().sum()
+        self.totals.lock().expect("the lock is not poisoned").values().sum()
     }
 }
 
@@ -116,14 +117,14 @@
     }
 }
 
-/// Carries out one call and returns the reply.
+/// Executes one call and returns the reply.
 fn add_to_count(line: &str, behaviour: CounterBehaviour, first_total: f64, totals: &Totals) -> String {
-    let words: Vec<&str> = line.split(' ').collect();
-    let mut totals = totals.lock().expect("no panic inside");
-    let start = if totals.is_empty() { first_total } else { 0.0 };
-    let total = totals.entry(words[1].to_owned()).or_insert(start);
-    *total += words[2].parse::<f64>().expect("an amount");
-    assert!(words[3].parse::<u64>().is_ok_and(|ttl| ttl >= 1), "a lifetime in milliseconds");
+    let fields: Vec<&str> = line.split(' ').collect();
+    let mut totals = totals.lock().expect("the lock is not poisoned");
+    let initial_total = if totals.is_empty() { first_total } else { 0.0 };
+    let total = totals.entry(fields[1].to_owned()).or_insert(initial_total);
+    *total += fields[2].parse::<f64>().expect("a number of units");
+    assert!(fields[3].parse::<u64>().is_ok_and(|ttl| ttl >= 1), "a lifetime in milliseconds");
     match behaviour {
         CounterBehaviour::Busy => "busy".into(),
         CounterBehaviour::Invalid => "\u{1}nonsense".into(),
--- a/tests/fakes/discovery.rs
+++ b/tests/fakes/discovery.rs
@@ -1,4 +1,4 @@
-//! A fake discovery service with one endpoint list.
+//! Fake discovery service with one endpoint list.
 
 use super::{
     WAIT_LIMIT,
@@ -16,39 +16,39 @@
     time::Duration,
 };
 
-/// Longest time for which a watch is held, whatever was asked: a shorter wait is allowed.
+/// Longest time that a watch is held, even if the gateway allows more; discovery may answer a watch early.
 const MAX_WATCH_TIME: Duration = Duration::from_secs(1);
 
-/// The endpoint list, and how calls for it are answered.
+/// Endpoint list, and the way in which calls for it are answered.
 #[derive(Default)]
 struct ListState {
-    /// Counts the changes.
+    /// Number of changes since the start.
     version: u64,
-    /// Entries with the version of their last change.
+    /// Entries, each with the version of its last change.
     entries: Vec<(u64, Value)>,
     is_invalid: bool,
     is_silent: bool,
-    /// Number of calls that are still to be rejected.
+    /// Number of calls that are still to be answered with 503.
     calls_to_reject: usize,
 }
 
-/// The list, shared between the test and the connections that serve it.
+/// Endpoint list shared between the test and the connections that serve it.
 #[derive(Default)]
 struct SharedList {
     state: Mutex<ListState>,
     changed: Condvar,
 }
 
-/// A discovery service on a loopback socket.
+/// Discovery service on a loopback socket.
 pub struct FakeDiscovery {
     pub addr: SocketAddr,
-    /// The version that each call starts from; 0 for the complete list.
+    /// Version that each call starts from; 0 for the complete list.
     calls: Receiver<u64>,
     call_sender: Sender<u64>,
     list: Arc<SharedList>,
 }
 
-/// An entry of the endpoint list.
+/// Returns an entry of the endpoint list, in zone `hall-a`.
 pub fn endpoint_entry(id: &str, addr: SocketAddr, state: &str) -> Value {
     json!({"id": id, "addr": addr.to_string(), "zone": "hall-a", "kind": "k", "cell": 1, "state": state,
         "weight": 1.0, "started_ms": 0})
@@ -73,11 +73,11 @@
     }
 
     fn change_state(&self, change: impl FnOnce(&mut ListState)) {
-        change(&mut self.list.state.lock().expect("no panic inside"));
+        change(&mut self.list.state.lock().expect("the lock is not poisoned"));
         self.list.changed.notify_all();
     }
 
-    /// Adds or replaces an entry; returns the list's new version.
+    /// Adds or replaces an entry and returns the list's new version.
     pub fn update_entry(&self, entry: Value) -> u64 {
         let mut version = 0;
         self.change_state(|list| {
@@ -89,33 +89,33 @@
         version
     }
 
-    /// Answers with a truncated list while it is set.
+    /// Sets whether calls are answered with a truncated list.
     pub fn set_invalid(&self, is_invalid: bool) {
         self.change_state(|list| list.is_invalid = is_invalid);
     }
 
-    /// Answers nothing while it is set.
+    /// Sets whether calls get no response.
     pub fn set_silent(&self, is_silent: bool) {
         self.change_state(|list| list.is_silent = is_silent);
     }
 
-    /// Answers 503 to so many calls from now on.
+    /// Answers the next `count` calls with 503.
     pub fn reject_calls(&self, count: usize) {
         self.change_state(|list| list.calls_to_reject = count);
     }
 
-    /// Waits until the gateway watches from `version`: it has applied all changes up to it.
+    /// Waits until the gateway calls from `version` or later, and so has applied all changes up to `version`.
     pub fn wait_until_applied(&self, version: u64) {
-        while self.calls.recv_timeout(WAIT_LIMIT).expect("a watch") < version {}
+        while self.calls.recv_timeout(WAIT_LIMIT).expect("a call") < version {}
     }
 
-    /// Waits for one more call of any kind; returns the version that it starts from, 0 for the complete list.
+    /// Waits for the next call and returns the version that it starts from, 0 for the complete list.
     pub fn next_call(&self) -> u64 {
         self.calls.recv_timeout(WAIT_LIMIT).expect("a call")
     }
 }
 
-/// Answers calls for a list, and reports the version that each starts from.
+/// Answers calls for the list, and sends the version that each starts from to `calls`.
 fn serve_list(listener: TcpListener, list: Arc<SharedList>, calls: Sender<u64>) {
     accept_connections(listener, move |socket, _| serve_connection(&socket, &list, &calls));
 }
@@ -123,14 +123,16 @@
 fn serve_connection(mut socket: &TcpStream, list: &SharedList, calls: &Sender<u64>) {
     let mut reader = BufReader::new(socket);
     while let Some(message) = read_message(&mut reader) {
-        let from = from_version(&message.line);
+        let from = from_version(&message.start_line);
         let _ = calls.send(from.unwrap_or(0));
-        let guard = list.state.lock().expect("no panic inside");
+        let guard = list.state.lock().expect("the lock is not poisoned");
         let must_wait = |list: &mut ListState| {
             list.is_silent || (list.calls_to_reject == 0 && !list.is_invalid && from == Some(list.version))
         };
-        let (mut state, _) =
-            list.changed.wait_timeout_while(guard, MAX_WATCH_TIME, must_wait).expect("no panic inside");
+        let (mut state, _) = list
+            .changed
+            .wait_timeout_while(guard, MAX_WATCH_TIME, must_wait)
+            .expect("the lock is not poisoned");
         if state.calls_to_reject > 0 {
             state.calls_to_reject -= 1;
             drop(state);
@@ -149,7 +151,7 @@
     }
 }
 
-/// The version that a call starts from; `None` if it is for the complete list.
+/// Returns the version that a call starts from; `None` if the call is for the complete list.
 fn from_version(request_line: &str) -> Option<u64> {
     let (_, rest) = request_line.split_once("from=")?;
     let version = rest.split(['&', ' ']).next().and_then(|v| v.parse::<u64>().ok());
--- a/tests/fakes/endpoint.rs
+++ b/tests/fakes/endpoint.rs
@@ -1,4 +1,4 @@
-//! Fake endpoints that answer, fail or wait as a test tells them.
+//! Fake endpoints that respond, fail or wait as a test chooses.
 
 use super::{
     Message, WAIT_LIMIT,
@@ -21,24 +21,24 @@
     thread::sleep(Duration::from_millis(20));
 }
 
-/// What an endpoint does with a request.
+/// Reaction of a fake endpoint to a request.
 #[derive(Clone)]
 pub enum EndpointBehaviour {
     /// Responds 200 with this body.
     Respond(&'static str),
-    /// Writes these bytes as they are.
+    /// Writes these bytes unchanged.
     WriteRaw(&'static str),
-    /// Writes the first part, the second once the gate opens, and closes.
+    /// Writes the first part, then the second once the gate opens, and closes the connection.
     WriteRawInTwoParts(&'static str, Arc<Gate>, &'static str),
-    /// Responds, and once the gate opens writes these bytes, which nobody has asked for.
+    /// Responds, then writes these unsolicited bytes once the gate opens.
     RespondThenWriteRaw(Arc<Gate>, &'static str),
     /// Closes the connection without a response.
     Close,
     /// Responds to the first request of a connection and closes at the next without a response.
     RespondOnce,
-    /// Responds, then shuts down its sending side without `Connection: close`.
+    /// Responds without `Connection: close`, then shuts down the sending side.
     RespondThenShutDown,
-    /// Keeps the request until the gateway closes the connection.
+    /// Holds the request until the gateway closes the connection.
     HoldUntilClosed,
     /// Responds once the gate opens.
     RespondAfter(Arc<Gate>),
@@ -46,7 +46,7 @@
     CloseAfter(Arc<Gate>),
 }
 
-/// Opens once and stays open.
+/// Latch on which a fake endpoint waits; stays open once opened.
 #[derive(Default)]
 pub struct Gate {
     is_open: Mutex<bool>,
@@ -55,31 +55,31 @@
 
 impl Gate {
     pub fn open(&self) {
-        *self.is_open.lock().expect("no panic inside") = true;
+        *self.is_open.lock().expect("the lock is not poisoned") = true;
         self.opened.notify_all();
     }
 
-    /// Waits until the gate is open.
+    /// Waits until the gate is open, at most for [`WAIT_LIMIT`].
     fn wait(&self) {
-        let guard = self.is_open.lock().expect("no panic inside");
+        let guard = self.is_open.lock().expect("the lock is not poisoned");
         let is_closed = |is_open: &mut bool| !*is_open;
         let result = self.opened.wait_timeout_while(guard, WAIT_LIMIT, is_closed);
-        drop(result.expect("no panic inside"));
+        drop(result.expect("the lock is not poisoned"));
     }
 }
 
-/// What an endpoint has observed. Connections are numbered in the order in which they were accepted.
+/// Event at a fake endpoint. Connections are numbered in the order in which they were accepted.
 #[derive(Debug)]
 pub enum EndpointEvent {
-    /// A complete request on the connection of this number.
+    /// Complete request, with the number of its connection.
     Request(usize, Message),
-    /// The connection of this number has ended.
+    /// End of the connection with this number.
     ConnectionEnded(usize),
-    /// The endpoint has shut down its sending side, or written its unsolicited bytes.
+    /// The endpoint has shut down the sending side or written the unsolicited bytes.
     WriteFinished,
 }
 
-/// An endpoint on a loopback socket.
+/// Endpoint on a loopback socket.
 pub struct FakeEndpoint {
     pub addr: SocketAddr,
     events: Receiver<EndpointEvent>,
@@ -104,12 +104,12 @@
         Self { addr, events, behaviour }
     }
 
-    /// Changes the behaviour for requests from now on.
+    /// Sets the behaviour for requests that arrive from now on.
     pub fn set_behaviour(&self, behaviour: EndpointBehaviour) {
-        *self.behaviour.lock().expect("no panic inside") = behaviour;
+        *self.behaviour.lock().expect("the lock is not poisoned") = behaviour;
     }
 
-    /// Waits for the next request, with the number of its connection.
+    /// Waits for the next request and returns it with the number of its connection; discards other events.
     pub fn next_request(&self) -> (usize, Message) {
         loop {
             if let EndpointEvent::Request(connection, message) =
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Waits for an event that `matches`; drops those before it.
-    pub fn wait_for(&self, matches: impl Fn(&EndpointEvent) -> bool) {
+    /// Waits for an event that `matches`, and discards those before it.
+    pub fn wait_for_event(&self, matches: impl Fn(&EndpointEvent) -> bool) {
         while !matches(&self.events.recv_timeout(WAIT_LIMIT).expect("the event")) {}
     }
 
-    /// The requests received and not yet taken by the calls above.
+    /// Returns the requests received since the last call of a method above or of this one; discards other events.
     pub fn drain_requests(&self) -> Vec<Message> {
         let message = |event| if let EndpointEvent::Request(_, m) = event { Some(m) } else { None };
         self.events.try_iter().filter_map(message).collect()
@@ -145,7 +145,7 @@
     let mut reader = BufReader::new(socket);
     let mut has_responded = false;
     while let Some(message) = read_message(&mut reader) {
-        let current = behaviour.lock().expect("no panic inside").clone();
+        let current = behaviour.lock().expect("the lock is not poisoned").clone();
         let _ = events.send(EndpointEvent::Request(connection, message));
         let response = match current {
             EndpointBehaviour::Respond(body) => ok_response(body),
--- a/tests/fakes/message.rs
+++ b/tests/fakes/message.rs
@@ -1,27 +1,29 @@
-//! HTTP messages as the fakes and the test clients read them.
+//! Reader of HTTP messages for the fakes and the test clients.
 
 use std::{collections::HashMap, io::BufRead};
 
-/// One message: first line, headers by lower-case name, body.
+/// HTTP request or response; header names are in lower case.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
-    pub line: String,
+    /// Request line or status line.
+    pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
     }
 
-    /// The value of a header; empty if it is missing.
+    /// Returns the value of a header; empty if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// Reads one message; `None` at the end of the stream or when it breaks.
+/// Reads one message; returns `None` at the end of the stream or if reading fails.
 pub fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let mut message = read_head(stream)?;
     if message.header("transfer-encoding") == "chunked" {
@@ -42,8 +44,8 @@
             return None;
         }
         let line = line.trim_end();
-        if message.line.is_empty() {
-            message.line = line.to_owned();
+        if message.start_line.is_empty() {
+            message.start_line = line.to_owned();
         } else if line.is_empty() {
             return Some(message);
         } else if let Some((name, value)) = line.split_once(':') {
@@ -60,7 +62,7 @@
         let length = usize::from_str_radix(line.trim(), 16).ok()?;
         let mut chunk = vec![0; length + 2];
         stream.read_exact(&mut chunk).ok()?;
-        assert!(chunk.ends_with(b"\r\n"), "a chunk's end");
+        assert!(chunk.ends_with(b"\r\n"), "a chunk ends with CRLF");
         if length == 0 {
             return Some(body);
         }
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -1,6 +1,6 @@
-//! Fakes around the gateway under test: endpoints, a counter and discovery on loopback sockets, clients, and the
-//! built program itself. They wait for events, with limits far beyond what any of them takes.
-// No test file uses all of it.
+//! Runs the built program between fake endpoints, counters and discovery services on loopback sockets, and test
+//! clients. Tests wait for events instead of fixed times wherever an event shows the progress.
+// No test file uses all of these items.
 #![allow(dead_code, unused_imports)]
 
 mod client;
@@ -20,10 +20,10 @@
 pub use message::{Message, read_message};
 pub use node::{LaunchOptions, Node, spawn_program};
 pub use node_builder::NodeBuilder;
-pub use ports::{ReservedPort, SaturatedListener, pending_in, wait_for_pending_connections};
+pub use ports::{ReservedPort, SaturatedListener, count_pending_sockets, wait_for_pending_connections};
 pub use temp_dir::TempDir;
 
 use std::time::Duration;
 
-/// Limit of every wait; nothing here takes nearly so long.
+/// Longest wait for any event; events take far less.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
--- a/tests/fakes/node.rs
+++ b/tests/fakes/node.rs
@@ -1,4 +1,4 @@
-//! The built program as a child process.
+//! Runs the built program as a child process.
 
 use super::{Client, Message, TestRequest, WAIT_LIMIT};
 use std::{
@@ -15,23 +15,23 @@
     time::{Duration, Instant},
 };
 
-/// Numbers the configuration files of this process.
+/// Number of the next configuration file that this test process writes.
 static NEXT_CONFIG_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// What a process inherits from the platform.
+/// Listening socket, environment and limits that a gateway process inherits.
 #[derive(Default)]
 pub struct LaunchOptions<'a> {
-    /// The clients' listening socket, as descriptor 3.
+    /// Listening socket for clients, passed as descriptor 3.
     pub listener: Option<&'a TcpListener>,
-    /// The folder that it shares with other processes of its name.
+    /// Folder that processes of the same node share; `None` for the system's folder for temporary files.
     pub temp_dir: Option<&'a Path>,
-    /// Most descriptors that the system lets it open.
+    /// Limit of open descriptors that the system enforces.
     pub max_descriptors: Option<usize>,
-    /// How it logs, where that is not the default.
+    /// Level and format of the log; `None` for the default.
     pub log_setting: Option<&'a str>,
 }
 
-/// Starts the program on a file of its own that holds `config`; returns the process and the file.
+/// Writes `config` to a new file and starts the program with it; returns the process and the file's path.
 pub fn spawn_program(config: &str, options: &LaunchOptions) -> (Child, PathBuf) {
     let path = write_config(config);
     let mut command = base_command(options);
@@ -55,14 +55,14 @@
     path
 }
 
-/// The program, behind a shell where it inherits a socket or a limit.
+/// Returns the command that starts the program; a shell sets up an inherited socket or limit first.
 fn base_command(options: &LaunchOptions) -> Command {
     let program = env!("CARGO_BIN_EXE_oliverack");
     if let Some(listener) = options.listener {
-        // The shell moves its standard input to the descriptor where the program looks for the socket.
+        // The shell moves the socket from standard input to descriptor 3, which `NODE_ACCEPT_FD` names.
         let mut command = Command::new("sh");
         command.args(["-c", "exec 3<&0 </dev/null; exec \"$0\"", program]).env("NODE_ACCEPT_FD", "3");
-        command.stdin(OwnedFd::from(listener.try_clone().expect("a socket")));
+        command.stdin(OwnedFd::from(listener.try_clone().expect("an open socket")));
         return command;
     }
     let mut command = if let Some(limit) = options.max_descriptors {
@@ -76,10 +76,10 @@
     command
 }
 
-/// A running program, killed when it is dropped.
+/// Running gateway process, killed when dropped.
 pub struct Node {
     pub addr: SocketAddr,
-    /// Where operators call; valid only if the configuration has such an address.
+    /// Address for operators; port 0 if the configuration has no such address.
     pub operator_addr: SocketAddr,
     pub child: Child,
     config_path: PathBuf,
@@ -100,74 +100,75 @@
         node
     }
 
-    /// Waits for a line of the log that contains `text`.
+    /// Waits for a line of the log that contains `text` and returns it; discards the lines before it.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(WAIT_LIMIT).expect("the line");
+            let line = self.log.recv_timeout(WAIT_LIMIT).expect("the expected log line");
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    fn send_signal(&self, name: &str) {
+    fn send_signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
-        let sent = Command::new("kill").args([name, &pid]).status().expect("kill runs");
-        assert!(sent.success());
+        let status = Command::new("kill").args([signal, &pid]).status().expect("kill runs");
+        assert!(status.success());
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.send_signal("-TERM");
     }
 
-    /// Replaces the configuration file and signals a reload.
+    /// Replaces the configuration file and signals a reload; doesn't wait for the reload.
     pub fn reload(&self, config: &str) {
-        // Renamed into place, as a file half written could be read.
-        let new = self.config_path.with_extension("new");
-        std::fs::write(&new, config).expect("a writable folder for temporary files");
-        std::fs::rename(&new, &self.config_path).expect("the same folder");
+        // Renamed into place, so that the process never reads a half-written file.
+        let new_path = self.config_path.with_extension("new");
+        std::fs::write(&new_path, config).expect("a writable folder for temporary files");
+        std::fs::rename(&new_path, &self.config_path).expect("the same folder");
         self.send_signal("-HUP");
     }
 
-    /// Reloads while `meanwhile` happens: the process waits for its file, and does nothing else.
+    /// Signals a reload and runs `meanwhile` while the process is blocked on reading its configuration file.
     pub fn reload_while(&self, config: &str, meanwhile: impl FnOnce()) {
-        let new = self.config_path.with_extension("new");
-        let made = Command::new("mkfifo").arg(&new).status().expect("mkfifo runs");
-        assert!(made.success());
-        std::fs::rename(&new, &self.config_path).expect("the same folder");
+        let pipe_path = self.config_path.with_extension("new");
+        let status = Command::new("mkfifo").arg(&pipe_path).status().expect("mkfifo runs");
+        assert!(status.success());
+        std::fs::rename(&pipe_path, &self.config_path).expect("the same folder");
         self.send_signal("-HUP");
-        // Opens once the process has it open.
-        let mut file = std::fs::OpenOptions::new().write(true).open(&self.config_path).expect("a pipe");
+        // Blocks until the process has opened the pipe for reading.
+        let mut pipe = std::fs::OpenOptions::new().write(true).open(&self.config_path).expect("a pipe");
         meanwhile();
-        file.write_all(config.as_bytes()).expect("it reads");
+        pipe.write_all(config.as_bytes()).expect("the process reads the pipe");
     }
 
-    /// Waits until the process has ended.
+    /// Waits until the process exits.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
             }
-            assert!(start.elapsed() < WAIT_LIMIT, "it does not end");
+            assert!(start.elapsed() < WAIT_LIMIT, "the process does not exit");
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// A new client connection.
+    /// Opens a client connection.
     pub fn connect(&self) -> Client {
         Client::connect(self.addr)
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection and returns its response.
     pub fn send_request(&self, request: &TestRequest) -> Message {
         self.connect().send_request(request)
     }
 
-    /// Makes one operators' call, such as `GET /stats`.
-    pub fn operator_call(&self, line: &str) -> Message {
+    /// Makes an operator call, such as `GET /stats`, and returns its response.
+    pub fn operator_call(&self, call: &str) -> Message {
         let mut client = Client::connect(self.operator_addr);
-        client.send(&TestRequest { line: format!("{line} HTTP/1.1"), ..TestRequest::new("") });
+        client.send(&TestRequest { request_line: format!("{call} HTTP/1.1"), ..TestRequest::new("") });
         client.read_response().expect("a complete response")
     }
 }
@@ -180,7 +181,7 @@
     }
 }
 
-/// Reads the log on a thread of its own, so that the process never waits for its reader.
+/// Reads the log on a thread of its own, so that the process never blocks on a full pipe.
 fn read_lines(stderr: ChildStderr) -> Receiver<String> {
     let (sender, lines) = channel();
     thread::spawn(move || {
@@ -191,8 +192,8 @@
     lines
 }
 
-/// The address at the end of a log line.
+/// Returns the address at the end of a log line.
 fn logged_address(line: &str) -> SocketAddr {
     let address = line.rsplit_once("address=").and_then(|(_, address)| address.parse().ok());
-    address.expect("the address that it bound")
+    address.expect("the bound address")
 }
--- a/tests/fakes/node_builder.rs
+++ b/tests/fakes/node_builder.rs
@@ -1,14 +1,14 @@
-//! Builder of the node under test.
+//! Builder of the gateway processes under test.
 
 use super::{FakeDiscovery, FakeEndpoint, LaunchOptions, Node, endpoint_entry, spawn_program};
 use serde_json::{Value, json};
 use std::{net::SocketAddr, path::PathBuf, process::Child};
 
-/// Builds the configuration of a node, and starts it. The defaults are what most tests want.
+/// Builds the configuration of a gateway process and starts the process. The defaults suit most tests.
 pub struct NodeBuilder {
     /// The `settings` of the configuration.
     pub settings: Value,
-    /// Entries of the endpoint list that the configuration contains.
+    /// Entries of the configured endpoint list (`known`).
     pub known_endpoints: Vec<Value>,
     discovery: SocketAddr,
     counter: Option<SocketAddr>,
@@ -17,7 +17,7 @@
 }
 
 impl NodeBuilder {
-    /// A node with endpoints `w0`, `w1` and so on, in its configuration and at discovery.
+    /// Returns a builder that lists `endpoints` as `w0`, `w1` and so on, and a discovery service with the same list.
     pub fn new(endpoints: &[&FakeEndpoint]) -> (Self, FakeDiscovery) {
         let entry = |(i, endpoint): (usize, &&FakeEndpoint)| {
             endpoint_entry(&format!("w{i}"), endpoint.addr, "SERVING")
@@ -35,38 +35,38 @@
         (builder, discovery)
     }
 
-    /// The same with a port for operators.
+    /// Like [`new`](Self::new), with a port for operators.
     pub fn with_operator_address(endpoints: &[&FakeEndpoint]) -> (Self, FakeDiscovery) {
         let (mut builder, discovery) = Self::new(endpoints);
         builder.operator_address();
         (builder, discovery)
     }
 
-    /// Where the node finds discovery.
+    /// Sets the address of discovery.
     pub fn discovery(&mut self, addr: SocketAddr) -> &mut Self {
         self.discovery = addr;
         self
     }
 
-    /// Where the node finds the counter; without this there is none.
+    /// Sets the address of the counter; by default there is no counter.
     pub fn counter(&mut self, addr: SocketAddr) -> &mut Self {
         self.counter = Some(addr);
         self
     }
 
-    /// Most sockets that the node may open.
+    /// Sets the limit of open sockets; 256 by default.
     pub fn max_sockets(&mut self, count: usize) -> &mut Self {
         self.max_sockets = count;
         self
     }
 
-    /// Lets operators call on a free port.
+    /// Adds a free port for operators.
     pub fn operator_address(&mut self) -> &mut Self {
         self.has_operator_address = true;
         self
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> Value {
         json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.to_string(),
@@ -78,28 +78,29 @@
         })
     }
 
-    /// Starts the node and waits until it listens.
+    /// Starts the process and waits until it listens.
     pub fn start(&self) -> Node {
         self.start_with(&LaunchOptions::default())
     }
 
-    /// The same with what it inherits.
+    /// Like [`start`](Self::start), with `options` for the process.
     pub fn start_with(&self, options: &LaunchOptions) -> Node {
         self.start_with_config(&self.config().to_string(), options)
     }
 
-    /// The same on another configuration.
+    /// Like [`start_with`](Self::start_with), with another configuration.
     pub fn start_with_config(&self, config: &str, options: &LaunchOptions) -> Node {
         Node::start(config, options, self.has_operator_address)
     }
 
-    /// Starts the program and waits for nothing; returns the process and its configuration file.
+    /// Starts the process without waiting; returns it with the path of its configuration file.
     pub fn spawn(&self) -> (Child, PathBuf) {
         spawn_program(&self.config().to_string(), &LaunchOptions::default())
     }
 }
 
-/// Settings with one idempotent class, one at-most-once class, a plan without a rate and one with a small burst.
+/// Returns settings with an idempotent class, an at-most-once class, a plan without a rate and a plan with a burst of
+/// eight units.
 fn default_settings() -> Value {
     json!({
         "Classes": [
--- a/tests/fakes/ports.rs
+++ b/tests/fakes/ports.rs
@@ -1,4 +1,4 @@
-//! Listening sockets in the states that a gateway may meet: free, closed, or with a full accept backlog.
+//! Listening sockets in several states: accepting, refusing connections, or with a full accept backlog.
 
 use super::{EndpointBehaviour, FakeEndpoint, WAIT_LIMIT};
 use socket2::{Domain, Socket, Type};
@@ -17,7 +17,7 @@
     (listener, addr)
 }
 
-/// Runs `serve` on a thread of its own for each connection, with the connection's number.
+/// Runs `serve` for each connection on a thread of its own; connections are numbered from 0.
 pub(super) fn accept_connections(
     listener: TcpListener,
     serve: impl Fn(TcpStream, usize) + Send + Sync + 'static,
@@ -31,15 +31,15 @@
     });
 }
 
-/// Number of connections to `addr` that the system has not yet established.
+/// Returns the number of connections to `addr` that the system has not yet established.
 fn pending_connections(addr: SocketAddr) -> usize {
-    let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of sockets");
-    pending_in(&sockets, addr.port())
+    let socket_table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table of sockets");
+    count_pending_sockets(&socket_table, addr.port())
 }
 
-/// Number of sockets in the system's table that are still connecting to a loopback port. The table changes while it is
-/// read and may then list a socket twice, so sockets are told apart by their local addresses.
-pub fn pending_in(sockets: &str, port: u16) -> usize {
+/// Counts the sockets of the table `/proc/net/tcp` that are still connecting to a loopback port. The table changes while
+/// it is read and may then list a socket twice, so each local address counts once.
+pub fn count_pending_sockets(socket_table: &str, port: u16) -> usize {
     // Remote address, then the state SYN_SENT.
     let remote = format!("0100007F:{port:04X} 02");
     let local_address = |line: &str| {
@@ -47,7 +47,7 @@
         let (local, rest) = fields.split_once(' ')?;
         rest.starts_with(&remote).then(|| local.to_owned())
     };
-    sockets.lines().filter_map(local_address).collect::<BTreeSet<String>>().len()
+    socket_table.lines().filter_map(local_address).collect::<BTreeSet<String>>().len()
 }
 
 /// Waits until exactly `count` connections to `addr` are pending.
@@ -63,18 +63,18 @@
     }
 }
 
-/// A bound IPv4 socket on a free loopback port that does not listen yet.
+/// Returns an IPv4 socket that is bound to a free loopback port and does not listen yet.
 fn bound_socket(reuse_address: bool) -> Socket {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("an open socket");
     if reuse_address {
-        socket.set_reuse_address(true).expect("a socket");
+        socket.set_reuse_address(true).expect("an open socket");
     }
     let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any_port.into()).expect("a free port");
     socket
 }
 
-/// A listener whose accept backlog of one is full: connections to it stay pending until it is opened.
+/// Listener whose accept backlog of one is full: further connections stay pending until the backlog is freed.
 pub struct SaturatedListener {
     pub addr: SocketAddr,
     listener: TcpListener,
@@ -83,16 +83,16 @@
 
 impl SaturatedListener {
     pub fn start() -> Self {
-        // Reusable, so that a test may close it and listen on the same address again.
+        // The address is reusable, so that a test may close the listener and listen there again.
         let socket = bound_socket(true);
         socket.listen(0).expect("a listener");
         let listener: TcpListener = socket.into();
         let addr = listener.local_addr().expect("bound");
-        let backlog_connection = TcpStream::connect(addr).expect("the connection that fits");
+        let backlog_connection = TcpStream::connect(addr).expect("the connection that fills the backlog");
         Self { addr, listener, backlog_connection }
     }
 
-    /// Waits until exactly `count` connections are pending.
+    /// Waits until exactly `count` connections are pending, the one in the backlog not counted.
     pub fn wait_for_pending_connections(&self, count: usize) {
         wait_for_pending_connections(self.addr, count);
     }
@@ -102,29 +102,29 @@
         wait_for_pending_connections(self.addr, 0);
     }
 
-    /// Lets the one pending connection be established, and waits until it is.
-    pub fn open_to_pending(self, behaviour: EndpointBehaviour) -> FakeEndpoint {
-        assert_eq!(pending_connections(self.addr), 1, "connections are pending");
+    /// Like [`open`](Self::open), but requires one pending connection and waits until it is established.
+    pub fn open_for_pending_connection(self, behaviour: EndpointBehaviour) -> FakeEndpoint {
+        assert_eq!(pending_connections(self.addr), 1, "number of pending connections");
         let endpoint = self.open(behaviour);
         wait_for_pending_connections(endpoint.addr, 0);
         endpoint
     }
 
-    /// Lets connections be established from now on, and accepts none itself.
+    /// Frees the backlog and returns the listener, which accepts connections only if the caller does.
     pub fn into_listener(self) -> TcpListener {
         drop(self.backlog_connection);
-        self.listener.accept().expect("the connection that fitted");
+        self.listener.accept().expect("the connection that filled the backlog");
         self.listener
     }
 
-    /// Lets connections be established from now on, and serves them.
+    /// Frees the backlog and serves connections with `behaviour`.
     pub fn open(self, behaviour: EndpointBehaviour) -> FakeEndpoint {
         drop(self.backlog_connection);
         FakeEndpoint::start_on(self.listener, self.addr, behaviour)
     }
 }
 
-/// A port that is bound, so that nobody else takes it, but does not listen: connections are refused.
+/// Bound port that does not listen: connections are refused, and no other process can take the port.
 pub struct ReservedPort {
     pub addr: SocketAddr,
     socket: Socket,
@@ -137,7 +137,7 @@
         Self { addr, socket }
     }
 
-    /// Starts to listen.
+    /// Starts to listen on the port.
     pub fn listen(self) -> TcpListener {
         self.socket.listen(128).expect("a listener");
         self.socket.into()
--- a/tests/fakes/temp_dir.rs
+++ b/tests/fakes/temp_dir.rs
@@ -1,8 +1,8 @@
-//! Folders for temporary files.
+//! Folder for the temporary files of a test.
 
 use std::path::PathBuf;
 
-/// A folder of one test, removed when it is dropped.
+/// Folder for the temporary files of one test, removed when dropped.
 pub struct TempDir {
     pub path: PathBuf,
 }
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -70,7 +70,7 @@
     node.wait_for_exit();
     let node = start();
     for i in 0..20 {
-        assert_eq!(node.send_request(&TestRequest::submit(&format!("a{i}"))).body, b"two");
+        assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("a{i}"))).body, b"two");
     }
     drop(node);
     let file = temp_dir.path.join("oliverack-n0.out.json");
@@ -79,7 +79,7 @@
     {
         std::fs::write(&file, text).expect("a writable folder");
         let node = start();
-        assert_eq!(node.send_request(&TestRequest::submit("b")).status(), 200);
+        assert_eq!(node.send_request(&TestRequest::at_most_once("b")).status(), 200);
         assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200, "the corrupt file is replaced");
     }
 }
@@ -108,7 +108,7 @@
     predecessor.wait_for_log("processes=2");
     let served = |node: &Node, tag: &str| {
         for i in 0..20 {
-            assert_eq!(node.send_request(&TestRequest::submit(&format!("{tag}{i}"))).body, b"two");
+            assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("{tag}{i}"))).body, b"two");
         }
     };
     served(&successor, "both");
@@ -156,7 +156,7 @@
     predecessor.wait_for_log("processes=2");
     drop(predecessor);
     successor.wait_for_log("processes=1");
-    assert_eq!(successor.send_request(&TestRequest::submit("after")).body, b"ok");
+    assert_eq!(successor.send_request(&TestRequest::at_most_once("after")).body, b"ok");
 }
 
 #[test]
@@ -175,7 +175,7 @@
     successor.wait_for_log("put into maintenance endpoint=w0");
     let response_bodies = |tag: &str| {
         (0..20)
-            .map(|i| predecessor.send_request(&TestRequest::submit(&format!("{tag}{i}"))).body)
+            .map(|i| predecessor.send_request(&TestRequest::at_most_once(&format!("{tag}{i}"))).body)
             .collect::<Vec<_>>()
     };
     assert!(response_bodies("a").iter().all(|b| b == b"two"), "whichever process accepts the client");
@@ -189,7 +189,7 @@
     drop((predecessor, successor));
     third.wait_for_log("processes=1");
     for i in 0..20 {
-        let response = third.send_request(&TestRequest::submit(&format!("c{i}")));
+        let response = third.send_request(&TestRequest::at_most_once(&format!("c{i}")));
         assert!(
             response.status() == 429 || response.body == b"one",
             "w1 is in maintenance, w0 may be in slow start"
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -70,7 +70,7 @@
     // The endpoint list says that it is running.
     discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", one.addr, "SERVING")));
     for i in 0..20 {
-        assert_eq!(node.send_request(&TestRequest::submit(&format!("a{i}"))).body, b"two");
+        assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("a{i}"))).body, b"two");
     }
     for (call, status) in [
         ("PUT /workers/nobody/maint", 404),
@@ -86,7 +86,7 @@
     assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200);
     for i in 0.. {
         // Slow start: requests beyond its allowance are rejected.
-        match node.send_request(&TestRequest::submit(&format!("b{i}"))) {
+        match node.send_request(&TestRequest::at_most_once(&format!("b{i}"))) {
             served if served.status() == 200 => return assert_eq!(served.body, b"one"),
             refused => assert_eq!(refused.status(), 429),
         }
@@ -118,7 +118,7 @@
     for endpoint in [&one, &two] {
         endpoint.set_behaviour(EndpointBehaviour::WriteRaw(ERROR_RESPONSE));
     }
-    assert_eq!(node.send_request(&TestRequest::submit("b")).status(), 502);
+    assert_eq!(node.send_request(&TestRequest::at_most_once("b")).status(), 502);
     assert_eq!(node.send_request(&TestRequest::new("c")).status(), 429);
     // An invalid request is not counted.
     assert_eq!(node.send_request(&TestRequest::new("d").without_header("X-Plan")).status(), 400);
@@ -135,7 +135,7 @@
     }
     let mut clients: Vec<Client> = (0..3).map(|_| node.connect()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        client.send(&TestRequest::submit(&format!("w{i}")));
+        client.send(&TestRequest::at_most_once(&format!("w{i}")));
     }
     while figure("svc_concurrent") != 3 {}
     drop(clients.pop());
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -4,7 +4,7 @@
 mod fakes;
 use fakes::{
     Client, EndpointBehaviour, FakeDiscovery, FakeEndpoint, Gate, Node, NodeBuilder, SaturatedListener,
-    TestRequest, endpoint_entry, pending_in, read_message,
+    TestRequest, count_pending_sockets, endpoint_entry, read_message,
 };
 use serde_json::json;
 use socket2::SockRef;
@@ -26,7 +26,7 @@
 }
 
 fn patient_request(txn: &str) -> TestRequest {
-    TestRequest::new(txn).header("X-Remaining", "100.0")
+    TestRequest::new(txn).with_header("X-Remaining", "100.0")
 }
 
 /// A builder whose only endpoint is `saturated`.
@@ -69,7 +69,7 @@
     let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     // More requests than the gateway reads ahead while one is in flight.
     for i in 0..100 {
-        client.send(&patient_request(&format!("p{i}")).header("X-Other", &"x".repeat(500)));
+        client.send(&patient_request(&format!("p{i}")).with_header("X-Other", &"x".repeat(500)));
     }
     saturated.wait_for_pending_connections(1);
     drop(client);
@@ -86,7 +86,7 @@
     client.send(&patient_request("first"));
     saturated.wait_for_pending_connections(1);
     for i in 0..40 {
-        client.send(&patient_request(&format!("p{i}")).header("X-Other", &"x".repeat(10_000)));
+        client.send(&patient_request(&format!("p{i}")).with_header("X-Other", &"x".repeat(10_000)));
     }
     drop(client);
     saturated.wait_until_abandoned();
@@ -98,7 +98,7 @@
     client.send(&patient_request("first"));
     saturated.wait_for_pending_connections(1);
     for i in 0..40 {
-        client.send(&patient_request(&format!("p{i}")).header("X-Other", &"x".repeat(10_000)));
+        client.send(&patient_request(&format!("p{i}")).with_header("X-Other", &"x".repeat(10_000)));
     }
     let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
     for i in 0..41 {
@@ -111,8 +111,9 @@
 fn disconnect_during_upload_that_awaits_connection_is_detected() {
     let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
     // Too large to be buffered: some of it has been read, some waits in the socket, the end never arrives.
-    let mut upload =
-        TestRequest::submit("body").header("X-Remaining", "100.0").header("Content-Length", "4000000");
+    let mut upload = TestRequest::at_most_once("body")
+        .with_header("X-Remaining", "100.0")
+        .with_header("Content-Length", "4000000");
     upload.body = vec![b'x'; 60_000];
     client.send(&upload);
     saturated.wait_for_pending_connections(1);
@@ -126,8 +127,9 @@
     let pieces = client.reader.get_ref().try_clone().expect("a socket");
     SockRef::from(&pieces).set_send_buffer_size(1 << 20).expect("a socket");
     drop(pieces);
-    let mut upload =
-        TestRequest::submit("body").header("X-Remaining", "100.0").header("Content-Length", "4000000");
+    let mut upload = TestRequest::at_most_once("body")
+        .with_header("X-Remaining", "100.0")
+        .with_header("Content-Length", "4000000");
     upload.body = vec![b'x'; 400_000];
     client.send(&upload);
     saturated.wait_for_pending_connections(1);
@@ -138,7 +140,7 @@
 #[test]
 fn body_read_before_endpoint_connects_is_forwarded_complete() {
     let SaturatedGateway { saturated, node: _node, mut client, .. } = SaturatedGateway::new();
-    let mut upload = TestRequest::submit("body").header("X-Remaining", "100.0");
+    let mut upload = TestRequest::at_most_once("body").with_header("X-Remaining", "100.0");
     upload.body = (0..900_000u32).map(|i| (i % 251) as u8).collect();
     client.send(&upload);
     saturated.wait_for_pending_connections(1);
@@ -215,7 +217,7 @@
     class["LateWorth"] = json!(0.1);
     let node = builder.start();
     let mut client = node.connect();
-    client.send(&patient_request("keyed").header("Idempotency-Key", "k"));
+    client.send(&patient_request("keyed").with_header("Idempotency-Key", "k"));
     saturated.wait_for_pending_connections(1);
     healthy.next_request();
     HedgedRequest { builder, node, client, _discovery: discovery }
@@ -239,7 +241,7 @@
     let HedgedRequest { builder, node, mut client, _discovery } = hedged_request;
     let mut opened = None;
     node.reload_while(&builder.config().to_string(), || {
-        opened = Some(saturated.open_to_pending(EndpointBehaviour::Respond("late")));
+        opened = Some(saturated.open_for_pending_connection(EndpointBehaviour::Respond("late")));
         std::thread::sleep(Duration::from_secs(5).saturating_sub(sent.elapsed()));
     });
     // The process has found both the connection and the end of the window at once.
@@ -259,7 +261,7 @@
         let node = builder.start();
         let mut client = node.connect();
         // At-most-once, so that it is retried elsewhere only if it is known not to have run.
-        client.send(&TestRequest::submit("moved").header("X-Remaining", "100.0"));
+        client.send(&TestRequest::at_most_once("moved").with_header("X-Remaining", "100.0"));
         saturated.wait_for_pending_connections(1);
         discovery.update_entry(endpoint_entry("w1", healthy.addr, "SERVING"));
         let mut changed_entry =
@@ -320,6 +322,6 @@
         32159: 0100007F:E7FC 0100007F:A4D3 02 00000001:00000000 01:00000048 00000000     0        0 1264468 2\n\
         32160: 0100007F:E7FE 0100007F:A4D3 02 00000001:00000000 01:00000048 00000000     0        0 1264469 2\n\
         32161: 0100007F:E800 0100007F:A4D3 01 00000000:00000000 00:00000000 00000000     0        0 1264470 1\n";
-    assert_eq!(pending_in(sockets, 0xA4D3), 2);
-    assert_eq!(pending_in(sockets, 0xA4D4), 0);
+    assert_eq!(count_pending_sockets(sockets, 0xA4D3), 2);
+    assert_eq!(count_pending_sockets(sockets, 0xA4D4), 0);
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -23,7 +23,7 @@
     builder.counter(one.addr);
     let node = builder.start();
     let mut held = node.connect();
-    held.send(&TestRequest::new("held").header("X-Plan", "pieni"));
+    held.send(&TestRequest::new("held").with_header("X-Plan", "pieni"));
     one.next_call();
     old.next_request();
     // The new discovery has versions of its own, which are lower: only its complete list shows that the endpoint is
@@ -33,7 +33,9 @@
     node.reload(&builder.config().to_string());
     node.wait_for_log("configuration reloaded");
     elsewhere.wait_until_applied(1);
-    let other = TestRequest::new("other").header("X-Plan", "pieni").header("X-Customer", "0000000000000002");
+    let other = TestRequest::new("other")
+        .with_header("X-Plan", "pieni")
+        .with_header("X-Customer", "0000000000000002");
     assert_eq!(node.send_request(&other).body, b"new");
     two.next_call();
     gate.open();
@@ -83,10 +85,10 @@
             let mut client = Client::connect(addr);
             while !stop.load(Ordering::Relaxed) {
                 let i = asked.fetch_add(1, Ordering::Relaxed);
-                let request = TestRequest::new(&format!("l{i}")).header("X-Plan", "pieni");
+                let request = TestRequest::new(&format!("l{i}")).with_header("X-Plan", "pieni");
                 // Each customer sends one request, so each request causes a counter call.
                 assert_eq!(
-                    client.send_request(&request.header("X-Customer", &format!("{i:016x}"))).status(),
+                    client.send_request(&request.with_header("X-Customer", &format!("{i:016x}"))).status(),
                     200
                 );
             }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -57,7 +57,7 @@
     let version = discovery.update_entry(endpoint_entry("w0", endpoint.addr, "DRAINING"));
     discovery.also_serve_on(closed_port.listen());
     discovery.wait_until_applied(version);
-    let plan = |txn: &str| TestRequest::new(txn).header("X-Plan", "pieni");
+    let plan = |txn: &str| TestRequest::new(txn).with_header("X-Plan", "pieni");
     assert_eq!(node.send_request(&plan("new")).body, b"well", "the counter is reached, too");
     let mut resting = 0;
     for (i, client) in idle.iter_mut().enumerate().step_by(3) {
@@ -102,7 +102,7 @@
         let addr =
             line.trim().rsplit_once("address=").and_then(|(_, a)| a.parse().ok()).expect("what it bound");
         let mut up = TestRequest::new("");
-        up.line = "GET /up HTTP/1.1".into();
+        up.request_line = "GET /up HTTP/1.1".into();
         let response = Client::connect(addr).send_request(&up);
         slow += usize::from(response.status() != 200 || begun.elapsed() > Duration::from_secs(10));
         assert!(child.kill().is_ok() && child.wait().is_ok());
@@ -126,7 +126,7 @@
     let mut config = builder.config();
     config["limits"]["memory_mb"] = json!(32);
     let node = builder.start_with_config(&config.to_string(), &LaunchOptions::default());
-    let request = |txn: &str| TestRequest::new(txn).header("X-Quota", "units=1,spread=1024,first=1023");
+    let request = |txn: &str| TestRequest::new(txn).with_header("X-Quota", "units=1,spread=1024,first=1023");
     assert_eq!(node.send_request(&request("known")).status(), 200, "the list of the start");
     // The same list from discovery, indented, with another running endpoint.
     let other = FakeEndpoint::start(EndpointBehaviour::Respond("other"));
@@ -140,7 +140,7 @@
     let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     socket.write_all(response.as_bytes()).expect("it reads");
     let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
-    assert!(next.line.contains("from=7"), "{}", next.line);
+    assert!(next.start_line.contains("from=7"), "{}", next.start_line);
     assert_eq!(node.send_request(&request("told")).body, b"other");
 }
 
@@ -185,7 +185,7 @@
     assert!(body.len() > 2 << 20, "{} bytes", body.len());
     let socket = answer_with(&listener, &body);
     let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
-    assert!(next.line.contains("from=7"), "{}", next.line);
+    assert!(next.start_line.contains("from=7"), "{}", next.start_line);
     assert_eq!(node.send_request(&TestRequest::new("told")).body, b"ok");
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("a process");
     let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its most resident memory");
@@ -227,6 +227,6 @@
     }
     socket.write_all(b"0\r\n\r\n").expect("it reads");
     let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
-    assert!(next.line.contains("from=7"), "{}", next.line);
+    assert!(next.start_line.contains("from=7"), "{}", next.start_line);
     assert_eq!(node.send_request(&TestRequest::new("told")).body, b"ok");
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -29,7 +29,7 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let mut node = builder.start();
     let mut client = node.connect();
-    client.send(&TestRequest::submit("held"));
+    client.send(&TestRequest::at_most_once("held"));
     endpoint.next_request();
     node.terminate();
     assert_eq!(
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -52,7 +52,7 @@
             let node = builder.start();
             let mut client = node.connect();
             for i in 0..2 {
-                let response = client.send_request(&TestRequest::submit(&format!("a{i}")));
+                let response = client.send_request(&TestRequest::at_most_once(&format!("a{i}")));
                 assert!(response.status() == 200 && response.body == body.as_bytes(), "{length}");
             }
         }
@@ -66,7 +66,7 @@
     let node = builder.start();
     let mut client = node.connect();
     for (i, length) in [65_536, 65_537, 400_000, 600_000, LARGE].into_iter().enumerate() {
-        let mut request = TestRequest::submit(&format!("l{i}"));
+        let mut request = TestRequest::at_most_once(&format!("l{i}"));
         request.body = text(length).into_bytes();
         assert_eq!(client.send_request(&request).status(), 200);
         let forwarded = endpoint.next_request().1;
@@ -74,7 +74,8 @@
             forwarded.body == request.body && forwarded.header("content-length") == length.to_string(),
             "{length}"
         );
-        let mut chunked = TestRequest::submit(&format!("c{i}")).header("Transfer-Encoding", "chunked");
+        let mut chunked =
+            TestRequest::at_most_once(&format!("c{i}")).with_header("Transfer-Encoding", "chunked");
         chunked.body.clear();
         for part in request.body.chunks(70_001) {
             chunked.body.extend_from_slice(format!("{:X};a=b\r\n", part.len()).as_bytes());
@@ -101,7 +102,7 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     let mut client = node.connect();
-    client.send(&TestRequest::submit("a"));
+    client.send(&TestRequest::at_most_once("a"));
     let mut line = String::new();
     while line != "\r\n" {
         line.clear();
@@ -153,13 +154,13 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     let mut client = node.connect();
-    client.send(&TestRequest::submit("a"));
+    client.send(&TestRequest::at_most_once("a"));
     endpoint.next_request();
     // Long enough for the response to be streamed; the assertion holds also if it is not yet.
     std::thread::sleep(std::time::Duration::from_millis(300));
     gate.open();
     let response = client.read_response().expect("a response, as nothing was delivered yet");
-    assert!(response.status() >= 500, "{}", response.line);
+    assert!(response.status() >= 500, "{}", response.start_line);
 }
 
 #[test]
@@ -190,7 +191,7 @@
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
-    let mut request = TestRequest::submit("cut").header("Content-Length", "1000000");
+    let mut request = TestRequest::at_most_once("cut").with_header("Content-Length", "1000000");
     request.body = text(800_000).into_bytes();
     let mut client = node.connect();
     client.send(&request);
@@ -198,9 +199,9 @@
     let mut received = Vec::new();
     let _ = client.reader.read_to_end(&mut received);
     assert!(received.is_empty(), "no response to a disconnected client");
-    endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
+    endpoint.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
     assert!(endpoint.drain_requests().is_empty(), "no complete request arrived");
-    assert_eq!(node.send_request(&TestRequest::submit("next")).status(), 200);
+    assert_eq!(node.send_request(&TestRequest::at_most_once("next")).status(), 200);
 }
 
 #[test]
@@ -210,8 +211,9 @@
     let node = builder.start();
     let body = text(1_000_000);
     let head = |txn: &str| {
-        let request =
-            TestRequest::submit(txn).header("Content-Length", "1000000").header("Expect", "100-continue");
+        let request = TestRequest::at_most_once(txn)
+            .with_header("Content-Length", "1000000")
+            .with_header("Expect", "100-continue");
         TestRequest { body: Vec::new(), ..request }
     };
     let mut client = node.connect();
@@ -223,7 +225,7 @@
     // A plan with a burst of eight units at two gateways, which hardly refills.
     let refused = (0..20).any(|i| {
         let mut client = node.connect();
-        client.send(&head(&format!("b{i}")).header("X-Plan", "pieni"));
+        client.send(&head(&format!("b{i}")).with_header("X-Plan", "pieni"));
         let status = client.read_response().expect("a word").status();
         assert!(matches!(status, 100 | 429));
         status == 429
@@ -251,7 +253,7 @@
     builder.known_endpoints = vec![endpoint_entry("w0", addr, "SERVING")];
     discovery.update_entry(builder.known_endpoints[0].clone());
     let node = builder.start();
-    let mut request = TestRequest::submit("t");
+    let mut request = TestRequest::at_most_once("t");
     request.body = text(4 << 20).into_bytes();
     let mut client = node.connect();
     client.reader.get_mut().write_all(&request.to_bytes()).expect("all of it is read");
