--- a/lab/src/fleet/configuration.rs
+++ b/lab/src/fleet/configuration.rs
@@ -1,17 +1,19 @@
-//! The TOML file that describes a run: sizes, rates, quotas and faults.
+//! Types of the experiment file (TOML) that describes a run: sizes, rates, quotas and faults.
 //!
-//! The keys of the file are older than the names of the fields and stay as they are.
+//! Some keys of the file differ from the field names, and `serde(rename)` maps them: for example, `gatekeepers` are
+//! gateways, `workers` are endpoints, `aim` is the latency objective, `worth` is the weight of a unit and `pays` the
+//! priority weight of a plan.
 
 use oliverack::Seconds;
 use serde::Deserialize;
 
-/// A range of values, both ends included; in the file an array of two.
+/// Inclusive range of values; an array of two in the file.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(from = "[T; 2]")]
 pub struct Range<T> {
-    /// The lowest value.
+    /// Lower bound.
     pub min: T,
-    /// The highest value.
+    /// Upper bound.
     pub max: T,
 }
 
@@ -21,56 +23,56 @@
     }
 }
 
-/// A complete run. Times are seconds from its start, delays are one way.
+/// Configuration of a run. Times are in seconds from its start, network delays are one way.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// For how long requests arrive.
+    /// Duration for which requests arrive.
     pub seconds: Seconds,
-    /// Zones, regions and the delays between them.
+    /// Zones, regions and network delays.
     pub topology: Topology,
-    /// The gateways.
+    /// Number of gateways, and their restarts.
     #[serde(rename = "gatekeepers")]
     pub gateways: Gateways,
-    /// Settings of the policy beside those that follow from the sizes.
+    /// Policy settings that do not follow from other sections.
     pub policy: Policy,
-    /// The endpoints.
+    /// Number, capacity and slow start of the endpoints.
     #[serde(rename = "workers")]
     pub endpoints: Endpoints,
-    /// The service that publishes the endpoint list.
+    /// Service that publishes the endpoint list.
     pub discovery: Discovery,
-    /// The counter service; `None` for a fleet without one.
+    /// Counter service; `None` for a fleet without a counter.
     pub counter: Option<Counter>,
-    /// The tenants.
+    /// Number of tenants, and their spread over the gateways.
     pub tenants: Tenants,
-    /// The clients and the load balancer in front of the gateways.
+    /// Clients and the load balancer in front of the gateways.
     pub clients: Clients,
-    /// Classes of requests.
+    /// Request classes.
     pub classes: Vec<Class>,
-    /// Plans, of which each tenant has one.
+    /// Plans; each tenant is assigned one at random, by share.
     pub plans: Vec<Plan>,
-    /// Kinds of usage, of which each tenant has one.
+    /// Usage profiles; each tenant is assigned one at random, by share.
     pub usage: Vec<UsageProfile>,
-    /// The faults of the run.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// A file that holds only faults.
+/// File that holds only faults, to be added to those of a configuration.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultFile {
-    /// The faults of the run.
+    /// Faults to inject.
     pub faults: Vec<Fault>,
 }
 
-/// Zones, regions and the delays between them.
+/// Zones, regions and the network delays between them.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
-    /// How many regions there are; zones are split evenly over them.
+    /// Number of regions; zones are split evenly over them.
     pub regions: u32,
-    /// How many zones there are; gateways and endpoints are assigned to them in turn.
+    /// Number of zones; gateways and endpoints are assigned to them round robin.
     pub zones: u32,
     /// Delay within a zone.
     pub delay_in_zone: Seconds,
@@ -80,207 +82,209 @@
     pub delay_between_regions: Seconds,
 }
 
-/// The gateways.
+/// Number of gateways, and their restarts.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateways {
-    /// How many there are.
+    /// Number of gateways.
     pub count: u32,
-    /// How long a gateway is down when it restarts.
+    /// Duration for which a restarting gateway is down.
     pub restart_seconds: Seconds,
 }
 
-/// Settings of the policy beside those that follow from the sizes.
+/// Policy settings that do not follow from other sections.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
     /// Timeout of a counter call.
     #[serde(rename = "count_limit")]
     pub counter_timeout: Seconds,
-    /// Most attempts for one request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// A second attempt may be started while the first is in flight.
+    /// Allows the policy to hedge: to start a second attempt while the first is in flight.
     #[serde(rename = "second_copies")]
     pub hedging_enabled: bool,
-    /// Attempts may be cancelled.
+    /// Tells the policy that attempts can be cancelled.
     #[serde(rename = "may_cancel")]
     pub cancellation_enabled: bool,
-    /// The longest Retry-After that clients honour.
+    /// Longest `Retry-After` that clients obey.
     pub max_retry_after: Seconds,
 }
 
-/// The endpoints.
+/// Number, capacity and slow start of the endpoints.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoints {
-    /// How many there are at the start.
+    /// Number of endpoints at the start of the run.
     pub count: u32,
-    /// How many cells there are; endpoints are assigned to them in turn.
+    /// Number of cells; endpoints are assigned to them round robin.
     pub cells: u32,
-    /// Requests that an endpoint serves at the same time.
+    /// Requests that an endpoint serves concurrently.
     pub slots: u32,
-    /// Requests that may be queued; others are rejected.
+    /// Requests that an endpoint queues while all slots are in use; it rejects further ones.
     pub queue: u32,
-    /// Mean service time of a request, without that of its units.
+    /// Mean service time of a request, in addition to the time for its units.
     pub service_seconds: Seconds,
-    /// Mean service time of each unit of a request.
+    /// Mean additional service time for each unit of a request.
     pub service_seconds_per_unit: Seconds,
     /// Share of the service time that is exponentially distributed; the rest is constant.
     pub service_variation: f64,
-    /// Share of its full capacity that an endpoint starts with.
+    /// Share of its full capacity at which an endpoint starts.
     #[serde(rename = "cold_from")]
     pub slow_start_initial_share: f64,
-    /// How long an endpoint takes to reach its full capacity.
+    /// Time from an endpoint's start until it has its full capacity.
     #[serde(rename = "cold_seconds")]
     pub slow_start_window: Seconds,
-    /// Multiple of its capacity above which an endpoint is overloaded; known to the policy, not modelled.
+    /// Load that overloads an endpoint during slow start, as a multiple of its present capacity; passed to the
+    /// policy, not modelled.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// How long an endpoint has to be above that multiple; known to the policy, not modelled.
+    /// Time of such an overload after which an endpoint fails; passed to the policy, not modelled.
     #[serde(rename = "fall_seconds")]
     pub overload_window: Seconds,
 }
 
-/// How the endpoint list reaches the gateways.
+/// Transport of the endpoint list to the gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DiscoveryMode {
-    /// Changes are sent to every gateway.
+    /// Each gateway gets the complete list at its start, and changes as they occur.
     Push,
-    /// Changes are sent to a gateway once it has polled.
+    /// A gateway gets the complete list when it polls, and changes from then on.
     #[serde(rename = "ask")]
     Poll,
 }
 
-/// The service that publishes the endpoint list.
+/// Service that publishes the endpoint list.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// How the list reaches the gateways.
+    /// Transport of the list to the gateways.
     pub mode: DiscoveryMode,
-    /// Time that a change takes to reach a gateway, drawn for each gateway.
+    /// Time that a change takes to reach a gateway; drawn once for each gateway.
     #[serde(rename = "lateness")]
     pub propagation_delay: Range<Seconds>,
-    /// Polls that the service answers in a second, one after another.
+    /// Polls a second that the service answers, one after another.
     pub calls_per_second: f64,
-    /// A poll that would wait longer in the queue fails after this time.
+    /// Longest wait of a poll in the queue; a poll that would wait longer fails after this time.
     #[serde(rename = "give_up_after")]
     pub poll_timeout: Seconds,
-    /// How long the service holds a watch without news before it responds.
+    /// Time after which the service ends a watch with an empty response if the list has not changed.
     #[serde(rename = "watch_seconds")]
     pub watch_hold: Seconds,
 }
 
-/// The counter service.
+/// Counter service.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counter {
-    /// How many shards there are, over which the entries are spread.
+    /// Number of shards over which the entries are spread.
     #[serde(rename = "parts")]
     pub shards: u32,
-    /// Calls that a shard serves in a second.
+    /// Calls a second that a shard serves, one after another.
     pub calls_per_second: f64,
-    /// Calls that may be queued at a shard; others are rejected.
+    /// Calls that a shard queues; it rejects further ones.
     pub queue: u32,
-    /// Delay between a gateway and the counter.
+    /// Network delay between a gateway and the counter.
     pub delay: Seconds,
 }
 
-/// The tenants.
+/// Number of tenants, and their spread over the gateways.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenants {
-    /// How many there are.
+    /// Number of tenants.
     pub count: u32,
-    /// How many gateways serve a tenant, drawn for each tenant.
+    /// Number of gateways that serve a tenant; drawn for each tenant.
     #[serde(rename = "spread")]
     pub gateways_per_tenant: Range<u32>,
-    /// How unevenly a tenant uses its gateways: the weight of the n-th is n to the power of minus this number.
+    /// Exponent of the uneven spread over a tenant's gateways, drawn for each tenant: the n-th gateway has the weight
+    /// `n.powf(-skew)`, so that 0 is an even spread.
     pub skew: Range<f64>,
-    /// Most units of a request; the least is one.
+    /// Maximum units of a request; the minimum is 1.
     pub max_units: u32,
 }
 
-/// The clients and the load balancer in front of the gateways.
+/// Clients and the load balancer in front of the gateways.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Most retries of a rejected demand.
+    /// Maximum number of retries of a rejected demand.
     pub max_retries: u32,
-    /// Share of the rejections that are retried.
+    /// Probability that a client retries a rejected demand while retries remain.
     pub retry_share: f64,
-    /// Backoff before a retry if the rejection has no Retry-After.
+    /// Backoff before a retry if the rejection has no `Retry-After`.
     #[serde(rename = "retry_seconds")]
     pub default_backoff: Seconds,
-    /// How long the load balancer continues to send to a gateway that is down.
+    /// Time for which the load balancer still sends requests to a gateway that is down.
     #[serde(rename = "front_notices_after")]
     pub failure_detection_delay: Seconds,
-    /// Bytes of a request's body, if its class has one.
+    /// Size of a request body, for classes that have one.
     #[serde(rename = "request_body")]
     pub request_body_bytes: u64,
-    /// Bytes of a response's body.
+    /// Size of a response body.
     #[serde(rename = "answer_body")]
     pub response_body_bytes: u64,
 }
 
-/// What happens when a request runs more than once.
+/// Effect of executing a request more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RepeatEffect {
-    /// Nothing beyond what one run does.
+    /// The same effect as executing it once.
     #[serde(rename = "safe")]
     Idempotent,
-    /// The endpoints of a zone recognise its idempotency key and discard repeats.
+    /// Endpoints of the same zone recognise the idempotency key and discard duplicates.
     #[serde(rename = "keyed")]
     IdempotencyKey,
-    /// Harm: it may run once at most.
+    /// Harmful effects: the request may be executed at most once.
     #[serde(rename = "unsafe")]
     AtMostOnce,
 }
 
-/// One class of requests.
+/// Class of requests.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name, the first part of the path.
+    /// Name of the class, the first segment of the request path.
     pub name: String,
-    /// Its share of the requests, as a weight.
+    /// Relative share of the requests.
     pub share: f64,
-    /// A response within this time earns the full weight.
+    /// Latency up to which a response earns the full weight of its request.
     #[serde(rename = "aim")]
     pub latency_objective: Seconds,
-    /// Share of the weight that a later response earns.
+    /// Share of the weight that a response after the latency objective earns.
     #[serde(rename = "late_worth")]
     pub late_weight_share: f64,
-    /// The client abandons the request after this time.
+    /// Time after which the client abandons the request.
     pub deadline: Seconds,
-    /// Weight of one unit.
+    /// Weight of one unit, before the factor of the plan.
     #[serde(rename = "worth")]
     pub unit_weight: f64,
-    /// What happens when a request runs more than once.
+    /// Effect of executing a request more than once.
     #[serde(rename = "repeat")]
     pub repeat_effect: RepeatEffect,
-    /// How long the endpoints remember an idempotency key.
+    /// Time for which endpoints remember an idempotency key.
     #[serde(rename = "window", default)]
     pub idempotency_window: Seconds,
 }
 
-/// One plan.
+/// Plan of a share of the tenants.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// Its share of the tenants, as a weight.
+    /// Relative share of the tenants.
     pub share: f64,
     /// Rate of the quota, in units a second.
     pub rate: f64,
     /// Burst of the quota, in units.
     pub burst: f64,
-    /// Attempts that may be in flight at once for a tenant; 0 for no limit.
+    /// Maximum number of attempts in flight for a tenant; 0 for no limit.
     #[serde(rename = "open", default)]
     pub max_concurrent_attempts: u32,
-    /// Weight of a unit, relative to other plans.
+    /// Factor by which the weight of a unit is multiplied.
     #[serde(rename = "pays")]
     pub priority_weight: f64,
     /// Share of its weight that a request over quota earns.
@@ -289,7 +293,7 @@
     /// Share of its weight that a request over quota costs.
     #[serde(rename = "overrun_cost", default)]
     pub over_quota_cost_share: f64,
-    /// Rate of the hard ceiling, in units a second; 0 for no ceiling.
+    /// Rate of the ceiling, in units a second; 0 for no ceiling.
     #[serde(default)]
     pub ceiling_rate: f64,
     /// Burst of the ceiling, in units.
@@ -297,24 +301,24 @@
     pub ceiling_burst: f64,
 }
 
-/// How much of their quota some of the tenants use.
+/// Usage profile of a share of the tenants: the units that they submit, relative to their quota.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UsageProfile {
-    /// Its name.
+    /// Name of the profile.
     pub name: String,
-    /// Its share of the tenants, as a weight.
+    /// Relative share of the tenants.
     pub share: f64,
-    /// Units submitted, as a multiple of the plan's rate; drawn for each tenant.
+    /// Units submitted a second outside spikes, as a multiple of the plan's rate; drawn for each tenant.
     #[serde(rename = "of_rate")]
     pub load_factor: Range<f64>,
-    /// Factor by which a tenant submits more during a spike.
+    /// Factor by which the load is multiplied during a spike.
     #[serde(default = "default_spike_factor")]
     pub spike_factor: f64,
-    /// How long a spike lasts.
+    /// Duration of a spike.
     #[serde(default)]
     pub spike_seconds: Seconds,
-    /// Time from one spike to the next; 0 for no spikes.
+    /// Time from the start of one spike to the start of the next; 0 for no spikes.
     #[serde(default)]
     pub spike_every: Seconds,
 }
@@ -323,107 +327,107 @@
     1.0
 }
 
-/// A fault. Which gateways or endpoints make up a share is drawn at random.
+/// Fault to inject. Faults that affect a share of the gateways or endpoints choose them at random.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// A share of the gateways restarts at one instant.
+    /// A share of the gateways restarts at the same time.
     RestartAtOnce {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// The share.
+        /// Share of the gateways that are affected.
         share: f64,
     },
-    /// Gateways restart one by one.
+    /// Gateways restart one by one, each at a random time.
     RestartOneByOne {
-        /// First time.
+        /// Earliest time.
         from: Seconds,
-        /// Last time.
+        /// Latest time.
         until: Seconds,
-        /// How many restarts.
+        /// Number of restarts.
         count: u32,
     },
-    /// A zone is lost: its gateways stop, its endpoints become unreachable, and all of them start again at the end.
+    /// A zone fails: its gateways stop, its endpoints become unreachable, and all of them start again at the end.
     LoseZone {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// When it is back.
+        /// Time at which the zone is restored.
         until: Seconds,
-        /// The zone's number.
+        /// Number of the zone.
         zone: u32,
     },
     /// Calls between the gateways of a zone and the counter are lost.
     CutCounter {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// When it ends.
+        /// End of the fault.
         until: Seconds,
-        /// The zone's number.
+        /// Number of the zone.
         zone: u32,
     },
-    /// The counter takes longer for each call.
+    /// The counter takes longer to serve each call.
     SlowCounter {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// When it ends.
+        /// End of the fault.
         until: Seconds,
-        /// Factor by which it takes longer.
+        /// Factor by which the service time of a call is multiplied.
         factor: f64,
     },
     /// The counter accepts no calls and sends no responses.
     SilenceCounter {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// When it ends.
+        /// End of the fault.
         until: Seconds,
     },
     /// The counter loses a share of its entries.
     #[serde(rename = "forget-counts")]
     LoseCounterEntries {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// The share.
+        /// Share of the entries that are affected.
         share: f64,
     },
     /// Endpoints crash: their connections are reset, and new ones are refused until they start again.
     #[serde(rename = "crash-workers")]
     CrashEndpoints {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// When they start again.
+        /// Time at which they start again.
         until: Seconds,
-        /// The share.
+        /// Share of the endpoints that are affected.
         share: f64,
     },
     /// Endpoints hang: they accept requests and never respond.
     #[serde(rename = "hang-workers")]
     HangEndpoints {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// When it ends.
+        /// End of the fault.
         until: Seconds,
-        /// The share.
+        /// Share of the endpoints that are affected.
         share: f64,
     },
-    /// Endpoints drain, and shut down at the end.
+    /// Endpoints drain, then shut down at the end.
     #[serde(rename = "drain-workers")]
     DrainEndpoints {
-        /// When it begins.
+        /// Start of the fault.
         at: Seconds,
-        /// When they shut down.
+        /// Time at which they shut down.
         until: Seconds,
-        /// The share.
+        /// Share of the endpoints that are affected.
         share: f64,
     },
-    /// Endpoints are replaced one by one. Each replacement is three changes of the list: one endpoint drains, shuts
-    /// down, and another is added.
+    /// Endpoints are replaced one by one, each at a random time. A replacement changes the endpoint list three times:
+    /// the endpoint drains, it shuts down, and another one is added.
     #[serde(rename = "replace-workers")]
     ReplaceEndpoints {
-        /// First time.
+        /// Earliest time.
         from: Seconds,
-        /// Last time.
+        /// Latest time.
         until: Seconds,
-        /// How many replacements.
+        /// Number of replacements.
         count: u32,
     },
 }
--- a/lab/src/fleet/counter.rs
+++ b/lab/src/fleet/counter.rs
@@ -1,4 +1,4 @@
-//! The model of the counter service: entries spread over shards, each of which serves its calls one after another.
+//! Model of the counter service: entries are spread over shards, each of which serves its calls one after another.
 
 use super::configuration;
 use oliverack::{Seconds, Time};
@@ -6,34 +6,34 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What the counter does with a call that has reached it.
+/// Decision of the counter on a call that has arrived.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CallAdmission {
-    /// It will be served, whether its caller still waits or not.
+    /// The call will be served, even if the caller's timeout passes first.
     Admitted {
-        /// When its service completes.
+        /// Time at which its service completes.
         completes_at: Time,
     },
-    /// Its shard's queue is full.
+    /// The queue of the call's shard is full.
     Rejected,
-    /// There is never a response.
+    /// The counter never responds.
     NoResponse,
 }
 
-/// One entry.
+/// Total of an entry and the end of its time to live.
 #[derive(Debug, Clone, Copy)]
 struct CounterEntry {
     total: f64,
     expires_at: Time,
 }
 
-/// One shard: when each of its calls completes, in order.
+/// Completion times of the calls that a shard holds, in order.
 #[derive(Debug, Clone, Default)]
 struct Shard {
     completions: VecDeque<Time>,
 }
 
-/// The counter service.
+/// Simulated counter service.
 #[derive(Debug)]
 pub struct Counter {
     network_delay: Seconds,
@@ -46,7 +46,7 @@
 }
 
 impl Counter {
-    /// A counter without entries.
+    /// Returns a counter without entries.
     pub fn new(configuration: &configuration::Counter) -> Self {
         Self {
             network_delay: configuration.delay,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Delay between a gateway and the counter.
+    /// Returns the network delay between a gateway and the counter.
     pub fn network_delay(&self) -> Seconds {
         self.network_delay
     }
 
-    /// Receives a call for the entry `name`.
+    /// Decides on a call for the entry `name`, and queues it at its shard unless it is rejected.
     pub fn admit(&mut self, now: Time, name: u64) -> CallAdmission {
         if self.is_silent {
             return CallAdmission::NoResponse;
@@ -74,7 +74,7 @@
         while shard.completions.front().is_some_and(|completion| *completion <= now) {
             shard.completions.pop_front();
         }
-        // The first call is in service, the others are queued.
+        // The first call is in service, only the others are queued.
         if shard.completions.len() > self.max_queued {
             return CallAdmission::Rejected;
         }
@@ -84,7 +84,7 @@
         CallAdmission::Admitted { completes_at }
     }
 
-    /// Adds to an entry, and returns its total. The call that creates the entry sets its time to live.
+    /// Adds to an entry and returns the new total. The call that creates the entry sets its time to live.
     pub fn add(&mut self, now: Time, name: u64, amount: f64, ttl: Seconds) -> f64 {
         let new = CounterEntry { total: 0.0, expires_at: now + ttl };
         let entry = self.entries.entry(name).or_insert(new);
@@ -95,29 +95,29 @@
         entry.total
     }
 
-    /// True while the counter does not respond.
+    /// Returns whether the counter is silent: it accepts no calls and sends no responses.
     pub fn is_silent(&self) -> bool {
         self.is_silent
     }
 
-    /// Makes the counter silent, or lets it respond again.
+    /// Silences the counter, or lets it respond again.
     pub fn set_silent(&mut self, is_silent: bool) {
         self.is_silent = is_silent;
     }
 
-    /// Multiplies the time that a call takes.
+    /// Sets the factor by which the service time of calls is multiplied from now on.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor;
     }
 
-    /// Loses a share of the entries, and returns how many these were.
+    /// Removes a random share of the entries and returns their number.
     pub fn lose_entries(&mut self, share: f64, generator: &mut ChaCha8Rng) -> usize {
         let before = self.entries.len();
         self.entries.retain(|_, _| generator.random::<f64>() >= share);
         before - self.entries.len()
     }
 
-    /// How many entries it holds, expired ones included that no call has renewed.
+    /// Returns the number of entries, including expired ones that no later call has replaced.
     pub fn entry_count(&self) -> usize {
         self.entries.len()
     }
--- a/lab/src/fleet/counter_calls.rs
+++ b/lab/src/fleet/counter_calls.rs
@@ -1,27 +1,28 @@
-//! A gateway's calls to the counter: the policy is notified of the results for one entry in the order of the calls.
+//! Calls of one gateway to the counter. The policy is notified of results for the same entry in the order of the
+//! calls.
 
 use oliverack::{Event, Seconds, Status, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A call of a gateway.
+/// Identifies a call among those of its gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallKey {
     /// Name of the entry.
     pub name: u64,
-    /// Number of the call.
+    /// Number of the call, from 1; unique within an incarnation of the gateway.
     pub number: u64,
 }
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallResult {
-    /// Its status.
+    /// Status of the call.
     pub status: Status,
-    /// The total of the entry, if the call was served.
+    /// Total of the entry if the call was served, else 0.
     pub total: f64,
 }
 
-/// A call of which the policy has not been notified.
+/// Call of whose result the policy has not been notified.
 #[derive(Debug)]
 struct PendingCall {
     number: u64,
@@ -29,14 +30,14 @@
     ended: Option<EndedCall>,
 }
 
-/// A call that has ended, but waits for earlier ones of its entry.
+/// Result that is held back until all earlier calls for the same entry have ended.
 #[derive(Debug)]
 struct EndedCall {
     result: CallResult,
     elapsed: Seconds,
 }
 
-/// The calls of a gateway of which its policy has not been notified.
+/// Calls of a gateway of whose results its policy has not been notified.
 #[derive(Debug, Default)]
 pub struct CounterCalls {
     last_number: u64,
@@ -44,7 +45,7 @@
 }
 
 impl CounterCalls {
-    /// Starts a call.
+    /// Records the start of a call and returns its key.
     pub fn start(&mut self, now: Time, name: u64) -> CallKey {
         self.last_number += 1;
         let number = self.last_number;
@@ -53,8 +54,8 @@
         CallKey { name, number }
     }
 
-    /// Ends a call, and returns what the policy is notified of now. The result of a call that has ended before stays
-    /// as it was.
+    /// Ends a call and returns the notifications for the policy that no longer have to wait for an earlier call. Does
+    /// not change the result of a call that has already ended.
     pub fn end(&mut self, now: Time, call: CallKey, result: CallResult) -> Vec<Event> {
         let Some(calls) = self.by_name.get_mut(&call.name) else { return Vec::new() };
         let pending = calls.iter_mut().find(|pending| pending.number == call.number);
@@ -74,7 +75,7 @@
         events
     }
 
-    /// True until a call ends.
+    /// Returns whether a call has not ended yet.
     pub fn is_in_flight(&self, call: CallKey) -> bool {
         let Some(calls) = self.by_name.get(&call.name) else { return false };
         calls.iter().any(|pending| pending.number == call.number && pending.ended.is_none())
--- a/lab/src/fleet/discovery.rs
+++ b/lab/src/fleet/discovery.rs
@@ -1,4 +1,4 @@
-//! The model of discovery: the history of the endpoint list, and the queue of polls for it.
+//! Model of discovery: the history of the endpoint list and the queue of polls.
 
 use super::configuration;
 use super::wire_size;
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A list that is sent to many gateways.
+/// Endpoint list, or change of it, as it is sent to many gateways.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SharedList {
-    /// Its entries.
+    /// Entries of the list or of the change.
     pub endpoints: Vec<Endpoint>,
-    /// Bytes of the response that holds it.
+    /// Size of the response that carries them, in bytes.
     pub bytes: u64,
 }
 
@@ -22,44 +22,44 @@
     }
 }
 
-/// One change of the list.
+/// Change of one list entry.
 #[derive(Debug, Clone)]
 struct Change {
     at: Time,
     endpoint: Endpoint,
 }
 
-/// What becomes of a poll.
+/// Result of a poll and its time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PollResult {
-    /// It is answered at this time.
+    /// The poll is answered at this time.
     Answered(Time),
-    /// It would wait too long in the queue, and fails at this time.
+    /// The poll would wait too long in the queue and fails at this time.
     TimedOut(Time),
 }
 
-/// A complete list and the number of changes that it includes.
+/// Complete list and the number of changes that it includes.
 #[derive(Debug)]
 struct CachedList {
     version: usize,
     list: Arc<SharedList>,
 }
 
-/// The endpoint list and the queue of polls.
+/// Endpoint list with all its changes, and the queue of polls.
 #[derive(Debug)]
 pub struct Discovery {
     poll_seconds: Seconds,
     poll_timeout: Seconds,
-    /// When the last poll in the queue will have been served.
+    /// Time at which the last poll in the queue will have been served.
     idle_at: Time,
     initial: Vec<Endpoint>,
     changes: Vec<Change>,
-    /// The complete list that was asked for last, as many gateways get the same one.
+    /// Last complete list that was requested; cached, as many gateways get the same one.
     cached: Option<CachedList>,
 }
 
 impl Discovery {
-    /// A service that lists these endpoints.
+    /// Returns a service that lists these endpoints.
     pub fn new(configuration: &configuration::Discovery, initial: Vec<Endpoint>) -> Self {
         Self {
             poll_seconds: 1.0 / configuration.calls_per_second,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Receives a poll.
+    /// Queues a poll and returns its result, which lies in the future.
     pub fn poll(&mut self, now: Time) -> PollResult {
         let starts_at = self.idle_at.max(now);
         if starts_at - now > self.poll_timeout {
@@ -81,18 +81,18 @@
         PollResult::Answered(self.idle_at)
     }
 
-    /// Records the change of an entry, and returns it as it is sent to the gateways.
+    /// Records the change of an entry and returns it in the form that is sent to the gateways.
     pub fn record_change(&mut self, now: Time, endpoint: Endpoint) -> Arc<SharedList> {
         self.changes.push(Change { at: now, endpoint: endpoint.clone() });
         Arc::new(SharedList::new(vec![endpoint], false))
     }
 
-    /// The present version of the list: how many changes there were.
+    /// Returns the current version of the list, which is the number of its changes.
     pub fn version(&self) -> u64 {
         self.changes.len() as u64
     }
 
-    /// The complete list as it was at a time.
+    /// Returns the complete list as of a time.
     pub fn list_at(&mut self, at: Time) -> Arc<SharedList> {
         let version = self.changes.partition_point(|change| change.at <= at);
         if let Some(cached) = self.cached.as_ref().filter(|cached| cached.version == version) {
@@ -103,7 +103,7 @@
         list
     }
 
-    /// The entries after so many changes, without those that are gone.
+    /// Returns the entries after the first `version` changes, without endpoints that are gone.
     fn replay(&self, version: usize) -> Vec<Endpoint> {
         let mut endpoints = self.initial.clone();
         let mut positions: BTreeMap<EndpointId, usize> = BTreeMap::new();
--- a/lab/src/fleet/endpoints.rs
+++ b/lab/src/fleet/endpoints.rs
@@ -1,48 +1,48 @@
-//! The model of an endpoint: slots, a bounded queue, slow start, and its kinds of failure.
+//! Model of an endpoint: slots, a bounded queue, slow start and failures.
 
 use super::configuration;
 use super::requests::AttemptKey;
 use oliverack::{Status, Time};
 use std::collections::VecDeque;
 
-/// What an endpoint does with requests at present.
+/// State of an endpoint, which decides how it handles attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It serves them.
+    /// Serves attempts.
     Serving,
-    /// It finishes those that it has and rejects new ones.
+    /// Finishes the attempts that it has and rejects new ones.
     Draining,
-    /// It accepts them and never responds.
+    /// Accepts attempts and never responds.
     Hung,
-    /// Connections to it are refused until it starts again.
+    /// Refuses connections until it starts again.
     Down,
-    /// Connections to it are refused for good.
+    /// Refuses connections for the rest of the run.
     Gone,
-    /// Its zone is lost: neither requests nor responses get through.
+    /// In a lost zone: neither attempts nor responses get through.
     Unreachable,
 }
 
-/// What an endpoint does with an attempt that has reached it.
+/// Decision of an endpoint on an attempt that has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptAdmission {
-    /// Its service starts at once.
+    /// The service starts at once.
     Started,
-    /// It waits for a slot.
+    /// The attempt waits for a slot.
     Queued,
-    /// It ends with this status, without service.
+    /// The attempt ends with this status, without service.
     Rejected(Status),
-    /// There is never a response.
+    /// The endpoint never responds.
     NoResponse,
 }
 
-/// One endpoint.
+/// Simulated endpoint.
 #[derive(Debug)]
 pub struct SimulatedEndpoint {
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: u32,
-    /// When it last started; 0 for long ago.
+    /// Time of the last start; 0 for an endpoint that started long ago and is past its slow start.
     pub started: Time,
-    /// What it does with requests.
+    /// Current state.
     pub state: EndpointState,
     incarnation: u32,
     slots: usize,
@@ -52,7 +52,7 @@
 }
 
 impl SimulatedEndpoint {
-    /// An endpoint that serves.
+    /// Returns a serving endpoint with free slots.
     pub fn new(configuration: &configuration::Endpoints, zone: u32, started: Time) -> Self {
         Self {
             zone,
@@ -66,17 +66,17 @@
         }
     }
 
-    /// Number of its incarnation; service that an earlier incarnation started never completes.
+    /// Returns the number of the current incarnation. Service that an earlier incarnation started never completes.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// True if messages to it are read, even if it never responds.
+    /// Returns whether the endpoint reads requests, even if it never responds.
     pub fn reads_messages(&self) -> bool {
         matches!(self.state, EndpointState::Serving | EndpointState::Draining | EndpointState::Hung)
     }
 
-    /// Receives an attempt.
+    /// Decides on an attempt that has arrived, and puts it into a slot or the queue if it is accepted.
     pub fn receive(&mut self, attempt: AttemptKey) -> AttemptAdmission {
         match self.state {
             EndpointState::Draining => AttemptAdmission::Rejected(Status::Rejected),
@@ -99,7 +99,8 @@
         self.in_service.retain(|key| *key != attempt);
     }
 
-    /// Moves the next queued attempt that is still awaited into a free slot.
+    /// Moves the next queued attempt that its gateway still awaits into a free slot, and drops the ones before it.
+    /// Returns `None` if no slot is free or no such attempt is queued.
     pub fn start_next(&mut self, is_awaited: impl Fn(AttemptKey) -> bool) -> Option<AttemptKey> {
         if self.in_service.len() >= self.slots {
             return None;
@@ -113,7 +114,8 @@
         None
     }
 
-    /// Ends this incarnation in a state that serves nothing, and returns the attempts that it had.
+    /// Ends the current incarnation, enters `state` (any but `Serving`), and returns the attempts in service and in
+    /// the queue.
     pub fn stop(&mut self, state: EndpointState) -> Vec<AttemptKey> {
         self.state = state;
         self.incarnation += 1;
@@ -122,13 +124,14 @@
         attempts
     }
 
-    /// Serves again; `started` is the time of a new start, or `None` if the process went on.
+    /// Returns to the state `Serving`; `started` is the time of a restart, or `None` if the process was not
+    /// restarted.
     pub fn resume(&mut self, started: Option<Time>) {
         self.state = EndpointState::Serving;
         self.started = started.unwrap_or(self.started);
     }
 
-    /// Its present capacity during slow start, as a share of its full capacity.
+    /// Returns the current capacity as a share of the full capacity; below 1 only during slow start.
     pub fn capacity(&self, now: Time, configuration: &configuration::Endpoints) -> f64 {
         let age = now - self.started;
         if self.started <= 0.0 || age >= configuration.slow_start_window {
--- a/lab/src/fleet/event_queue.rs
+++ b/lab/src/fleet/event_queue.rs
@@ -1,13 +1,13 @@
-//! The event queue of the simulation, and its clock.
+//! Event queue and clock of the simulation.
 
 use oliverack::Time;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The clock at the start of a run. Above zero, as a start time of zero means "long ago" in the endpoint list.
+/// Clock time at the start of a run. Above zero, because a start time of zero means "long ago" in the endpoint list.
 pub const RUN_START: Time = 100.0;
 
-/// One event and when it is due.
+/// Event, its time, and its position among events of the same time.
 #[derive(Debug)]
 struct QueueEntry<E> {
     at: Time,
@@ -16,7 +16,7 @@
 }
 
 impl<E> Ord for QueueEntry<E> {
-    /// The earliest entry is the greatest, as the heap pops its greatest first.
+    /// Orders the earliest entry as the greatest, because the heap pops the greatest entry first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.total_cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
@@ -36,7 +36,7 @@
 
 impl<E> Eq for QueueEntry<E> {}
 
-/// Events by time; events of the same time in the order in which they were scheduled.
+/// Scheduled events in the order of their times; those of the same time in the order in which they were scheduled.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     now: Time,
@@ -51,19 +51,19 @@
 }
 
 impl<E> EventQueue<E> {
-    /// The time of the last event that was popped.
+    /// Returns the current time: that of the last event popped, or [`RUN_START`].
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Schedules an event; one whose time has passed is due at once.
+    /// Schedules an event; if its time has passed, it is due now.
     pub fn schedule(&mut self, at: Time, event: E) {
         self.last_sequence += 1;
         let entry = QueueEntry { at: at.max(self.now), sequence: self.last_sequence, event };
         self.entries.push(entry);
     }
 
-    /// Pops the next event that is due no later than `limit`, and moves the clock to its time.
+    /// Pops the next event and moves the clock to its time. Returns `None` if no event is due by `limit`.
     pub fn pop_until(&mut self, limit: Time) -> Option<E> {
         if self.entries.peek()?.at > limit {
             return None;
--- a/lab/src/fleet/gateways.rs
+++ b/lab/src/fleet/gateways.rs
@@ -1,4 +1,4 @@
-//! A simulated gateway: it hosts the policy itself, which starts without any state at every restart.
+//! Simulated gateway, which runs the real policy. The policy starts without any state at every restart.
 
 use super::configuration::{self, Configuration, DiscoveryMode, RepeatEffect};
 use super::processor::{PolicyWork, ProcessorTimes};
@@ -9,22 +9,22 @@
 use std::collections::HashSet;
 use std::time::Instant;
 
-/// One gateway.
+/// Simulated gateway.
 #[derive(Debug)]
 pub struct SimulatedGateway {
-    /// Its zone.
+    /// Zone of the gateway.
     pub zone: u32,
     incarnation: u32,
     down_since: Option<Time>,
     open_requests: usize,
     max_open_requests: usize,
-    /// Tenants whose requests it has received, over all incarnations.
+    /// Tenants that have sent it requests, over all incarnations.
     tenants: HashSet<usize>,
     policy: Gateway,
 }
 
 impl SimulatedGateway {
-    /// A gateway that is up, without any state.
+    /// Returns a running gateway whose policy has no state yet.
     ///
     /// # Errors
     /// The policy rejects its settings.
@@ -40,24 +40,24 @@
         })
     }
 
-    /// Number of its present incarnation, or of the next one while it is down.
+    /// Returns the number of the current incarnation, or of the next one while the gateway is down.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// Since when it has been down; `None` if it is up.
+    /// Returns the time at which the gateway went down; `None` if it is running.
     pub fn down_since(&self) -> Option<Time> {
         self.down_since
     }
 
-    /// Ends this incarnation. Events for it are dropped from now on.
+    /// Ends the current incarnation, so that later events addressed to it are dropped.
     pub fn stop(&mut self, now: Time) {
         self.incarnation += 1;
         self.down_since = Some(now);
         self.open_requests = 0;
     }
 
-    /// Starts the next incarnation.
+    /// Starts the next incarnation with a new policy.
     ///
     /// # Errors
     /// The policy rejects its settings.
@@ -67,12 +67,12 @@
         Ok(())
     }
 
-    /// True if this incarnation is up.
+    /// Returns whether this incarnation is the current one and running.
     pub fn is_running(&self, incarnation: u32) -> bool {
         self.down_since.is_none() && self.incarnation == incarnation
     }
 
-    /// Notifies the policy of an event, and measures the time that it takes.
+    /// Notifies the policy of an event, records the time that it takes, and returns its actions.
     pub fn notify(&mut self, now: Time, event: Event, times: &mut ProcessorTimes) -> Vec<Action> {
         let work = PolicyWork::of(&event);
         let mut actions = Vec::new();
@@ -82,35 +82,35 @@
         actions
     }
 
-    /// Records that a request of a tenant was opened.
+    /// Records that a request of a tenant has been opened.
     pub fn request_opened(&mut self, tenant: usize) {
         self.open_requests += 1;
         self.max_open_requests = self.max_open_requests.max(self.open_requests);
         self.tenants.insert(tenant);
     }
 
-    /// Records that a request was closed.
+    /// Records that a request has been closed.
     pub fn request_closed(&mut self) {
         self.open_requests -= 1;
     }
 
-    /// Most requests that were open at once.
+    /// Returns the maximum number of requests that were open at once.
     pub fn max_open_requests(&self) -> usize {
         self.max_open_requests
     }
 
-    /// How many tenants it has received requests of, over all incarnations.
+    /// Returns the number of tenants that have sent it requests, over all incarnations.
     pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Endpoints that the policy lists, and those of them that it avoids.
+    /// Returns the numbers of endpoints that the policy lists and avoids.
     pub fn endpoint_counts(&self, now: Time) -> EndpointCounts {
         self.policy.endpoint_counts(now)
     }
 }
 
-/// The policy's settings for a gateway.
+/// Returns the policy settings of a gateway.
 pub fn policy_settings(configuration: &Configuration, index: u32, zone: u32) -> Settings {
     let mut settings = Settings::default();
     settings.gateway_index = index;
@@ -160,11 +160,11 @@
     plan
 }
 
-/// One incarnation of a gateway, to which an event is addressed.
+/// Incarnation of a gateway to which an event is addressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayAddress {
     /// Index of the gateway.
     pub gateway: usize,
-    /// Number of the incarnation.
+    /// Number of the incarnation, from 0.
     pub incarnation: u32,
 }
--- a/lab/src/fleet/incident_plan.rs
+++ b/lab/src/fleet/incident_plan.rs
@@ -1,4 +1,4 @@
-//! The schedule of faults: turns those of a configuration into single incidents, each with its time.
+//! Expands the faults of a configuration into incidents, each with one target and one time.
 
 use super::configuration::{Configuration, Fault, Range};
 use super::event_queue::RUN_START;
@@ -7,27 +7,27 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// The begin or the end of a fault at one part of the fleet.
+/// Start or end of a fault at one part of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Incident {
-    /// A gateway stops, and starts again after its restart time.
+    /// A gateway stops, and starts again after the configured restart time.
     RestartGateway(usize),
-    /// The gateways of a zone stop, and its endpoints become unreachable.
+    /// The gateways of a zone stop and its endpoints become unreachable.
     LoseZone(u32),
     /// The gateways and endpoints of a lost zone start again.
     RestoreZone(u32),
     /// A zone is cut off from the counter, or connected again.
     SetCounterCut {
-        /// The zone.
+        /// Number of the zone.
         zone: u32,
-        /// True if it is cut off from now on.
+        /// True to cut the zone off, false to connect it again.
         is_cut: bool,
     },
-    /// The time that the counter takes for a call is multiplied by this factor.
+    /// The service time of counter calls is multiplied by this factor.
     SlowCounter(f64),
-    /// The counter stops to respond (true), or responds again (false).
+    /// The counter stops responding (true) or responds again (false).
     SilenceCounter(bool),
-    /// The counter loses this share of its entries.
+    /// The counter loses a random share of its entries.
     LoseCounterEntries(f64),
     /// An endpoint crashes.
     CrashEndpoint(usize),
@@ -45,41 +45,41 @@
     AddEndpoint,
 }
 
-/// An incident and its time.
+/// Incident and its time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedIncident {
-    /// When it happens.
+    /// Time of the incident.
     pub at: Time,
-    /// What happens.
+    /// Kind and target of the incident.
     pub incident: Incident,
 }
 
-/// The incidents planned so far.
+/// Incidents planned so far, in the order of the faults.
 #[derive(Debug, Default)]
 struct IncidentPlan {
     incidents: Vec<PlannedIncident>,
 }
 
 impl IncidentPlan {
-    /// Plans an incident so long after the start of the run.
+    /// Plans an incident at `after` seconds from the start of the run.
     fn add(&mut self, after: Seconds, incident: Incident) {
         self.incidents.push(PlannedIncident { at: RUN_START + after, incident });
     }
 
-    /// Plans the begin and the end of a fault.
+    /// Plans the start and the end of a fault.
     fn add_span(&mut self, at: Seconds, begin: Incident, until: Seconds, end: Incident) {
         self.add(at, begin);
         self.add(until, end);
     }
 
-    /// Plans that an endpoint is replaced by another.
+    /// Plans the replacement of an endpoint by another one.
     fn add_replacement(&mut self, at: Seconds, endpoint: usize) {
         let until = at + REPLACEMENT_DRAIN;
         self.add_drain(at, until, endpoint);
         self.add(until, Incident::AddEndpoint);
     }
 
-    /// Plans that an endpoint drains, and then shuts down.
+    /// Plans the drain and the shutdown of an endpoint.
     fn add_drain(&mut self, at: Seconds, until: Seconds, endpoint: usize) {
         self.add_span(at, Incident::DrainEndpoint(endpoint), until, Incident::RemoveEndpoint(endpoint));
     }
@@ -144,10 +144,10 @@
     }
 }
 
-/// How long an endpoint drains before it is replaced.
+/// Time for which an endpoint drains before it is replaced.
 const REPLACEMENT_DRAIN: Seconds = 2.0;
 
-/// All incidents of a run, in the order of the file.
+/// Returns all incidents of a run, in the order of the faults in the file and not of their times.
 pub fn plan(configuration: &Configuration, generator: &mut ChaCha8Rng) -> Vec<PlannedIncident> {
     let mut plan = IncidentPlan::default();
     for fault in &configuration.faults {
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -1,4 +1,8 @@
-//! What a run counts. The names of the report's JSON keys are older than those of the fields and stay as they are.
+//! Counts of a run.
+//!
+//! Some JSON keys of the report differ from the field names, and `serde(rename)` maps them: for example, `wishes` are
+//! demands, `asked` is submitted, `refused` and `full` are rejected, `worth` is weight, and `inside` and `beyond` a
+//! quota are within and over it.
 
 use super::event_queue::RUN_START;
 use hdrhistogram::Histogram;
@@ -6,18 +10,18 @@
 use serde::Serialize;
 use std::ops::AddAssign;
 
-/// Longest latency that the histogram holds, in microseconds: one hour.
+/// Largest latency that the histogram can hold: one hour.
 const MAX_LATENCY_MICROSECONDS: u64 = 3_600_000_000;
 /// Significant digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 3;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Messages and their bytes, in both directions.
+/// Traffic in both directions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Their bytes.
+    /// Total size of the messages.
     pub bytes: u64,
 }
 
@@ -39,51 +43,51 @@
 /// Traffic of each role.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RoleTraffic {
-    /// Each gateway, by index.
+    /// Traffic of each gateway, by index.
     pub gateways: Vec<Traffic>,
-    /// The counter.
+    /// Traffic of the counter.
     pub counter: Traffic,
-    /// Discovery.
+    /// Traffic of discovery.
     pub discovery: Traffic,
-    /// All endpoints together.
+    /// Traffic of all endpoints together.
     pub endpoints: Traffic,
 }
 
-/// How demands ended.
+/// Outcome of a demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DemandOutcome {
     /// Served within the latency objective.
     Served,
-    /// Served later.
+    /// Served after the latency objective.
     ServedLate,
-    /// Rejected for good.
+    /// Rejected, and not retried any more.
     Rejected,
-    /// Failed.
+    /// Failed by the gateway.
     Failed,
-    /// The client left without a response.
+    /// Abandoned by the client, which had no response by the deadline.
     Abandoned,
-    /// Its gateway stopped or was down.
+    /// Sent to a gateway that was down, or open at one that stopped.
     Lost,
 }
 
-/// Demands and how they ended.
+/// Demands by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct DemandCounts {
-    /// Submitted.
+    /// All demands, whatever their outcome.
     #[serde(rename = "asked")]
     pub submitted: u64,
-    /// Served within the latency objective of their class.
+    /// Demands served within the latency objective of their class.
     pub served: u64,
-    /// Served later.
+    /// Demands served after the latency objective.
     pub served_late: u64,
-    /// Rejected for good, after any retries.
+    /// Demands rejected, and not retried any more.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed.
+    /// Demands failed by a gateway.
     pub failed: u64,
-    /// Abandoned by the client.
+    /// Demands that their client abandoned at the deadline.
     pub abandoned: u64,
-    /// Lost with a gateway, or sent to one that was down.
+    /// Demands sent to a gateway that was down, or open at one that stopped.
     pub lost: u64,
 }
 
@@ -101,18 +105,18 @@
     }
 }
 
-/// Weight of the demands that were within quotas, and how these ended.
+/// Total weight of the demands that were within their quota, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct InQuotaWeight {
-    /// Submitted.
+    /// Weight of all of them.
     #[serde(rename = "asked")]
     pub submitted: f64,
-    /// Served within the latency objective.
+    /// Weight of those served within the latency objective.
     pub served: f64,
-    /// Rejected for good.
+    /// Weight of those rejected and not retried any more.
     #[serde(rename = "refused")]
     pub rejected: f64,
-    /// Ended in any other way.
+    /// Weight of those with any other outcome.
     pub otherwise: f64,
 }
 
@@ -127,20 +131,20 @@
     }
 }
 
-/// A submission that was forwarded to an endpoint for the first time.
+/// Submission whose first attempt is sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forwarded {
-    /// Its units.
+    /// Units of the request.
     pub units: f64,
-    /// Their weight.
+    /// Weight of these units.
     pub weight: f64,
-    /// Share of the weight that the plan charges for units over quota.
+    /// Share of the weight that units over quota cost under the tenant's plan.
     pub over_quota_cost_share: f64,
-    /// The true quota had enough units.
+    /// True if the tenant's true quota held enough units.
     pub is_within_quota: bool,
 }
 
-/// What was forwarded to endpoints, against the true quotas.
+/// Units forwarded to endpoints, compared with the true quotas.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct QuotaCounts {
     /// Units forwarded within quotas.
@@ -149,10 +153,10 @@
     /// Units forwarded over quotas.
     #[serde(rename = "units_beyond")]
     pub units_over_quota: f64,
-    /// Their weight.
+    /// Weight of the units forwarded over quotas.
     #[serde(rename = "worth_beyond")]
     pub weight_over_quota: f64,
-    /// What the plans charge for them.
+    /// Cost of the units forwarded over quotas, under the tenants' plans.
     pub overrun_cost: f64,
 }
 
@@ -168,23 +172,23 @@
     }
 }
 
-/// Attempts and how they ended.
+/// Attempts by result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct AttemptCounts {
-    /// Sent.
+    /// Attempts sent.
     pub sent: u64,
-    /// Served.
+    /// Attempts served.
     pub ok: u64,
-    /// Rejected by the endpoint.
+    /// Attempts rejected by their endpoint.
     #[serde(rename = "full")]
     pub rejected: u64,
-    /// Without a response in time.
+    /// Attempts without a response before the timeout.
     pub timeout: u64,
-    /// Without a connection.
+    /// Attempts whose connection failed.
     pub connect_failed: u64,
-    /// With a connection that broke.
+    /// Attempts whose connection was reset.
     pub reset: u64,
-    /// Cancelled, or never sent.
+    /// Attempts cancelled or never sent.
     pub cancelled: u64,
 }
 
@@ -203,19 +207,19 @@
     }
 }
 
-/// Counter calls and how they ended.
+/// Counter calls by result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct CounterCallCounts {
-    /// Made.
+    /// Calls made.
     pub made: u64,
-    /// Answered in time with a total.
+    /// Calls answered with a total before their timeout.
     pub ok: u64,
-    /// Rejected in time, as the counter's queue was full.
+    /// Calls rejected before their timeout because the counter's queue was full.
     #[serde(rename = "full")]
     pub rejected: u64,
-    /// Not answered in time.
+    /// Calls without a response before their timeout.
     pub timeout: u64,
-    /// Added by the counter though the caller no longer waited.
+    /// Calls that the counter served after their caller had stopped waiting.
     #[serde(rename = "added_in_vain")]
     pub added_after_timeout: u64,
     /// Entries that the counter lost.
@@ -235,28 +239,28 @@
     }
 }
 
-/// What happened to the endpoint list and to the gateways.
+/// Changes and transfers of the endpoint list, and restarts of gateways.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct FleetCounts {
-    /// Changes of the list.
+    /// Changes of the endpoint list.
     pub list_changes: u64,
     /// Complete lists sent to gateways.
     #[serde(rename = "lists_told")]
     pub complete_lists_sent: u64,
-    /// Polls for the list that failed.
+    /// Polls for the endpoint list that failed.
     #[serde(rename = "list_calls_failed")]
     pub polls_failed: u64,
     /// Restarts of gateways.
     pub restarts: u64,
 }
 
-/// One second of a run.
+/// Counts of one second of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct SecondCounts {
-    /// Demands that were submitted or ended.
+    /// Demands submitted, and demands that ended, in this second.
     #[serde(rename = "wishes")]
     pub demands: DemandCounts,
-    /// Units forwarded.
+    /// Units forwarded, compared with the true quotas.
     pub quotas: QuotaCounts,
     /// Counter calls made.
     pub counter_calls: u64,
@@ -267,32 +271,32 @@
 /// All counts of a run.
 #[derive(Debug, Clone)]
 pub struct Measures {
-    /// Demands.
+    /// Demands by outcome.
     pub demands: DemandCounts,
     /// Submissions that reached a gateway: demands and their retries.
     pub submissions: u64,
-    /// Weight within quotas.
+    /// Weight of demands within quotas, by outcome.
     pub in_quota_weight: InQuotaWeight,
-    /// Units forwarded.
+    /// Units forwarded, compared with the true quotas.
     pub quotas: QuotaCounts,
-    /// Attempts.
+    /// Attempts by result.
     pub attempts: AttemptCounts,
-    /// Counter calls.
+    /// Counter calls by result.
     pub counter_calls: CounterCallCounts,
-    /// Lists and restarts.
+    /// Changes and transfers of the endpoint list, and restarts of gateways.
     pub fleet: FleetCounts,
     /// Traffic of each role.
     pub traffic: RoleTraffic,
-    /// Time from the first submission to the response that served, in microseconds.
+    /// Time from the first submission of a served demand to its response, in microseconds.
     pub latency: Histogram<u64>,
-    /// Most requests that were open in the fleet at once.
+    /// Maximum number of requests that were open in the fleet at once.
     pub max_open_requests: usize,
-    /// The run, second by second.
+    /// Counts of each second of the run.
     pub seconds: Vec<SecondCounts>,
 }
 
 impl Measures {
-    /// Nothing counted yet, for so many gateways.
+    /// Returns zero counts for a fleet of `gateway_count` gateways.
     pub fn new(gateway_count: usize) -> Self {
         let latency = Histogram::new_with_bounds(1, MAX_LATENCY_MICROSECONDS, LATENCY_DIGITS);
         Self {
@@ -310,7 +314,7 @@
         }
     }
 
-    /// The counts of the second that `now` lies in.
+    /// Returns the counts of the second that contains `now`.
     pub fn second(&mut self, now: Time) -> &mut SecondCounts {
         let index = (now - RUN_START).max(0.0) as usize;
         if self.seconds.len() <= index {
@@ -319,7 +323,7 @@
         &mut self.seconds[index]
     }
 
-    /// Counts a demand; `in_quota_weight` is its weight if it is within the quota, else 0.
+    /// Counts a demand at its first submission; `in_quota_weight` is its weight if it is within the quota, else 0.
     pub fn count_demand(&mut self, now: Time, in_quota_weight: f64) {
         self.demands.submitted += 1;
         self.second(now).demands.submitted += 1;
@@ -333,13 +337,13 @@
         self.in_quota_weight.count_outcome(outcome, in_quota_weight);
     }
 
-    /// Counts a submission that was forwarded for the first time.
+    /// Counts a submission when its first attempt is sent.
     pub fn count_forwarded(&mut self, now: Time, forwarded: Forwarded) {
         self.quotas.count(forwarded);
         self.second(now).quotas.count(forwarded);
     }
 
-    /// Counts the latency of a demand that was served.
+    /// Records the latency of a served demand.
     pub fn count_latency(&mut self, latency: Seconds) {
         let microseconds = (latency * MICROSECONDS_PER_SECOND).round().max(1.0) as u64;
         self.latency.saturating_record(microseconds);
--- a/lab/src/fleet/processor.rs
+++ b/lab/src/fleet/processor.rs
@@ -1,26 +1,26 @@
-//! Processor time of the policy, by kind of event. No other figures differ between two runs of one file and seed.
+//! Processor time of the policy, by kind of work. All other results are the same in two runs of one file and seed.
 
 use hdrhistogram::Histogram;
 use oliverack::{Event, ListKind};
 use serde::Serialize;
 use std::time::Duration;
 
-/// What the policy works on.
+/// Kind of work that an event causes in the policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PolicyWork {
-    /// A request.
+    /// Arrival of a request.
     Request,
-    /// The end of an attempt.
+    /// End of an attempt.
     AttemptEnd,
-    /// A complete endpoint list.
+    /// Complete endpoint list, or a failed poll.
     CompleteList,
-    /// A change of the endpoint list.
+    /// Change of the endpoint list.
     ListChange,
-    /// A timer.
+    /// Expiry of a timer.
     Timer,
-    /// The end of a counter call.
+    /// End of a counter call.
     CounterReply,
-    /// Anything else.
+    /// Any other event.
     Other,
 }
 
@@ -35,7 +35,7 @@
         Self::Other,
     ];
 
-    /// The kind of work that an event causes.
+    /// Returns the kind of work that an event causes.
     pub fn of(event: &Event) -> Self {
         match event {
             Event::Request(_) => Self::Request,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Its name in the report.
+    /// Returns the name of the kind in the report.
     fn name(self) -> &'static str {
         match self {
             Self::Request => "request",
@@ -62,21 +62,21 @@
     }
 }
 
-/// Times of one kind of work, in nanoseconds.
+/// Total and distribution of the times of one kind of work, in nanoseconds.
 #[derive(Debug, Clone)]
 struct WorkTimes {
     total: u128,
     histogram: Histogram<u64>,
 }
 
-/// Processor times of all policies together.
+/// Processor times of the policies of all gateways together.
 #[derive(Debug, Clone)]
 pub struct ProcessorTimes {
-    /// In the order of [`PolicyWork::ALL`].
+    /// Times of each kind of work, in the order of [`PolicyWork::ALL`].
     by_work: Vec<WorkTimes>,
 }
 
-/// Longest time that the histograms hold: one minute.
+/// Largest time that the histograms can hold: one minute.
 const MAX_NANOSECONDS: u64 = 60_000_000_000;
 /// Significant digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 2;
@@ -84,14 +84,14 @@
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
 impl ProcessorTimes {
-    /// Nothing measured yet.
+    /// Returns times without any measurement.
     pub fn new() -> Self {
         let histogram = Histogram::new_with_bounds(1, MAX_NANOSECONDS, HISTOGRAM_DIGITS)
             .expect("constant bounds are usable");
         Self { by_work: vec![WorkTimes { total: 0, histogram }; PolicyWork::ALL.len()] }
     }
 
-    /// Records the time that a notification of the policy took.
+    /// Records the time that the policy took for one event.
     pub fn record(&mut self, work: PolicyWork, time: Duration) {
         let times = &mut self.by_work[work as usize];
         let nanoseconds = time.as_nanos();
@@ -99,7 +99,7 @@
         times.histogram.saturating_record(u64::try_from(nanoseconds).unwrap_or(MAX_NANOSECONDS));
     }
 
-    /// The totals and the distribution of each kind of work.
+    /// Returns the totals, and the distribution for each kind of work that occurred.
     pub fn summary(&self) -> ProcessorSummary {
         let kinds =
             PolicyWork::ALL.iter().zip(&self.by_work).filter(|(_, times)| !times.histogram.is_empty());
@@ -133,28 +133,28 @@
     }
 }
 
-/// Processor time of one kind of work.
+/// Processor time of one kind of work in the report.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EventTimes {
-    /// Name of the kind.
+    /// Name of the kind of work.
     pub event: &'static str,
-    /// How many there were.
+    /// Number of events of this kind.
     pub count: u64,
-    /// Mean time.
+    /// Mean time for one event.
     pub mean_microseconds: f64,
     /// 99th percentile.
     pub p99_microseconds: f64,
-    /// Longest time.
+    /// Maximum time.
     pub max_microseconds: f64,
 }
 
-/// Processor time of the policy.
+/// Processor time of the policy in the report.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ProcessorSummary {
-    /// Mean for a request, with the ends of its attempts.
+    /// Mean time for a request, including the ends of its attempts.
     pub microseconds_per_request: f64,
-    /// Total of all work.
+    /// Total time of all work.
     pub total_seconds: f64,
-    /// By kind of work, without those that did not occur.
+    /// Times of each kind of work that occurred.
     pub by_event: Vec<EventTimes>,
 }
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -1,5 +1,8 @@
-//! The results of a run as records, each a line of the JSON file. The JSON keys are older than the names of the fields
-//! and stay as they are.
+//! Results of a run as records, each of which is a line of the JSON file.
+//!
+//! Some JSON keys differ from the field names, and `serde(rename)` maps them: `gatekeepers` are gateways, `workers`
+//! are endpoints, `tries` are submissions, and `counter_names` are entries of the counter. The other ones are
+//! explained in [`measures`](super::measures).
 
 use super::gateways::SimulatedGateway;
 use super::measures::{
@@ -13,29 +16,29 @@
 use oliverack::Seconds;
 use serde::Serialize;
 
-/// Share of its burst by which a ceiling may be overdrawn without being counted as exceeded.
+/// Overdraft up to which a ceiling does not count as exceeded, as a share of the ceiling's burst.
 pub const MAX_CEILING_OVERDRAFT_SHARE: f64 = 0.1;
 
-/// Sizes of the run.
+/// Sizes of a run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RunRecord {
-    /// The seed.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How long requests arrived.
+    /// Duration for which requests arrived.
     pub seconds: Seconds,
-    /// Gateways.
+    /// Number of gateways.
     #[serde(rename = "gatekeepers")]
     pub gateways: usize,
-    /// Endpoints at the start.
+    /// Number of endpoints at the start.
     #[serde(rename = "workers")]
     pub endpoints: u32,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Long-term mean of the requests a second of all tenants.
+    /// Expected long-term mean of the demands of all tenants, in requests a second.
     pub nominal_requests_per_second: f64,
 }
 
-/// Time from the first submission to the response that served, in milliseconds.
+/// Time from the first submission of a served demand to its response, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LatencyRecord {
     /// Mean.
@@ -52,22 +55,22 @@
     pub max: f64,
 }
 
-/// What was forwarded, against the true quotas and ceilings.
+/// Units forwarded to endpoints, compared with the true quotas and ceilings.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct QuotaRecord {
-    /// Units and their weight.
+    /// Units within and over quotas.
     #[serde(flatten)]
     pub counts: QuotaCounts,
-    /// Tenants under a ceiling.
+    /// Number of tenants with a ceiling.
     pub ceilings: usize,
-    /// Those of them whose ceiling was overdrawn by more than [`MAX_CEILING_OVERDRAFT_SHARE`].
+    /// Number of tenants whose ceiling was overdrawn by more than [`MAX_CEILING_OVERDRAFT_SHARE`].
     #[serde(rename = "ceilings_broken")]
     pub ceilings_exceeded: usize,
-    /// The lowest level of any ceiling, as a share of its burst; 1 without any.
+    /// Lowest level of any ceiling, as a share of its burst, and negative if overdrawn; 1 if there are no ceilings.
     pub lowest_ceiling: f64,
 }
 
-/// Messages of one role, in both directions.
+/// Traffic of one role, in both directions.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TrafficRecord {
     /// Name of the role.
@@ -78,85 +81,85 @@
     pub bytes_per_second: f64,
 }
 
-/// Means for each submission.
+/// Mean numbers of attempts and counter calls for each submission.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PerSubmissionRecord {
-    /// Submissions that reached a gateway.
+    /// Number of submissions that reached a gateway.
     #[serde(rename = "tries")]
     pub submissions: u64,
-    /// Attempts at endpoints.
+    /// Attempts for each submission.
     pub attempts: f64,
-    /// Counter calls.
+    /// Counter calls for each submission.
     pub counter_calls: f64,
 }
 
-/// How much state the gateways and the counter have.
+/// Amounts of state in the gateways and the counter.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct StateRecord {
-    /// Most requests open in the whole fleet at once.
+    /// Maximum number of requests open in the whole fleet at once.
     pub fleet_open_max: usize,
-    /// Most requests open at one gateway at once.
+    /// Maximum number of requests open at one gateway at once.
     #[serde(rename = "gatekeeper_open_max")]
     pub gateway_open_max: usize,
-    /// Mean of the tenants that a gateway received requests of.
+    /// Mean number of tenants that sent requests to a gateway.
     pub tenants_mean: f64,
-    /// Most tenants that a gateway received requests of.
+    /// Maximum number of tenants that sent requests to one gateway.
     pub tenants_max: usize,
-    /// Mean of the endpoints that a gateway lists at the end.
+    /// Mean number of endpoints that a gateway lists at the end of the run.
     #[serde(rename = "workers_listed_mean")]
     pub endpoints_listed_mean: f64,
-    /// Mean of those of them that it avoids.
+    /// Mean number of listed endpoints that a gateway avoids at the end of the run.
     #[serde(rename = "workers_avoided_mean")]
     pub endpoints_avoided_mean: f64,
-    /// Entries that the counter holds at the end.
+    /// Entries that the counter holds at the end of the run.
     #[serde(rename = "counter_names")]
     pub counter_entries: usize,
 }
 
-/// Processor time; the only record that differs between two runs of one file and seed.
+/// Processor time; the only record that differs between two runs of the same file and seed.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ProcessorRecord {
-    /// The policy's time.
+    /// Processor time of the policies.
     #[serde(flatten)]
     pub policy: ProcessorSummary,
     /// Wall clock time of the run.
     pub run_wall_seconds: f64,
 }
 
-/// One line of the JSON file.
+/// Line of the JSON file.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum Record {
-    /// Sizes.
+    /// Sizes of the run.
     Run(RunRecord),
-    /// Demands of clients.
+    /// Demands by outcome.
     #[serde(rename = "wishes")]
     Demands(DemandCounts),
-    /// Latency.
+    /// Latency of served demands.
     Latency(LatencyRecord),
-    /// Quotas and ceilings.
+    /// Units forwarded, compared with quotas and ceilings.
     Quotas(QuotaRecord),
-    /// Weight within quotas.
+    /// Weight of demands within quotas, by outcome.
     #[serde(rename = "inside_worth")]
     InQuotaWeight(InQuotaWeight),
-    /// Attempts at endpoints.
+    /// Attempts by result.
     Attempts(AttemptCounts),
-    /// Counter calls.
+    /// Counter calls by result.
     CounterCalls(CounterCallCounts),
-    /// Means for each submission.
+    /// Mean numbers for each submission.
     #[serde(rename = "per_try")]
     PerSubmission(PerSubmissionRecord),
-    /// Lists and restarts.
+    /// Endpoint lists and restarts of gateways.
     Fleet(FleetCounts),
-    /// Messages of a role.
+    /// Traffic of one role.
     Traffic(TrafficRecord),
     /// Amounts of state.
     State(StateRecord),
     /// One second of the run.
     Second {
-        /// Its number, from 0.
+        /// Number of the second, from 0.
         second: usize,
-        /// Its counts.
+        /// Counts of the second.
         #[serde(flatten)]
         counts: SecondCounts,
     },
@@ -164,7 +167,7 @@
     Processor(ProcessorRecord),
 }
 
-/// All records of a run; that of processor times is the last.
+/// Returns all records of a run; that of processor times is the last.
 pub fn records(result: &RunResult, seed: u64, run_wall_seconds: f64) -> Vec<Record> {
     let measures = &result.measures;
     let mut records = vec![
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The clients, and the load balancer in front of the gateways that forwards their requests.
+//! Clients of all tenants, and the load balancer that forwards their requests to the gateways.
 
 use super::context::Context;
 use super::event::ScheduledEvent;
@@ -13,30 +13,31 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// How long after its deadline a client still accepts a response: the last attempt may time out at the deadline
-/// itself, and its outcome has to come first.
+/// Time after the deadline for which a client still accepts a response. The last attempt may time out at the deadline
+/// itself, and its result must be handled before the client leaves.
 const CLIENT_DEADLINE_GRACE: Seconds = 0.01;
 
-/// Where the load balancer sends a request.
+/// Decision of the load balancer on a request.
 enum Route {
-    /// To this gateway, which is up.
+    /// Forward to this gateway, which is running.
     Gateway(usize),
-    /// To a gateway that is down without the load balancer knowing yet; or all of the tenant's gateways are down.
+    /// The request is lost: its gateway is down and the load balancer has not detected this yet, or all gateways of
+    /// the tenant are down.
     Unavailable,
 }
 
-/// The tenants with their demands and true quotas.
+/// Tenants with their clients and true quotas.
 #[derive(Debug)]
 pub struct ClientModel {
     tenants: Vec<Tenant>,
-    /// Draws when demands arise and what they are.
+    /// Draws the arrivals and properties of demands.
     arrival_generator: ChaCha8Rng,
-    /// Draws routes and the decisions of clients.
+    /// Draws the routes of requests and the decisions of clients.
     choice_generator: ChaCha8Rng,
 }
 
 impl ClientModel {
-    /// The tenants of a run.
+    /// Draws the tenants of a run.
     pub fn new(context: &Context, seed: u64) -> Self {
         Self {
             tenants: tenants::draw(&context.configuration, &mut stream(seed, Stream::Tenants)),
@@ -60,7 +61,8 @@
         }
     }
 
-    /// The arrival process of a tenant fires. Returns the demand that arises, if one does.
+    /// Handles an arrival candidate of a tenant: schedules the next one, and returns the demand if this one is
+    /// accepted.
     pub fn arrival_candidate(&mut self, context: &mut Context, tenant: usize) -> Option<Demand> {
         self.schedule_arrival(context, tenant);
         if !self.tenants[tenant].accepts_candidate(context.now(), &mut self.arrival_generator) {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Chooses one of the tenant's gateways, by weight; the load balancer skips those that it knows to be down.
+    /// Chooses one of the tenant's gateways by weight, and skips those that the load balancer has detected as down.
     fn route(&mut self, context: &Context, gateways: &GatewayFleet, tenant: usize) -> Route {
         let detection_delay = context.configuration.clients.failure_detection_delay;
         let tenant = &self.tenants[tenant];
@@ -113,8 +115,8 @@
         Route::Unavailable
     }
 
-    /// A client submits a demand, for the first time or as a retry. Returns the gateway that receives the request, and
-    /// the request.
+    /// Submits a demand for the first time or as a retry, and opens a request for it. Returns `None` if the demand is
+    /// lost because its gateway is down.
     pub fn submit(
         &mut self,
         context: &mut Context,
@@ -161,7 +163,7 @@
         wire_size::client_request(&context.request_head(demand), &quota)
     }
 
-    /// Draws on the true quota and the true ceiling when the first attempt for a submission is forwarded.
+    /// Charges the tenant's true quota and ceiling for a submission whose first attempt is being sent.
     pub fn charge_quota(&mut self, context: &mut Context, demand: &Demand) {
         let now = context.now();
         let tenant = &mut self.tenants[demand.tenant];
@@ -175,7 +177,7 @@
         context.measures.count_forwarded(now, forwarded);
     }
 
-    /// A client gets a rejection, and comes back later or gives up.
+    /// Handles a rejection at the client, which schedules a retry or gives up.
     pub fn rejected(&mut self, context: &mut Context, demand: Demand, retry_after: Seconds) {
         let clients = &context.configuration.clients;
         let backoff = if retry_after > 0.0 { retry_after } else { clients.default_backoff };
@@ -190,21 +192,21 @@
         }
     }
 
-    /// The tenants, at the end of a run.
+    /// Returns the tenants at the end of a run.
     pub fn into_tenants(self) -> Vec<Tenant> {
         self.tenants
     }
 }
 
-/// A request on its way to the policy of a gateway.
+/// Request that a gateway has received.
 pub struct Submission {
     /// Index of the gateway.
     pub gateway: usize,
-    /// What its policy is notified of.
+    /// Request of which the policy of the gateway is notified.
     pub request: Request,
 }
 
-/// A client gets the response of an endpoint.
+/// Records that a client has got the response of an endpoint.
 pub fn record_served(context: &mut Context, demand: &Demand) {
     let latency = context.now() - demand.submitted_at;
     let is_late = latency > context.configuration.classes[demand.class].latency_objective;
@@ -213,7 +215,7 @@
     count_outcome(context, demand, outcome);
 }
 
-/// Counts the end of a demand.
+/// Counts the outcome of a demand.
 pub fn count_outcome(context: &mut Context, demand: &Demand, outcome: DemandOutcome) {
     let now = context.now();
     context.measures.count_outcome(now, outcome, demand.in_quota_weight());
--- a/lab/src/fleet/simulation/context.rs
+++ b/lab/src/fleet/simulation/context.rs
@@ -1,4 +1,4 @@
-//! What every model of a run uses: the configuration, the event queue and the counts.
+//! Configuration, event queue and counts that the models of a run share.
 
 use super::event::ScheduledEvent;
 use crate::fleet::configuration::{Configuration, DiscoveryMode};
@@ -8,29 +8,29 @@
 use crate::fleet::wire_size::RequestHead;
 use oliverack::{Seconds, Time};
 
-/// Shared by the models of a run; holds no state of any of them.
+/// Context of a run that is passed to its models. Holds no state of any model.
 #[derive(Debug)]
 pub struct Context {
-    /// The run's configuration.
+    /// Configuration of the run.
     pub configuration: Configuration,
-    /// What has been counted so far.
+    /// Counts of the run so far.
     pub measures: Measures,
     event_queue: EventQueue<ScheduledEvent>,
 }
 
 impl Context {
-    /// The start of a run.
+    /// Returns the context at the start of a run.
     pub fn new(configuration: Configuration) -> Self {
         let measures = Measures::new(configuration.gateways.count as usize);
         Self { configuration, measures, event_queue: EventQueue::default() }
     }
 
-    /// The present time.
+    /// Returns the current simulated time.
     pub fn now(&self) -> Time {
         self.event_queue.now()
     }
 
-    /// Schedules an event at a time; the present, if that time has passed.
+    /// Schedules an event at a time, or now if that time has passed.
     pub fn schedule_at(&mut self, at: Time, event: ScheduledEvent) {
         self.event_queue.schedule(at, event);
     }
@@ -40,17 +40,17 @@
         self.event_queue.schedule(self.event_queue.now() + delay, event);
     }
 
-    /// Takes the next event that is due no later than `limit`, and moves the clock to it.
+    /// Takes the next event and moves the clock to its time. Returns `None` if no event is due by `limit`.
     pub fn next_event(&mut self, limit: Time) -> Option<ScheduledEvent> {
         self.event_queue.pop_until(limit)
     }
 
-    /// Zone of a gateway.
+    /// Returns the zone of a gateway.
     pub fn gateway_zone(&self, gateway: usize) -> u32 {
         gateway as u32 % self.configuration.topology.zones
     }
 
-    /// Delay between two zones.
+    /// Returns the one-way network delay between two zones, which may be the same.
     pub fn network_delay(&self, from_zone: u32, to_zone: u32) -> Seconds {
         let topology = &self.configuration.topology;
         let region = |zone: u32| zone * topology.regions / topology.zones;
@@ -63,12 +63,12 @@
         }
     }
 
-    /// True if gateways have to poll for the endpoint list.
+    /// Returns whether gateways have to poll for the endpoint list.
     pub fn discovery_is_polled(&self) -> bool {
         self.configuration.discovery.mode == DiscoveryMode::Poll
     }
 
-    /// What the size of a request's messages depends on.
+    /// Returns the properties of a demand on which the size of its messages depends at the current time.
     pub fn request_head(&self, demand: &Demand) -> RequestHead<'_> {
         let class = &self.configuration.classes[demand.class];
         RequestHead {
--- a/lab/src/fleet/simulation/counter_service.rs
+++ b/lab/src/fleet/simulation/counter_service.rs
@@ -1,4 +1,4 @@
-//! Calls from gateways to the counter and back.
+//! Calls from gateways to the counter, and the responses to them.
 
 use super::context::Context;
 use super::event::{CounterCall, ScheduledEvent};
@@ -11,20 +11,20 @@
 use oliverack::{Event, Seconds, Status};
 use rand_chacha::ChaCha8Rng;
 
-/// The counter, its connections to the zones, and the calls that are in flight.
+/// Counter, its connections to the zones, and the calls that are in flight.
 #[derive(Debug)]
 pub struct CounterService {
     /// `None` if the configuration has no counter.
     counter: Option<Counter>,
-    /// By gateway, the calls of its present incarnation.
+    /// Calls of the current incarnation of each gateway, by index.
     calls: Vec<CounterCalls>,
-    /// By zone, whether its gateways are cut off from the counter.
+    /// Whether the gateways of each zone are cut off from the counter, by zone number.
     zone_is_cut: Vec<bool>,
     entry_loss_generator: ChaCha8Rng,
 }
 
 impl CounterService {
-    /// The counter at the start of a run.
+    /// Returns the counter, without entries, at the start of a run.
     pub fn new(context: &Context, seed: u64) -> Self {
         let configuration = &context.configuration;
         let mut calls = Vec::new();
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Entries that the counter holds.
+    /// Returns the number of entries that the counter holds.
     pub fn entry_count(&self) -> usize {
         self.counter.as_ref().map_or(0, Counter::entry_count)
     }
 
-    /// Starts a call that adds to an entry. Without a counter, the connection fails at once.
+    /// Starts a call that adds to an entry. If there is no counter, the connection fails at once.
     pub fn start_call(
         &mut self,
         context: &mut Context,
@@ -76,7 +76,7 @@
         self.zone_is_cut[context.gateway_zone(address.gateway) as usize]
     }
 
-    /// A call reaches the counter.
+    /// Handles the arrival of a call at the counter.
     pub fn call_arrived(&mut self, context: &mut Context, gateways: &GatewayFleet, call: CounterCall) {
         let Some(counter) = &mut self.counter else { return };
         let admission = counter.admit(context.now(), call.key.name);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The counter has served a call: the amount is added, whether the caller still waits or not.
+    /// Completes the service of a call. The amount is added even if the caller no longer waits.
     pub fn call_served(&mut self, context: &mut Context, gateways: &GatewayFleet, call: CounterCall) {
         let Some(counter) = &mut self.counter else { return };
         let total = counter.add(context.now(), call.key.name, call.amount, call.ttl);
@@ -124,7 +124,7 @@
             return;
         }
         context.measures.traffic.counter.count(bytes);
-        // A response that comes after the timeout still uses the gateway's network.
+        // A response after the timeout still uses the network of the gateway.
         if gateways.is_running(call.from) {
             context.measures.traffic.gateways[call.from.gateway].count(bytes);
         }
@@ -132,7 +132,8 @@
         context.schedule_after(counter.network_delay(), event);
     }
 
-    /// The response to a call, or its timeout, reaches the gateway. Returns what its policy is notified of.
+    /// Ends a call at its gateway by the response or the timeout, and returns the notifications for the policy.
+    /// Returns none if the call has ended before.
     pub fn call_ended(
         &mut self,
         context: &mut Context,
@@ -148,7 +149,7 @@
         self.calls[to.gateway].end(context.now(), call, result)
     }
 
-    /// Forgets the calls of a gateway whose incarnation has ended.
+    /// Drops the calls of a gateway whose incarnation has ended.
     pub fn gateway_stopped(&mut self, gateway: usize) {
         self.calls[gateway] = CounterCalls::default();
     }
@@ -158,21 +159,21 @@
         self.zone_is_cut[zone as usize] = is_cut;
     }
 
-    /// Multiplies the time that the counter takes for a call.
+    /// Sets the factor by which the service time of calls is multiplied from now on.
     pub fn set_slowdown(&mut self, factor: f64) {
         if let Some(counter) = &mut self.counter {
             counter.set_slowdown(factor);
         }
     }
 
-    /// Makes the counter silent, or lets it respond again.
+    /// Silences the counter, or lets it respond again.
     pub fn set_silent(&mut self, is_silent: bool) {
         if let Some(counter) = &mut self.counter {
             counter.set_silent(is_silent);
         }
     }
 
-    /// Makes the counter lose a share of its entries.
+    /// Removes a random share of the counter's entries.
     pub fn lose_entries(&mut self, context: &mut Context, share: f64) {
         if let Some(counter) = &mut self.counter {
             let lost = counter.lose_entries(share, &mut self.entry_loss_generator);
--- a/lab/src/fleet/simulation/discovery_service.rs
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -1,4 +1,4 @@
-//! How the endpoint list reaches the gateways: polls, watches and propagation delays.
+//! Distribution of the endpoint list to the gateways by polls and watches, with propagation delays.
 
 use super::context::Context;
 use super::event::ScheduledEvent;
@@ -9,27 +9,28 @@
 use oliverack::{Endpoint, Event, ListKind, Seconds, Time};
 use std::sync::Arc;
 
-/// The watch of one gateway.
+/// Watch of a gateway for changes of the endpoint list.
 #[derive(Debug)]
 struct Watch {
     /// Time that a change takes to reach this gateway.
     propagation_delay: Seconds,
-    /// The incarnation that watches; `None` before its first complete list, and while the gateway is down.
+    /// Incarnation that watches; `None` while the gateway is down, and until it has polled if lists have to be polled
+    /// for.
     watcher: Option<GatewayAddress>,
-    /// When the last response was sent or received; watches without news are counted from here.
+    /// Time of the last response to the gateway or of its start, from which idle watches are counted.
     last_response_at: Time,
 }
 
-/// The service and the watches of all gateways.
+/// Discovery service and the watches of all gateways.
 #[derive(Debug)]
 pub struct DiscoveryService {
     discovery: Discovery,
-    /// By gateway.
+    /// Watch of each gateway, by index.
     watches: Vec<Watch>,
 }
 
 impl DiscoveryService {
-    /// A service that lists these endpoints, without watches.
+    /// Returns a service that lists these endpoints and that no gateway watches yet.
     pub fn new(context: &Context, seed: u64, endpoints: Vec<Endpoint>) -> Self {
         let discovery = &context.configuration.discovery;
         let mut delay_generator = stream(seed, Stream::Discovery);
@@ -42,8 +43,8 @@
         Self { discovery: Discovery::new(discovery, endpoints), watches }
     }
 
-    /// A gateway starts with the list that last reached its machine, which may be stale. Unless lists have to be
-    /// polled for, it also gets a complete one.
+    /// Handles the start of a gateway. The gateway gets the list that last reached its machine, which may be stale,
+    /// and unless lists have to be polled for, also a current one.
     pub fn gateway_started(&mut self, context: &mut Context, gateway: GatewayAddress) {
         let now = context.now();
         let watch = &mut self.watches[gateway.gateway];
@@ -59,13 +60,13 @@
         }
     }
 
-    /// The incarnation of a gateway ends, and its watch with it.
+    /// Ends the watch of a gateway whose incarnation has ended.
     pub fn gateway_stopped(&mut self, context: &mut Context, gateway: usize) {
         self.count_idle_watches(context, gateway);
         self.watches[gateway].watcher = None;
     }
 
-    /// Sends the complete list as it is now.
+    /// Sends the current complete list to a gateway.
     fn send_complete_list(&mut self, context: &mut Context, to: GatewayAddress, delay: Seconds) {
         let list = self.discovery.list_at(context.now());
         context.measures.fleet.complete_lists_sent += 1;
@@ -73,7 +74,7 @@
         context.schedule_after(delay, event);
     }
 
-    /// A gateway polls for the endpoint list.
+    /// Sends a gateway's poll for the endpoint list. In push mode, the list is sent without queueing.
     pub fn poll(&mut self, context: &mut Context, from: GatewayAddress) {
         count_message(context, from.gateway, wire_size::list_request());
         if context.discovery_is_polled() {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// A poll reaches the service and waits its turn there.
+    /// Handles the arrival of a poll at the service, where it is queued.
     pub fn poll_arrived(&mut self, context: &mut Context, from: GatewayAddress) {
         match self.discovery.poll(context.now()) {
             PollResult::Answered(at) => {
@@ -96,8 +97,7 @@
         }
     }
 
-    /// The service answers the poll of a running gateway: it sends the complete list, and the gateway watches from
-    /// then on.
+    /// Answers the poll of a running gateway with the complete list. The gateway watches for changes from then on.
     pub fn poll_succeeded(&mut self, context: &mut Context, to: GatewayAddress) {
         let watch = &mut self.watches[to.gateway];
         watch.watcher = Some(to);
@@ -105,7 +105,7 @@
         self.send_complete_list(context, to, poll_delay(context));
     }
 
-    /// A list reaches a running gateway. Returns what its policy is notified of.
+    /// Handles the arrival of a list at a running gateway and returns the notification for its policy.
     pub fn list_arrived(
         &mut self,
         context: &mut Context,
@@ -113,7 +113,7 @@
         kind: ListKind,
         list: &SharedList,
     ) -> Event {
-        // The stale list of a start comes from the gateway's own machine and takes no messages.
+        // The stale list at a start comes from the gateway's own machine, without any messages.
         if kind != ListKind::Stale {
             self.count_idle_watches(context, to.gateway);
             count_message(context, to.gateway, list.bytes);
@@ -123,7 +123,7 @@
         Event::EndpointsUpdated { kind, endpoints: list.endpoints.clone() }
     }
 
-    /// Publishes the change of a list entry to all gateways that watch.
+    /// Publishes the change of a list entry to all watching gateways.
     pub fn publish(&mut self, context: &mut Context, change: Endpoint) {
         let list = self.discovery.record_change(context.now(), change);
         context.measures.fleet.list_changes += 1;
@@ -136,9 +136,9 @@
         }
     }
 
-    /// Counts the watches of a gateway that have ended without news since its last response.
+    /// Counts the messages of a gateway's watches that have ended without a change since its last response.
     ///
-    /// They are counted afterwards and not simulated one by one, as they change nothing but the traffic.
+    /// Idle watches are counted afterwards and not simulated one by one, because they affect nothing but the traffic.
     fn count_idle_watches(&mut self, context: &mut Context, gateway: usize) {
         let now = context.now();
         let hold = context.configuration.discovery.watch_hold;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Counts what is left to count at the end of a run.
+    /// Counts the idle watches of all gateways at the end of a run.
     pub fn finish(&mut self, context: &mut Context) {
         for gateway in 0..self.watches.len() {
             self.count_idle_watches(context, gateway);
@@ -164,7 +164,7 @@
     }
 }
 
-/// Delay between a gateway and the service that it polls.
+/// Returns the network delay between a gateway and the service that it polls.
 fn poll_delay(context: &Context) -> Seconds {
     context.configuration.topology.delay_in_region
 }
--- a/lab/src/fleet/simulation/endpoint_fleet.rs
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -1,4 +1,4 @@
-//! All endpoints of a run: attempts at them, their service and their faults.
+//! All endpoints of a run: arrivals of attempts, service, and faults.
 
 use super::context::Context;
 use super::event::ScheduledEvent;
@@ -9,7 +9,7 @@
 use oliverack::{Endpoint, EndpointId, Lifecycle, Status};
 use std::collections::HashMap;
 
-/// The endpoints, by index; the index of an endpoint never changes.
+/// Endpoints, by index; the index of an endpoint never changes.
 #[derive(Debug)]
 pub struct EndpointFleet {
     endpoints: Vec<SimulatedEndpoint>,
@@ -18,14 +18,15 @@
     cells: u32,
 }
 
-/// Id of an endpoint: a scrambled number, so that the order of the ids is not that of the indices.
+/// Returns the id of an endpoint. The index is scrambled, so that the order of the ids differs from that of the
+/// indices.
 fn endpoint_id(index: usize) -> EndpointId {
     const GOLDEN_RATIO_BITS: u32 = 0x9E37_79B1;
     format!("s-{:08x}", (index as u32).wrapping_mul(GOLDEN_RATIO_BITS)).into()
 }
 
 impl EndpointFleet {
-    /// The endpoints at the start of a run, all of them warm.
+    /// Returns the endpoints at the start of a run, all past their slow start.
     pub fn new(configuration: &Configuration) -> Self {
         let mut fleet = Self {
             endpoints: Vec::new(),
@@ -48,17 +49,17 @@
         self.index_by_id.insert(id, index);
     }
 
-    /// The index of an endpoint that the policy names.
+    /// Returns the index of an endpoint; `None` if the id is unknown.
     pub fn index_of(&self, id: &EndpointId) -> Option<usize> {
         self.index_by_id.get(id).copied()
     }
 
-    /// Zone of an endpoint.
+    /// Returns the zone of an endpoint.
     pub fn zone(&self, endpoint: usize) -> u32 {
         self.endpoints[endpoint].zone
     }
 
-    /// The entries of all endpoints in the endpoint list, as running ones.
+    /// Returns an endpoint list with all endpoints as running.
     pub fn list_entries(&self) -> Vec<Endpoint> {
         (0..self.endpoints.len()).map(|endpoint| self.list_entry(endpoint, Lifecycle::Running)).collect()
     }
@@ -73,7 +74,7 @@
         }
     }
 
-    /// An attempt reaches its endpoint. Nothing happens if its gateway has given it up by now.
+    /// Handles the arrival of an attempt at its endpoint. Does nothing if the attempt has ended at its gateway.
     pub fn attempt_arrived(
         &mut self,
         context: &mut Context,
@@ -104,7 +105,8 @@
         context.schedule_after(seconds / capacity, event);
     }
 
-    /// An endpoint has finished an attempt, responds, and takes the next one from its queue.
+    /// Completes the service of an attempt: the endpoint responds and takes the next attempt from its queue. Does
+    /// nothing if an earlier incarnation of the endpoint started the service.
     pub fn service_completed(
         &mut self,
         context: &mut Context,
@@ -118,7 +120,7 @@
         }
         self.endpoints[endpoint].finish(attempt);
         self.respond(context, requests, attempt, endpoint, Status::Ok);
-        // A gateway that has given an attempt up has closed its connection, so the endpoint skips it.
+        // The gateway closes the connection of an attempt that it no longer waits for, so the endpoint skips it.
         let is_awaited = |key| requests.is_in_flight(key);
         if let Some(next) = self.endpoints[endpoint].start_next(is_awaited) {
             let seconds = requests.get(next.request).map_or(0.0, |request| request.demand.service_seconds);
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Sends a response, or the failure of the connection, back to the gateway.
+    /// Sends a response, or the failure of the connection, to the gateway.
     fn respond(
         &self,
         context: &mut Context,
@@ -149,7 +151,7 @@
         context.schedule_after(delay, ScheduledEvent::AttemptEnded { attempt, status });
     }
 
-    /// A serving endpoint crashes. Returns the change of its list entry, if there is one.
+    /// Crashes a serving endpoint and returns the change of its list entry. Returns `None` if it is not serving.
     pub fn crash(
         &mut self,
         context: &mut Context,
@@ -160,7 +162,7 @@
         is_serving.then(|| self.shut_down(context, requests, endpoint, EndpointState::Down))
     }
 
-    /// A draining endpoint shuts down. Returns the change of its list entry, if there is one.
+    /// Shuts a draining endpoint down and returns the change of its list entry. Returns `None` if it is not draining.
     pub fn remove(
         &mut self,
         context: &mut Context,
@@ -171,7 +173,7 @@
         is_draining.then(|| self.shut_down(context, requests, endpoint, EndpointState::Gone))
     }
 
-    /// Stops an endpoint and resets the connections of the attempts that it had. Returns the change of its list entry.
+    /// Stops an endpoint, resets the connections of its attempts, and returns the change of its list entry.
     fn shut_down(
         &mut self,
         context: &mut Context,
@@ -185,8 +187,8 @@
         self.list_entry(endpoint, Lifecycle::Gone)
     }
 
-    /// A crashed endpoint starts again; if its zone is lost, only once that is restored. Returns the change of its
-    /// list entry, if there is one.
+    /// Starts a crashed endpoint again and returns the change of its list entry. Returns `None` if the endpoint has
+    /// not crashed, or if its zone is lost; then it starts when the zone is restored.
     pub fn restart(&mut self, context: &Context, endpoint: usize, zone_is_lost: bool) -> Option<Endpoint> {
         let restarted = &mut self.endpoints[endpoint];
         if restarted.state != EndpointState::Down {
@@ -200,21 +202,22 @@
         Some(self.list_entry(endpoint, Lifecycle::Running))
     }
 
-    /// A serving endpoint hangs; the attempts that it has get no response.
+    /// Hangs a serving endpoint. Its attempts get no response.
     pub fn hang(&mut self, endpoint: usize) {
         if self.endpoints[endpoint].state == EndpointState::Serving {
             self.endpoints[endpoint].stop(EndpointState::Hung);
         }
     }
 
-    /// A hung endpoint serves again.
+    /// Lets a hung endpoint serve again.
     pub fn resume(&mut self, endpoint: usize) {
         if self.endpoints[endpoint].state == EndpointState::Hung {
             self.endpoints[endpoint].resume(None);
         }
     }
 
-    /// A serving endpoint starts to drain. Returns the change of its list entry, if there is one.
+    /// Starts the drain of a serving endpoint and returns the change of its list entry. Returns `None` if it is not
+    /// serving.
     pub fn drain(&mut self, endpoint: usize) -> Option<Endpoint> {
         if self.endpoints[endpoint].state != EndpointState::Serving {
             return None;
@@ -223,7 +226,7 @@
         Some(self.list_entry(endpoint, Lifecycle::Draining))
     }
 
-    /// Adds an endpoint, which starts cold. Returns its list entry.
+    /// Adds an endpoint, which begins with its slow start, and returns its list entry.
     pub fn add(&mut self, context: &Context) -> Endpoint {
         let index = self.endpoints.len();
         let zone = index as u32 % context.configuration.topology.zones;
@@ -231,7 +234,7 @@
         self.list_entry(index, Lifecycle::Running)
     }
 
-    /// Makes all endpoints of a zone unreachable. The attempts that they had get no response.
+    /// Makes all endpoints of a zone unreachable. Their attempts get no response.
     pub fn lose_zone(&mut self, zone: u32) {
         for endpoint in self.endpoints.iter_mut().filter(|endpoint| endpoint.zone == zone) {
             if !matches!(endpoint.state, EndpointState::Down | EndpointState::Gone) {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Starts the endpoints of a zone again. Returns the changes of their list entries.
+    /// Starts the unreachable endpoints of a zone again and returns the changes of their list entries.
     pub fn restore_zone(&mut self, context: &Context, zone: u32) -> Vec<Endpoint> {
         let mut changes = Vec::new();
         for index in 0..self.endpoints.len() {
--- a/lab/src/fleet/simulation/event.rs
+++ b/lab/src/fleet/simulation/event.rs
@@ -1,4 +1,4 @@
-//! The events that the event queue of a run holds.
+//! Events in the event queue of a run.
 
 use crate::fleet::counter_calls::{CallKey, CallResult};
 use crate::fleet::discovery::SharedList;
@@ -8,23 +8,24 @@
 use oliverack::{Event, ListKind, Seconds, Status};
 use std::sync::Arc;
 
-/// A counter call under way: who made it and what it adds.
+/// Counter call on its way to the counter or in service there.
 #[derive(Debug, Clone, Copy)]
 pub struct CounterCall {
-    /// The caller.
+    /// Incarnation of the gateway that made the call.
     pub from: GatewayAddress,
-    /// The call among those of its caller.
+    /// Key of the call at that gateway.
     pub key: CallKey,
-    /// What it adds to the entry.
+    /// Amount to add to the entry.
     pub amount: f64,
     /// Time to live of the entry, if this call creates it.
     pub ttl: Seconds,
 }
 
-/// Something that happens at a scheduled time.
+/// Event of the simulation that happens at a scheduled time.
 #[derive(Debug)]
 pub enum ScheduledEvent {
-    /// A tenant's arrival process fires; thinning decides whether a demand arises.
+    /// A demand of this tenant may arrive;
+    /// [`Tenant::accepts_candidate`](crate::fleet::tenants::Tenant::accepts_candidate) decides.
     ArrivalCandidate(usize),
     /// A client submits a rejected demand again.
     ClientRetry(Box<Demand>),
@@ -32,74 +33,74 @@
     ClientDeadline(u64),
     /// An attempt reaches its endpoint.
     AttemptArrived {
-        /// The attempt.
+        /// Key of the attempt.
         attempt: AttemptKey,
         /// Index of the endpoint.
         endpoint: usize,
     },
-    /// An endpoint has finished its work for an attempt.
+    /// An endpoint completes the service of an attempt.
     ServiceCompleted {
-        /// The attempt.
+        /// Key of the attempt.
         attempt: AttemptKey,
         /// Index of the endpoint.
         endpoint: usize,
-        /// Incarnation of the endpoint that did the work.
+        /// Incarnation of the endpoint that started the service.
         incarnation: u32,
     },
     /// The response to an attempt, its failure or its timeout reaches the gateway.
     AttemptEnded {
-        /// The attempt.
+        /// Key of the attempt.
         attempt: AttemptKey,
-        /// How it ended.
+        /// Result of the attempt or call.
         status: Status,
     },
     /// A call reaches the counter.
     CounterCallArrived(CounterCall),
-    /// The counter has served a call.
+    /// The counter completes the service of a call.
     CounterCallServed(CounterCall),
     /// The response to a counter call, or its timeout, reaches the gateway.
     CounterCallEnded {
-        /// The caller.
+        /// Incarnation of the gateway that made the call.
         to: GatewayAddress,
-        /// The call.
+        /// Key of the call at that gateway.
         call: CallKey,
-        /// How it ended.
+        /// Result of the attempt or call.
         result: CallResult,
     },
     /// A timer of the policy expires.
     PolicyTimer {
-        /// The gateway that set it.
+        /// Incarnation of the gateway whose policy set the timer.
         to: GatewayAddress,
-        /// The policy's token.
+        /// Token by which the policy recognises the timer.
         token: u64,
     },
     /// A poll for the endpoint list reaches discovery.
     PollArrived(GatewayAddress),
-    /// Discovery has finished with a poll.
+    /// Discovery answers a poll, or the poll times out.
     PollCompleted {
-        /// The gateway that polled.
+        /// Incarnation of the gateway that polled.
         to: GatewayAddress,
         /// False if the poll timed out in the queue.
         succeeded: bool,
     },
     /// An endpoint list or a change of it reaches a gateway.
     EndpointListArrived {
-        /// The gateway.
+        /// Incarnation of the gateway that receives the list.
         to: GatewayAddress,
-        /// What the list holds.
+        /// Kind of the list: complete, changed entries, or stale.
         kind: ListKind,
-        /// Its entries.
+        /// Entries and size of the list.
         list: Arc<SharedList>,
     },
     /// A gateway that is down starts, unless its zone is lost.
     GatewayStarted(usize),
-    /// A planned fault begins or ends.
+    /// A planned fault starts or ends.
     Incident(Incident),
-    /// A notification that must wait until the policy has returned from the call that caused it.
+    /// The policy is notified of an event that one of its own actions caused, after all those actions are executed.
     DeferredNotification {
-        /// The gateway.
+        /// Incarnation of the gateway whose policy is notified.
         to: GatewayAddress,
-        /// What its policy is notified of.
+        /// Event of which the policy is notified.
         event: Box<Event>,
     },
 }
--- a/lab/src/fleet/simulation/gateway_fleet.rs
+++ b/lab/src/fleet/simulation/gateway_fleet.rs
@@ -1,4 +1,4 @@
-//! All gateways of a run, and the processor time of their policies.
+//! All gateways of a run, and the processor times of their policies.
 
 use crate::fleet::configuration::Configuration;
 use crate::fleet::gateways::{GatewayAddress, SimulatedGateway, policy_settings};
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// The gateways and their incarnations.
+/// Gateways, by index, with their current incarnations.
 #[derive(Debug)]
 pub struct GatewayFleet {
     gateways: Vec<SimulatedGateway>,
@@ -18,7 +18,7 @@
 }
 
 impl GatewayFleet {
-    /// All gateways in their first incarnation.
+    /// Returns all gateways, running in their first incarnation.
     ///
     /// # Errors
     /// The policy rejects its settings.
@@ -33,32 +33,32 @@
         Ok(Self { gateways, policy_seed_generator, processor_times: ProcessorTimes::new() })
     }
 
-    /// How many gateways there are, up or down.
+    /// Returns the number of gateways, running or down.
     pub fn len(&self) -> usize {
         self.gateways.len()
     }
 
-    /// Indices of the gateways of a zone.
+    /// Returns the indices of the gateways in a zone.
     pub fn in_zone(&self, zone: u32) -> Vec<usize> {
         (0..self.len()).filter(|gateway| self.gateways[*gateway].zone == zone).collect()
     }
 
-    /// The present incarnation of a gateway.
+    /// Returns the address of the current incarnation of a gateway.
     pub fn address(&self, gateway: usize) -> GatewayAddress {
         GatewayAddress { gateway, incarnation: self.gateways[gateway].incarnation() }
     }
 
-    /// Since when a gateway has been down; `None` if it is up.
+    /// Returns the time at which a gateway went down; `None` if it is running.
     pub fn down_since(&self, gateway: usize) -> Option<Time> {
         self.gateways[gateway].down_since()
     }
 
-    /// True if this incarnation of a gateway is up.
+    /// Returns whether this incarnation is the current one of its gateway and running.
     pub fn is_running(&self, address: GatewayAddress) -> bool {
         self.gateways[address.gateway].is_running(address.incarnation)
     }
 
-    /// Notifies a policy of an event and returns what it wants done; nothing if that incarnation has ended.
+    /// Notifies the policy of a gateway of an event and returns its actions; none if that incarnation has ended.
     pub fn notify(&mut self, now: Time, to: GatewayAddress, event: Event) -> Vec<Action> {
         if !self.is_running(to) {
             return Vec::new();
@@ -71,7 +71,7 @@
         self.gateways[gateway].stop(now);
     }
 
-    /// Starts a gateway that is down, and returns its new incarnation.
+    /// Starts a gateway that is down and returns the address of its new incarnation.
     ///
     /// # Errors
     /// The policy rejects its settings.
@@ -86,17 +86,17 @@
         Ok(self.address(gateway))
     }
 
-    /// Records that a request of a tenant was opened at a gateway.
+    /// Records that a request of a tenant has been opened at a gateway.
     pub fn request_opened(&mut self, gateway: usize, tenant: usize) {
         self.gateways[gateway].request_opened(tenant);
     }
 
-    /// Records that a request at a gateway was closed.
+    /// Records that a request at a gateway has been closed.
     pub fn request_closed(&mut self, gateway: usize) {
         self.gateways[gateway].request_closed();
     }
 
-    /// The gateways and the processor times, at the end of a run.
+    /// Returns the gateways and the processor times at the end of a run.
     pub fn into_parts(self) -> (Vec<SimulatedGateway>, ProcessorTimes) {
         (self.gateways, self.processor_times)
     }
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The run itself: takes events from the queue one by one, and connects the models with the policies.
+//! Event loop of a run: takes events from the queue one by one and passes them to the models and the policies.
 
 mod clients;
 mod context;
@@ -29,10 +29,10 @@
     Action, Endpoint, EndpointId, Event, ListKind, LoadReport, Seconds, SettingsError, Status, Time,
 };
 
-/// How long a run goes on after the longest deadline, so that every attempt in flight ends.
+/// Time for which a run continues after the longest deadline, so that every attempt in flight ends.
 const DRAIN_WINDOW: Seconds = 1.0;
 
-/// A fleet and its surroundings.
+/// Simulated fleet with the models of its clients and services.
 #[derive(Debug)]
 pub struct Simulation {
     context: Context,
@@ -42,22 +42,22 @@
     discovery: DiscoveryService,
     counter: CounterService,
     requests: RequestTable,
-    /// By zone, whether it is lost: its gateways and endpoints are unreachable.
+    /// Whether each zone is lost, by zone number. The gateways of a lost zone are down and its endpoints unreachable.
     zone_is_lost: Vec<bool>,
 }
 
-/// The end of a run, from which reports are made.
+/// State and counts at the end of a run.
 #[derive(Debug)]
 pub struct RunResult {
-    /// What was run.
+    /// Configuration of the run.
     pub configuration: Configuration,
-    /// The gateways.
+    /// Gateways in their final state.
     pub gateways: Vec<SimulatedGateway>,
-    /// The tenants.
+    /// Tenants with the final levels of their quotas and ceilings.
     pub tenants: Vec<Tenant>,
-    /// Entries that the counter holds.
+    /// Number of entries that the counter holds.
     pub counter_entries: usize,
-    /// What was counted.
+    /// Counts of the run.
     pub measures: Measures,
     /// Processor times of the policies.
     pub processor_times: ProcessorTimes,
@@ -98,7 +98,7 @@
         self.clients.schedule_first_arrivals(&mut self.context);
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     ///
     /// # Errors
     /// The policy rejects its settings at a restart.
@@ -171,7 +171,7 @@
         Ok(())
     }
 
-    /// Notifies a policy of an event and executes the actions that it returns.
+    /// Notifies the policy of a gateway of an event and executes the actions that it returns.
     fn notify(&mut self, to: GatewayAddress, event: Event) {
         for action in self.gateways.notify(self.context.now(), to, event) {
             self.execute(to, action);
@@ -194,7 +194,7 @@
                 self.counter.start_call(&mut self.context, from, counter, amount, ttl);
             }
             Action::PollEndpoints => self.discovery.poll(&mut self.context, from),
-            // An action that the models do not know has no effect in them.
+            // Other actions have no effect in the models.
             _ => {}
         }
     }
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Starts an attempt, and schedules both its arrival and its timeout. It ends as not sent if the client has left
-    /// or the endpoint is unknown.
+    /// Starts an attempt and schedules both its arrival and its timeout. The attempt ends at once with
+    /// [`Status::NotSent`] if the client no longer waits or the endpoint is unknown.
     fn start_attempt(&mut self, from: GatewayAddress, number: u64, id: EndpointId, timeout: Seconds) {
         let now = self.context.now();
         let endpoint = self.endpoints.index_of(&id);
@@ -233,7 +233,8 @@
         self.context.schedule_at(times_out_at, ScheduledEvent::AttemptEnded { attempt, status });
     }
 
-    /// An attempt ends at its gateway: by a response, a failure or the timeout, whichever comes first.
+    /// Ends an attempt at its gateway by a response, a failure or the timeout, and notifies the policy. Does nothing
+    /// if the attempt has ended before.
     fn attempt_ended(&mut self, key: AttemptKey, status: Status) {
         let now = self.context.now();
         let Some(ended) = self.requests.end_attempt(key) else { return };
@@ -259,7 +260,8 @@
         self.close_if_finished(key.request);
     }
 
-    /// Sends a final response to the client. Returns its demand, or `None` if it had a response or has left.
+    /// Sends a final response to the client and returns the client's demand. Returns `None` if the client has had a
+    /// response or no longer waits.
     fn answer(&mut self, number: u64, response_bytes: u64) -> Option<Demand> {
         let answered = self.requests.answer(number)?;
         self.context.measures.traffic.gateways[answered.gateway].count(response_bytes);
@@ -287,7 +289,7 @@
         }
     }
 
-    /// A client without a response leaves.
+    /// Abandons a request whose client has no response by its deadline.
     fn client_deadline(&mut self, number: u64) {
         let Some(answered) = self.requests.answer(number) else { return };
         count_outcome(&mut self.context, &answered.demand, DemandOutcome::Abandoned);
@@ -365,7 +367,7 @@
         self.context.schedule_after(delay, ScheduledEvent::GatewayStarted(gateway));
     }
 
-    /// Ends the incarnation of a gateway; the requests that it had are lost.
+    /// Ends the incarnation of a gateway. Its unanswered requests are lost.
     fn stop_gateway(&mut self, gateway: usize) {
         self.discovery.gateway_stopped(&mut self.context, gateway);
         self.counter.gateway_stopped(gateway);
@@ -377,7 +379,7 @@
         }
     }
 
-    /// Starts a gateway that is down, unless its zone is lost: then it starts once the zone is restored.
+    /// Starts a gateway that is down. A gateway in a lost zone starts when the zone is restored.
     fn start_gateway(&mut self, gateway: usize) -> Result<(), SettingsError> {
         let zone_is_lost = self.zone_is_lost[self.context.gateway_zone(gateway) as usize];
         if zone_is_lost || self.gateways.down_since(gateway).is_none() {
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -1,14 +1,14 @@
-//! The results of a run as a table for people. The names of the rows are older than those of the fields and stay as
-//! they are.
+//! Results of a run as a human-readable table. The names of the rows follow the JSON keys, such as `gatekeepers` for
+//! gateways, `workers` for endpoints and `tries` for submissions.
 
 use super::measures::{AttemptCounts, CounterCallCounts, DemandCounts, InQuotaWeight};
 use super::report::{LatencyRecord, ProcessorRecord, QuotaRecord, Record, RunRecord, StateRecord};
 use std::fmt::{self, Display};
 
-/// Width of the column of names, in characters.
+/// Width of the column of row names, in characters.
 const NAME_WIDTH: usize = 34;
 
-/// The table of a run, without the records of single seconds.
+/// Table of the records of a run, except for those of single seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Table<'a>(pub &'a [Record]);
 
--- a/lab/src/fleet/tenants.rs
+++ b/lab/src/fleet/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants: when they submit demands, and their true quotas, as an observer of the whole fleet would account them.
+//! Model of the tenants: arrivals of demands, and true quotas, which are accounted across the whole fleet.
 
 use super::configuration::{self, Configuration, UsageProfile};
 use super::event_queue::RUN_START;
@@ -11,7 +11,7 @@
 const ID_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 const ID_SHIFT: u32 = 31;
 
-/// A token bucket.
+/// Token bucket that is refilled on access.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
     rate: f64,
@@ -21,7 +21,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket at the start of a run.
+    /// Returns a bucket that is full at the start of a run.
     pub fn full(rate: f64, burst: f64) -> Self {
         Self { rate, burst, level: burst, updated_at: RUN_START }
     }
@@ -31,7 +31,7 @@
         self.updated_at = now;
     }
 
-    /// Takes the units if the bucket holds them.
+    /// Takes the units if the bucket holds enough, and returns whether it did.
     pub fn try_take(&mut self, now: Time, units: f64) -> bool {
         self.refill(now);
         let has_units = self.level >= units;
@@ -41,7 +41,8 @@
         has_units
     }
 
-    /// Takes the units in any case, and returns the remaining level as a share of the burst; below 0 if overdrawn.
+    /// Takes the units even if the bucket holds fewer, and returns the remaining level as a share of the burst;
+    /// negative if overdrawn.
     pub fn overdraw(&mut self, now: Time, units: f64) -> f64 {
         self.refill(now);
         self.level -= units;
@@ -49,12 +50,12 @@
     }
 }
 
-/// Periodic times at which a tenant submits more than usual.
+/// Periodic load spikes of a tenant.
 #[derive(Debug, Clone, Copy)]
 struct Spikes {
     factor: f64,
     duration: Seconds,
-    /// 0 if there are no spikes.
+    /// Time from the start of one spike to the start of the next; 0 if there are no spikes.
     period: Seconds,
     offset: Seconds,
 }
@@ -75,54 +76,56 @@
     }
 }
 
-/// One tenant.
+/// Simulated tenant.
 #[derive(Debug)]
 pub struct Tenant {
-    /// Its id.
+    /// Id under which the policy knows the tenant.
     pub id: CustomerId,
-    /// Index of its plan.
+    /// Index of the plan.
     pub plan: usize,
-    /// How many gateways serve it.
+    /// Number of gateways that serve the tenant.
     pub gateway_count: u32,
-    /// Index of the first of them; the others follow it.
+    /// Index of the first gateway that serves the tenant; the others have the next indices, modulo the number of
+    /// gateways.
     pub first_gateway: u32,
-    /// Weights by which its requests are spread over these gateways.
+    /// Weights by which requests are spread over these gateways.
     pub gateway_weights: Vec<f64>,
-    /// Requests a second outside of spikes.
+    /// Demands a second outside spikes.
     requests_per_second: f64,
     spikes: Spikes,
-    /// The quota, drawn on by demands when they are first submitted.
+    /// True quota, charged with each demand at its first submission.
     pub submitted_quota: TokenBucket,
-    /// The quota, drawn on by submissions when they are first forwarded.
+    /// True quota, charged with each submission when its first attempt is sent.
     pub forwarded_quota: TokenBucket,
-    /// The ceiling, drawn on by submissions when they are first forwarded.
+    /// Ceiling, charged with each submission when its first attempt is sent; `None` if the plan has no ceiling.
     pub ceiling: Option<TokenBucket>,
-    /// The lowest level of the ceiling so far, as a share of its burst.
+    /// Lowest level of the ceiling so far, as a share of its burst; 1 if there is no ceiling.
     pub lowest_ceiling: f64,
 }
 
 impl Tenant {
-    /// When the arrival process fires next; `None` if it never does.
+    /// Draws the time of the next arrival candidate; `None` if the tenant never submits anything.
     ///
-    /// Arrivals are a Poisson process whose rate changes with time, by thinning: candidates arrive at the highest rate,
-    /// and [`Tenant::accepts_candidate`] drops as many as the present rate asks for.
+    /// Demands arrive as a Poisson process whose rate changes with time. It is simulated by thinning: candidates
+    /// arrive at the maximum rate, and [`Tenant::accepts_candidate`] keeps each with the probability of the current
+    /// rate divided by the maximum rate.
     pub fn next_arrival_candidate(&self, now: Time, generator: &mut ChaCha8Rng) -> Option<Time> {
         let max_rate = self.requests_per_second * self.spikes.max_factor();
         (max_rate > 0.0).then(|| now + exponential(generator, 1.0 / max_rate))
     }
 
-    /// Draws whether a candidate becomes a demand.
+    /// Draws whether an arrival candidate becomes a demand.
     pub fn accepts_candidate(&self, now: Time, generator: &mut ChaCha8Rng) -> bool {
         generator.random::<f64>() * self.spikes.max_factor() < self.spikes.factor_at(now)
     }
 
-    /// Its long-term mean of requests a second.
+    /// Returns the expected long-term mean of demands a second.
     pub fn mean_requests_per_second(&self) -> f64 {
         self.requests_per_second * self.spikes.mean_factor()
     }
 }
 
-/// Draws all tenants.
+/// Draws the plan, gateways and usage of all tenants.
 pub fn draw(configuration: &Configuration, generator: &mut ChaCha8Rng) -> Vec<Tenant> {
     let plan_shares: Vec<f64> = configuration.plans.iter().map(|plan| plan.share).collect();
     let usage_shares: Vec<f64> = configuration.usage.iter().map(|usage| usage.share).collect();
@@ -174,7 +177,7 @@
     }
 }
 
-/// Id of a tenant: scrambled, as ids of customers are spread evenly over all values.
+/// Returns the id of a tenant. The number is scrambled, because real customer ids are spread evenly over all values.
 fn tenant_id(number: u32) -> CustomerId {
     format!("{:016x}", u64::from(number).wrapping_mul(ID_MULTIPLIER) >> ID_SHIFT).into()
 }
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -1,42 +1,42 @@
-//! Checks a configuration before a run, so that impossible sizes end in an error and not in a panic.
+//! Validates a configuration before a run, so that values out of range cause an error and not a panic.
 
 use super::configuration::{Configuration, Fault, Range};
 use oliverack::Seconds;
 
-/// Most gateways of a run.
+/// Maximum number of gateways in a run.
 pub const MAX_GATEWAYS: u32 = 1_024;
-/// Most endpoints of a run.
+/// Maximum number of endpoints at the start of a run.
 pub const MAX_ENDPOINTS: u32 = 16_384;
-/// Most tenants of a run.
+/// Maximum number of tenants in a run.
 pub const MAX_TENANTS: u32 = 65_536;
-/// Most zones of a run.
+/// Maximum number of zones in a run.
 pub const MAX_ZONES: u32 = 64;
-/// Longest run, in simulated seconds.
+/// Maximum of any duration or time in a configuration, in simulated seconds.
 pub const MAX_SECONDS: f64 = 3_600.0;
-/// Most units of one request.
+/// Maximum units of a request.
 pub const MAX_UNITS: u32 = 1_000;
-/// Most requests a second that all tenants may be expected to submit.
+/// Maximum expected load of all tenants together, in requests a second.
 pub const MAX_REQUESTS_PER_SECOND: f64 = 1_000_000.0;
-/// Largest rate, burst or factor.
+/// Maximum rate, burst, weight or factor.
 const MAX_VALUE: f64 = 1e9;
-/// Largest body that the protocol allows.
+/// Maximum size of a body that the protocol allows.
 const MAX_BODY_BYTES: u64 = 65_536;
-/// Most restarts of one fault.
+/// Maximum number of restarts in one fault.
 const MAX_RESTARTS: u32 = 100_000;
 
-/// A value that no run can have.
+/// Value in a configuration that is out of range.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{key} is {value}, but must be {expected}")]
 pub struct InvalidValue {
-    /// The key in the file.
+    /// Key in the file with its section, or a description of a computed value.
     pub key: &'static str,
-    /// What it holds.
+    /// Value that was found.
     pub value: f64,
-    /// What it must be.
+    /// Expected range or relation.
     pub expected: &'static str,
 }
 
-/// The result of a check.
+/// Result of a check.
 type Check = Result<(), InvalidValue>;
 
 fn require(holds: bool, key: &'static str, value: f64, expected: &'static str) -> Check {
@@ -74,10 +74,10 @@
     require(sum > 0.0, key, sum, "above 0 in the sum of the entries")
 }
 
-/// Checks all values.
+/// Checks all values of a configuration.
 ///
 /// # Errors
-/// The first value that no run can have.
+/// Returns the first value that is out of range.
 pub fn check(configuration: &Configuration) -> Check {
     require(configuration.seconds > 0.0, "seconds", configuration.seconds, "above 0")?;
     check_seconds("seconds", configuration.seconds)?;
@@ -212,7 +212,7 @@
     Ok(())
 }
 
-/// The mean of pairs of a weight and a value.
+/// Returns the weighted mean of pairs of a weight and a value.
 fn weighted_mean(values: impl Iterator<Item = (f64, f64)>) -> f64 {
     let (sum, weight) =
         values.fold((0.0, 0.0), |(sum, all), (share, value)| (sum + share * value, all + share));
--- a/lab/src/fleet/wire_size.rs
+++ b/lab/src/fleet/wire_size.rs
@@ -1,18 +1,18 @@
-//! Bytes of each message as it would be on the wire. No text is stored: its length is counted while it is formatted.
+//! Size of each message on the wire. Messages are formatted into a byte counter, so that no text is stored.
 
 use super::configuration::RepeatEffect;
 use oliverack::{Endpoint, Lifecycle, Seconds, Status};
 use std::fmt::{self, Write};
 
-/// Bytes of the value of `X-Txn`.
+/// Length of the value of `X-Txn`.
 const TRANSACTION_ID_BYTES: usize = 16;
-/// Bytes of the value of `Idempotency-Key`.
+/// Length of the value of `Idempotency-Key`.
 const IDEMPOTENCY_KEY_BYTES: usize = 32;
-/// The longest time to live of a counter entry, in milliseconds.
+/// Maximum time to live in a counter call.
 const MAX_TTL_MILLISECONDS: f64 = 60_000.0;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Counts the bytes that are written to it.
+/// Writer that only counts the bytes written to it.
 #[derive(Debug, Default)]
 struct ByteCount(u64);
 
@@ -25,21 +25,21 @@
 
 fn length(text: fmt::Arguments<'_>) -> u64 {
     let mut count = ByteCount::default();
-    // Counting cannot fail, and the values that are formatted here do not either.
+    // Neither `ByteCount` nor formatting these values ever fails.
     let _ = count.write_fmt(text);
     count.0
 }
 
-/// What the size of a request depends on.
+/// Properties of a request on which its size depends, both from a client and to an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestHead<'a> {
     /// Name of the class.
     pub class: &'a str,
-    /// Decides method, idempotency key and body.
+    /// Effect of repeated execution, which decides the method, the idempotency key and the body.
     pub repeat_effect: RepeatEffect,
     /// Time left until the deadline.
     pub remaining: Seconds,
-    /// Bytes of the body, if there is one.
+    /// Size of the body, for classes that have one.
     pub body_bytes: u64,
 }
 
@@ -63,22 +63,22 @@
     }
 }
 
-/// The headers of a client's request that concern its quota.
+/// Values of the headers of a client's request that concern its quota.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaHeaders<'a> {
     /// Name of the plan.
     pub plan: &'a str,
-    /// Units that the request takes.
+    /// Units that the request takes from the quota.
     pub units: f64,
-    /// How many gateways serve the customer.
+    /// Number of gateways that serve the customer.
     pub gateway_count: u32,
-    /// Index of the first of them.
+    /// Index of the first gateway that serves the customer.
     pub first_gateway: u32,
-    /// It is marked as a retry.
+    /// True if the request is marked as a retry.
     pub is_retry: bool,
 }
 
-/// Bytes of a client's request to a gateway.
+/// Returns the size of a client's request to a gateway.
 pub fn client_request(head: &RequestHead<'_>, quota: &QuotaHeaders<'_>) -> u64 {
     let names = length(format_args!(
         "X-Lane: {}\r\nX-Plan: {}\r\nX-Customer: 0123456789abcdef\r\n",
@@ -92,34 +92,35 @@
     head.common() + names + quota_header + retry
 }
 
-/// Bytes of an attempt from a gateway to an endpoint.
+/// Returns the size of an attempt from a gateway to an endpoint.
 pub fn attempt(head: &RequestHead<'_>) -> u64 {
     head.common()
 }
 
-/// Bytes of a response that serves a request.
+/// Returns the size of a response that serves a request or an attempt.
 pub fn served(body_bytes: u64) -> u64 {
     length(format_args!("HTTP/1.1 200 OK\r\nContent-Length: {body_bytes}\r\n\r\n")) + body_bytes
 }
 
-/// Bytes of a rejection, with its Retry-After if it has one.
+/// Returns the size of a gateway's rejection; `retry_after` is 0 if it has no `Retry-After`.
 pub fn rejected(retry_after: Seconds) -> u64 {
     let header =
         if retry_after > 0.0 { length(format_args!("Retry-After: {retry_after:.3}\r\n")) } else { 0 };
     length(format_args!("HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n")) + header
 }
 
-/// Bytes of a response that fails a request.
+/// Returns the size of a gateway's response that fails a request.
 pub fn failed() -> u64 {
     length(format_args!("HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"))
 }
 
-/// Bytes of an endpoint's response that rejects an attempt.
+/// Returns the size of an endpoint's response that rejects an attempt.
 pub fn endpoint_rejected() -> u64 {
     length(format_args!("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"))
 }
 
-/// Bytes of an endpoint's response to an attempt that ended so; `None` if there was no response.
+/// Returns the size of an endpoint's response for the status of an attempt; `None` if such an attempt has no
+/// response.
 pub fn attempt_response(status: Status, body_bytes: u64) -> Option<u64> {
     match status {
         Status::Ok => Some(served(body_bytes)),
@@ -128,28 +129,28 @@
     }
 }
 
-/// Bytes of a call to the counter.
+/// Returns the size of a call to the counter.
 pub fn counter_call(name: u64, amount: f64, ttl: Seconds) -> u64 {
     let milliseconds = (ttl * MILLISECONDS_PER_SECOND).round().clamp(1.0, MAX_TTL_MILLISECONDS) as u64;
     length(format_args!("bump {name} {amount} {milliseconds}\r\n"))
 }
 
-/// Bytes of the counter's response to a call that it served.
+/// Returns the size of the counter's response to a call that it has served.
 pub fn counter_total(total: f64) -> u64 {
     length(format_args!("ok {total}\r\n"))
 }
 
-/// Bytes of the counter's response to a call that it rejected.
+/// Returns the size of the counter's response to a call that it rejects.
 pub fn counter_busy() -> u64 {
     length(format_args!("busy\r\n"))
 }
 
-/// Bytes of a call for the complete endpoint list.
+/// Returns the size of a request for the complete endpoint list.
 pub fn list_request() -> u64 {
     length(format_args!("GET /discovery/hosts HTTP/1.1\r\nHost: backend.local\r\n\r\n"))
 }
 
-/// Bytes of a call that watches for changes of the list.
+/// Returns the size of a request that watches for changes after `version` and is held for up to `hold`.
 pub fn watch_request(version: u64, hold: Seconds) -> u64 {
     let milliseconds = (hold * MILLISECONDS_PER_SECOND) as u64;
     length(format_args!(
@@ -157,7 +158,7 @@
     ))
 }
 
-/// Bytes of one entry of the list.
+/// Returns the size of an entry of the endpoint list.
 fn list_entry(endpoint: &Endpoint) -> u64 {
     let state = match endpoint.lifecycle {
         Lifecycle::Running => "SERVING",
@@ -172,7 +173,7 @@
     identity + length(format_args!(r#""state":"{state}","weight":1.0,"started_ms":{started}}}"#))
 }
 
-/// Bytes of a response that holds a list.
+/// Returns the size of a response with the endpoint list, or with changes of it.
 pub fn list_response(endpoints: &[Endpoint], is_complete: bool) -> u64 {
     let entries: u64 = endpoints.iter().map(list_entry).sum();
     let commas = endpoints.len().saturating_sub(1) as u64;
