--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! Discrete-event simulation of a fleet of gateways.
 //!
-//! Each gateway hosts the policy itself ([`oliverack::Gateway`]). Endpoints, discovery, the counter, the tenants and the
-//! network are models. All sizes, rates and faults come from a TOML file and all random numbers from a seed, so that a
-//! file and a seed always give the same results, except for processor times.
+//! Each simulated gateway runs the real policy ([`oliverack::Gateway`]); endpoints, discovery, the counter, the
+//! tenants and the network are models. All sizes, rates and faults come from a TOML file and all random numbers from
+//! a seed, so that two runs of the same file and seed give the same results, except for processor times.
 
 pub mod configuration;
 pub mod counter;
@@ -34,16 +34,16 @@
 use std::time::Instant;
 use validation::InvalidValue;
 
-/// Description of the file in the help of the command.
+/// Help text of the command that describes the experiment file.
 const FILE_HELP: &str = "\
 The file is TOML; times are in seconds, delays are one way, unknown keys are errors.
   seconds             for how long requests arrive
   [topology]          regions, zones, delay_in_zone, delay_in_region, delay_between_regions
   [gatekeepers]       count (at most 1024), restart_seconds
   [policy]            count_limit, max_attempts, second_copies, may_cancel, max_retry_after
-  [workers]           count (at most 16384), cells, slots, queue (beyond it a worker turns away), service_seconds,
+  [workers]           count (at most 16384), cells, slots, queue (further requests are rejected), service_seconds,
                       service_seconds_per_unit, service_variation (share that is exponentially distributed),
-                      cold_from, cold_seconds, fall_multiple, fall_seconds (both only told to the policy)
+                      cold_from, cold_seconds, fall_multiple, fall_seconds (both only used by the policy)
   [discovery]         mode = \"push\" | \"ask\", lateness = [least, most], calls_per_second, give_up_after,
                       watch_seconds
   [counter]           parts, calls_per_second (of each part), queue (of each part), delay; may be left out
@@ -66,12 +66,12 @@
 #[derive(Debug, clap::Args)]
 #[command(after_help = FILE_HELP)]
 pub struct Arguments {
-    /// The TOML file that describes the run.
+    /// TOML file that describes the run.
     pub file: PathBuf,
     /// Seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// A TOML file with further `[[faults]]`, to play the same fleet with one thing after another going wrong.
+    /// TOML file with further `[[faults]]`, to run the same fleet under different faults.
     #[arg(long)]
     pub faults: Option<PathBuf>,
     /// Write all results to this file, one JSON record a line.
@@ -79,33 +79,34 @@
     pub json: Option<PathBuf>,
 }
 
-/// Why a run could not be made.
+/// Errors of the `fleet` command.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
     /// A file cannot be read.
     #[error("cannot read {}: {source}", .path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: io::Error,
     },
-    /// A file is no TOML, or has unknown or missing keys; one line that says where.
+    /// A file is not valid TOML, or has unknown or missing keys. The message is one line and names the line number,
+    /// if known.
     #[error("{0}")]
     Syntax(String),
-    /// A value that no run can have.
+    /// A value in the configuration is out of range.
     #[error(transparent)]
     InvalidValue(#[from] InvalidValue),
     /// The policy rejects its settings.
-    #[error("the policy refuses its settings: {0}")]
+    #[error("the policy rejects its settings: {0}")]
     Settings(#[from] SettingsError),
     /// The results cannot be written to a file.
     #[error("cannot write {}: {source}", .path.display())]
     Write {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: io::Error,
     },
     /// The table cannot be printed.
@@ -113,20 +114,20 @@
     Print(io::Error),
 }
 
-/// Reads and checks a configuration.
+/// Parses and validates a configuration.
 ///
 /// # Errors
-/// The text is no TOML, has an unknown or missing key, or a value that no run can have.
+/// The text is not valid TOML, has an unknown or missing key, or a value out of range.
 pub fn parse(text: &str) -> Result<Configuration, Error> {
     let configuration = read_toml(text)?;
     validation::check(&configuration)?;
     Ok(configuration)
 }
 
-/// Adds the faults of a second file to a configuration.
+/// Appends the faults of a second file to a configuration.
 ///
 /// # Errors
-/// As for [`parse`]; the configuration must not be used then.
+/// The same as for [`parse`]. The configuration may then hold invalid faults and must not be used.
 pub fn add_faults(configuration: &mut Configuration, text: &str) -> Result<(), Error> {
     let file: FaultFile = read_toml(text)?;
     configuration.faults.extend(file.faults);
@@ -138,7 +139,7 @@
     toml::from_str(text).map_err(|error| Error::Syntax(one_line(text, &error)))
 }
 
-/// The message of the TOML reader on one line, with the number of the line that it is about.
+/// Returns the parser's message on one line, with the line number of the error if the parser gives one.
 fn one_line(text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match error.span() {
@@ -150,7 +151,7 @@
     }
 }
 
-/// Simulates a fleet.
+/// Simulates a fleet and returns the records of the run.
 ///
 /// # Errors
 /// The policy rejects its settings.
@@ -161,10 +162,10 @@
     Ok(report::records(&result, seed, started.elapsed().as_secs_f64()))
 }
 
-/// Runs the command.
+/// Runs the `fleet` command: prints the table of results and writes the JSON file if one is requested.
 ///
 /// # Errors
-/// A file cannot be read or is invalid, or the results cannot be written.
+/// A file cannot be read or is invalid, the policy rejects its settings, or the results cannot be written.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     let mut configuration = parse(&read_text(&arguments.file)?)?;
     if let Some(path) = &arguments.faults {
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -45,7 +45,7 @@
         Record::Attempts(attempts) => write_attempts(f, attempts),
         Record::CounterCalls(calls) => write_counter_calls(f, calls),
         Record::PerSubmission(per_submission) => {
-            writeln!(f, "per try at a gatekeeper")?;
+            writeln!(f, "per submission at a gateway")?;
             row(f, "tries", per_submission.submissions)?;
             row(f, "attempts a try", three_decimals(per_submission.attempts))?;
             row(f, "counter calls a try", three_decimals(per_submission.counter_calls))
@@ -72,7 +72,7 @@
 }
 
 fn write_demands(f: &mut fmt::Formatter<'_>, demands: &DemandCounts) -> fmt::Result {
-    writeln!(f, "requests of clients, retries included in them")?;
+    writeln!(f, "demands of clients, each counted once with its retries")?;
     row(f, "asked", demands.submitted)?;
     row(f, "served in time", count_with_percent(demands.served, demands.submitted))?;
     row(f, "served late", count_with_percent(demands.served_late, demands.submitted))?;
@@ -83,7 +83,7 @@
 }
 
 fn write_latency(f: &mut fmt::Formatter<'_>, latency: &LatencyRecord) -> fmt::Result {
-    writeln!(f, "latency of served requests from their first try on, ms")?;
+    writeln!(f, "latency of served demands from their first submission, ms")?;
     row(f, "mean", three_decimals(latency.mean))?;
     row(f, "p50 / p90", format!("{:.3} / {:.3}", latency.p50, latency.p90))?;
     row(f, "p99 / p99.9", format!("{:.3} / {:.3}", latency.p99, latency.p999))?;
@@ -91,7 +91,7 @@
 }
 
 fn write_in_quota_weight(f: &mut fmt::Formatter<'_>, weight: &InQuotaWeight) -> fmt::Result {
-    writeln!(f, "worth asked for inside quotas")?;
+    writeln!(f, "weight of demands within quotas")?;
     row(f, "asked", format!("{:.1}", weight.submitted))?;
     row(f, "served in time", sum_with_percent(weight.served, weight.submitted))?;
     row(f, "refused", sum_with_percent(weight.rejected, weight.submitted))?;
@@ -99,7 +99,7 @@
 }
 
 fn write_attempts(f: &mut fmt::Formatter<'_>, attempts: &AttemptCounts) -> fmt::Result {
-    writeln!(f, "attempts at workers")?;
+    writeln!(f, "attempts at endpoints")?;
     row(f, "sent", attempts.sent)?;
     row(f, "ok", count_with_percent(attempts.ok, attempts.sent))?;
     row(f, "full", count_with_percent(attempts.rejected, attempts.sent))?;
@@ -128,7 +128,7 @@
 fn write_quotas(f: &mut fmt::Formatter<'_>, quotas: &QuotaRecord) -> fmt::Result {
     let counts = &quotas.counts;
     let units = counts.units_within_quota + counts.units_over_quota;
-    writeln!(f, "units sent to workers, against the true quotas")?;
+    writeln!(f, "units forwarded to endpoints, against the true quotas")?;
     row(f, "inside", sum_with_percent(counts.units_within_quota, units))?;
     row(f, "beyond", sum_with_percent(counts.units_over_quota, units))?;
     row(
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -66,12 +66,12 @@
 fn check_range(key: &'static str, range: Range<f64>) -> Check {
     check_not_negative(key, range.min)?;
     check_not_negative(key, range.max)?;
-    require(range.min <= range.max, key, range.min, "a range whose first end is not above its second")
+    require(range.min <= range.max, key, range.min, "a range [least, most] in ascending order")
 }
 
 fn check_weights(key: &'static str, mut values: impl Iterator<Item = f64>) -> Check {
     let sum = values.try_fold(0.0, |sum, value| check_not_negative(key, value).map(|()| sum + value))?;
-    require(sum > 0.0, key, sum, "above 0 in the sum of the entries")
+    require(sum > 0.0, key, sum, "above 0 in total over all entries")
 }
 
 /// Checks all values of a configuration.
@@ -146,8 +146,8 @@
     check_count("tenants.count", tenants.count, MAX_TENANTS)?;
     check_count("tenants.max_units", tenants.max_units, MAX_UNITS)?;
     let Range { min, max } = tenants.gateways_per_tenant;
-    require(min >= 1, "tenants.spread", f64::from(min), "1 at least")?;
-    require(min <= max, "tenants.spread", f64::from(min), "a range in rising order")?;
+    require(min >= 1, "tenants.spread", f64::from(min), "at least 1")?;
+    require(min <= max, "tenants.spread", f64::from(min), "a range [least, most] in ascending order")?;
     let gateways = configuration.gateways.count;
     require(max <= gateways, "tenants.spread", f64::from(max), "no more than gatekeepers.count")?;
     check_range("tenants.skew", tenants.skew)
@@ -194,7 +194,7 @@
         check_not_negative("plans.ceiling_rate", plan.ceiling_rate)?;
         check_not_negative("plans.ceiling_burst", plan.ceiling_burst)?;
         let has_burst = plan.ceiling_rate == 0.0 || plan.ceiling_burst > 0.0;
-        require(has_burst, "plans.ceiling_burst", plan.ceiling_burst, "above 0 under a ceiling")?;
+        require(has_burst, "plans.ceiling_burst", plan.ceiling_burst, "above 0 if ceiling_rate is above 0")?;
     }
     Ok(())
 }
@@ -203,11 +203,11 @@
     check_weights("usage.share", configuration.usage.iter().map(|u| u.share))?;
     for usage in &configuration.usage {
         check_range("usage.of_rate", usage.load_factor)?;
-        require(usage.spike_factor >= 1.0, "usage.spike_factor", usage.spike_factor, "1 at least")?;
+        require(usage.spike_factor >= 1.0, "usage.spike_factor", usage.spike_factor, "at least 1")?;
         check_positive("usage.spike_factor", usage.spike_factor)?;
         check_seconds("usage.spike_every", usage.spike_every)?;
         let fits = (0.0..=usage.spike_every).contains(&usage.spike_seconds);
-        require(fits, "usage.spike_seconds", usage.spike_seconds, "from 0 to spike_every")?;
+        require(fits, "usage.spike_seconds", usage.spike_seconds, "from 0 to usage.spike_every")?;
     }
     Ok(())
 }
@@ -236,7 +236,7 @@
 fn check_span(start: Seconds, end: Seconds) -> Check {
     check_seconds("faults.at", start)?;
     check_seconds("faults.until", end)?;
-    require(start <= end, "faults.until", end, "no earlier than the fault's begin")
+    require(start <= end, "faults.until", end, "no earlier than the start of the fault")
 }
 
 fn check_zone(configuration: &Configuration, zone: u32) -> Check {
