--- a/lab/tests/fleet_configuration.rs
+++ b/lab/tests/fleet_configuration.rs
@@ -1,83 +1,86 @@
-//! Files that are invalid are rejected with one line.
+//! Validation of experiment files: invalid ones are rejected with a message of one line.
 
 use oliverack_lab::fleet::{add_faults, parse};
 use std::path::Path;
 use std::process::Command;
 
-const SMALL: &str = include_str!("../experiments/small.toml");
+const SMALL_EXPERIMENT: &str = include_str!("../experiments/small.toml");
 
-fn complaint(text: &str) -> String {
+/// Returns the message of the error for an invalid file.
+fn error_message(text: &str) -> String {
     let message = parse(text).expect_err("an invalid file").to_string();
     assert!(!message.contains('\n'), "more than one line: {message}");
     message
 }
 
-/// The small example with one line replaced by another.
-fn with(line: &str, other: &str) -> String {
-    assert!(SMALL.contains(line), "the example has no line {line}");
-    SMALL.replacen(line, other, 1)
+/// Returns the small example with the first occurrence of `line` replaced.
+fn small_experiment_with(line: &str, replacement: &str) -> String {
+    assert!(SMALL_EXPERIMENT.contains(line), "the example does not contain {line:?}");
+    SMALL_EXPERIMENT.replacen(line, replacement, 1)
 }
 
 #[test]
-fn all_example_files_are_valid() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
-    let mut seen = 0;
-    for entry in std::fs::read_dir(folder).expect("the folder of examples") {
-        let path = entry.expect("an entry").path();
+fn example_files_are_valid() {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments");
+    let mut file_count = 0;
+    for entry in std::fs::read_dir(directory).expect("the directory of examples") {
+        let path = entry.expect("a directory entry").path();
         if path.is_dir() {
             continue;
         }
         let text = std::fs::read_to_string(&path).expect("a readable example");
-        assert!(parse(&text).is_ok(), "{}: {}", path.display(), complaint(&text));
-        seen += 1;
+        assert!(parse(&text).is_ok(), "{}: {}", path.display(), error_message(&text));
+        file_count += 1;
     }
-    assert!(seen >= 6, "{seen} examples");
+    assert!(file_count >= 6, "{file_count} example files");
 }
 
 #[test]
-fn all_fault_files_fit_the_tenth_of_the_target() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/faults");
+fn fault_files_are_valid_for_target_10() {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/faults");
     let base = include_str!("../experiments/target-10.toml");
-    let mut seen = 0;
-    for entry in std::fs::read_dir(folder).expect("the folder of faults") {
-        let path = entry.expect("an entry").path();
-        let text = std::fs::read_to_string(&path).expect("a readable file");
-        let mut configuration = parse(base).expect("a usable example");
+    let mut file_count = 0;
+    for entry in std::fs::read_dir(directory).expect("the directory of fault files") {
+        let path = entry.expect("a directory entry").path();
+        let text = std::fs::read_to_string(&path).expect("a readable fault file");
+        let mut configuration = parse(base).expect("a valid example");
         let before = configuration.faults.len();
-        add_faults(&mut configuration, &text).expect("usable faults");
-        assert!(configuration.faults.len() > before, "{} adds none", path.display());
-        seen += 1;
+        add_faults(&mut configuration, &text).expect("valid faults");
+        assert!(configuration.faults.len() > before, "{} adds no faults", path.display());
+        file_count += 1;
     }
-    assert!(seen >= 6, "{seen} files of faults");
+    assert!(file_count >= 6, "{file_count} fault files");
 }
 
 #[test]
-fn fault_file_with_other_keys_or_an_impossible_fault_is_rejected() {
-    let mut configuration = parse(SMALL).expect("a usable example");
+fn invalid_fault_file_is_rejected() {
+    let mut configuration = parse(SMALL_EXPERIMENT).expect("a valid example");
     let fault = "[[faults]]\nkind = \"cut-counter\"\nat = 1.0\nuntil = 2.0\nzone = 99\n";
-    let message = add_faults(&mut configuration, fault).expect_err("no such zone").to_string();
+    let message = add_faults(&mut configuration, fault).expect_err("an unknown zone").to_string();
     assert!(message.contains("zone") && !message.contains('\n'), "{message}");
-    let message = add_faults(&mut configuration, "seconds = 3.0\nfaults = []\n").expect_err("a further key");
+    let message = add_faults(&mut configuration, "seconds = 3.0\nfaults = []\n").expect_err("an unknown key");
     assert!(message.to_string().contains("seconds"), "{message}");
 }
 
 #[test]
 fn unknown_keys_are_rejected() {
-    assert!(complaint(&format!("colour = 1\n{SMALL}")).contains("colour"));
-    assert!(complaint(&with("max_units = 4", "max_units = 4\nshape = 2")).contains("shape"));
+    assert!(error_message(&format!("colour = 1\n{SMALL_EXPERIMENT}")).contains("colour"));
+    assert!(
+        error_message(&small_experiment_with("max_units = 4", "max_units = 4\nshape = 2")).contains("shape")
+    );
     let fault = "\n[[faults]]\nkind = \"forget-counts\"\nat = 1.0\nshare = 0.5\nlength = 3\n";
-    assert!(complaint(&format!("{SMALL}{fault}")).contains("length"));
+    assert!(error_message(&format!("{SMALL_EXPERIMENT}{fault}")).contains("length"));
     let fault = "\n[[faults]]\nkind = \"flood\"\nat = 1.0\n";
-    assert!(complaint(&format!("{SMALL}{fault}")).contains("flood"));
+    assert!(error_message(&format!("{SMALL_EXPERIMENT}{fault}")).contains("flood"));
 }
 
 #[test]
-fn invalid_toml_is_rejected_with_its_line() {
-    assert!(complaint("seconds = 1\nseconds = ").starts_with("line 2"));
+fn syntax_error_names_its_line() {
+    assert!(error_message("seconds = 1\nseconds = ").starts_with("line 2"));
 }
 
 #[test]
-fn impossible_sizes_are_rejected_with_their_key() {
+fn sizes_out_of_range_are_rejected_by_key() {
     let cases = [
         ("count = 12\n", "count = 0\n", "gatekeepers.count"),
         ("count = 12\n", "count = 1025\n", "gatekeepers.count"),
@@ -104,14 +107,14 @@
         ("cold_from = 0.3", "cold_from = 0.0", "workers.cold_from"),
         ("count_limit = 0.08", "count_limit = 0.0", "policy.count_limit"),
     ];
-    for (line, other, key) in cases {
-        let message = complaint(&with(line, other));
-        assert!(message.starts_with(&format!("{key} is ")), "{other}: {message}");
+    for (line, replacement, key) in cases {
+        let message = error_message(&small_experiment_with(line, replacement));
+        assert!(message.starts_with(&format!("{key} is ")), "{replacement}: {message}");
     }
 }
 
 #[test]
-fn impossible_faults_are_rejected_with_their_key() {
+fn invalid_faults_are_rejected_by_key() {
     let cases = [
         ("kind = \"restart-at-once\"\nat = 1.0\nshare = 1.5", "faults.share"),
         ("kind = \"forget-counts\"\nat = -1.0\nshare = 0.5", "faults.at"),
@@ -121,19 +124,19 @@
         ("kind = \"replace-workers\"\nfrom = 1.0\nuntil = 2.0\ncount = 25", "faults.count"),
     ];
     for (fault, key) in cases {
-        let message = complaint(&format!("{SMALL}\n[[faults]]\n{fault}\n"));
+        let message = error_message(&format!("{SMALL_EXPERIMENT}\n[[faults]]\n{fault}\n"));
         assert!(message.starts_with(key), "{fault}: {message}");
     }
 }
 
 #[test]
-fn invalid_file_ends_the_program_with_one_line_and_a_failing_status() {
+fn invalid_file_fails_the_command_with_one_line() {
     for file in ["no/such/file.toml", concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml")] {
         let output = Command::new(env!("CARGO_BIN_EXE_oliverack-lab"))
             .args(["fleet", file])
             .output()
             .expect("the program starts");
-        let errors = String::from_utf8(output.stderr).expect("text");
+        let errors = String::from_utf8(output.stderr).expect("UTF-8 output");
         assert!(!output.status.success());
         assert_eq!(errors.lines().count(), 1, "{errors}");
         assert!(errors.starts_with("oliverack-lab: "), "{errors}");
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -1,4 +1,4 @@
-//! The models of the simulated fleet, one by one.
+//! Unit tests of the models of the simulated fleet.
 
 use oliverack::{Endpoint, Event, Lifecycle, Status};
 use oliverack_lab::fleet::configuration::{
@@ -15,17 +15,17 @@
 use oliverack_lab::fleet::tenants::TokenBucket;
 use oliverack_lab::fleet::wire_size;
 
-/// A counter of one shard that serves 100 calls a second and queues two.
+/// Returns a counter of one shard that serves 100 calls a second and queues two.
 fn counter() -> Counter {
     Counter::new(&CounterConfiguration { shards: 1, calls_per_second: 100.0, queue: 2, delay: 0.0 })
 }
 
-fn assert_close(left: f64, right: f64) {
-    assert!((left - right).abs() < 1e-9, "{left} is not {right}");
+fn assert_close(actual: f64, expected: f64) {
+    assert!((actual - expected).abs() < 1e-9, "{actual} is not close to {expected}");
 }
 
 #[test]
-fn events_are_popped_by_time_then_by_order_of_scheduling() {
+fn events_are_ordered_by_time_then_scheduling() {
     let mut queue = EventQueue::default();
     for (at, event) in [(3.0, 'd'), (1.0, 'a'), (2.0, 'b'), (2.0, 'c'), (9.0, 'e')] {
         queue.schedule(RUN_START + at, event);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn event_scheduled_in_the_past_is_due_at_once() {
+fn event_in_the_past_is_due_now() {
     let mut queue = EventQueue::default();
     queue.schedule(RUN_START + 2.0, 'a');
     queue.pop_until(RUN_START + 2.0);
@@ -46,12 +46,14 @@
 }
 
 #[test]
-fn counter_serves_calls_in_order_and_rejects_when_its_queue_is_full() {
+fn counter_queues_calls_then_rejects() {
     let mut counter = counter();
-    let at: Vec<CallAdmission> = (0..4).map(|_| counter.admit(RUN_START, 1)).collect();
-    let CallAdmission::Admitted { completes_at: third } = at[2] else { panic!("{at:?}") };
-    assert_close(third, RUN_START + 0.03);
-    assert_eq!(at[3], CallAdmission::Rejected);
+    let admissions: Vec<CallAdmission> = (0..4).map(|_| counter.admit(RUN_START, 1)).collect();
+    let CallAdmission::Admitted { completes_at: third_completion } = admissions[2] else {
+        panic!("{admissions:?}")
+    };
+    assert_close(third_completion, RUN_START + 0.03);
+    assert_eq!(admissions[3], CallAdmission::Rejected);
     assert!(matches!(counter.admit(RUN_START + 0.02, 1), CallAdmission::Admitted { .. }));
 }
 
@@ -65,15 +67,17 @@
 }
 
 #[test]
-fn slow_counter_takes_longer_for_each_call() {
+fn slowdown_multiplies_service_time() {
     let mut counter = counter();
     counter.set_slowdown(5.0);
-    let CallAdmission::Admitted { completes_at } = counter.admit(RUN_START, 1) else { panic!("rejected") };
+    let CallAdmission::Admitted { completes_at } = counter.admit(RUN_START, 1) else {
+        panic!("the call is rejected")
+    };
     assert_close(completes_at, RUN_START + 0.05);
 }
 
 #[test]
-fn entry_expires_after_the_time_to_live_of_its_first_call() {
+fn first_call_sets_time_to_live_of_entry() {
     let mut counter = counter();
     assert_close(counter.add(RUN_START, 7, 2.0, 4.0), 2.0);
     assert_close(counter.add(RUN_START + 3.9, 7, 1.0, 4.0), 3.0);
@@ -81,7 +85,7 @@
 }
 
 #[test]
-fn counter_loses_the_given_share_of_its_entries() {
+fn counter_loses_given_share_of_entries() {
     let mut counter = counter();
     for name in 0..1000 {
         counter.add(RUN_START, name, 1.0, 60.0);
@@ -104,23 +108,24 @@
 }
 
 #[test]
-fn results_for_one_entry_are_notified_in_the_order_of_the_calls() {
+fn results_for_one_entry_keep_the_order_of_calls() {
     let mut calls = CounterCalls::default();
     let (first, second) = (calls.start(RUN_START, 1), calls.start(RUN_START, 1));
-    let full = CallResult { status: Status::Rejected, total: 0.0 };
+    let rejected = CallResult { status: Status::Rejected, total: 0.0 };
     let ok = CallResult { status: Status::Ok, total: 3.0 };
-    assert!(calls.end(RUN_START + 0.01, second, full).is_empty());
-    let notified: Vec<Status> = calls.end(RUN_START + 0.02, first, ok).iter().map(status).collect();
-    assert_eq!(notified, [Status::Ok, Status::Rejected]);
-    // A response that comes after the timeout causes no further notification.
+    assert!(calls.end(RUN_START + 0.01, second, rejected).is_empty());
+    let statuses: Vec<Status> =
+        calls.end(RUN_START + 0.02, first, ok).iter().map(counter_reply_status).collect();
+    assert_eq!(statuses, [Status::Ok, Status::Rejected]);
+    // A response after the timeout causes no further notification.
     assert!(!calls.is_in_flight(first));
     assert!(calls.end(RUN_START + 0.03, first, ok).is_empty());
 }
 
-fn status(event: &Event) -> Status {
+fn counter_reply_status(event: &Event) -> Status {
     match event {
         Event::CounterReplied { status, .. } => *status,
-        other => panic!("{other:?}"),
+        other => panic!("not a counter reply: {other:?}"),
     }
 }
 
@@ -158,7 +163,7 @@
 }
 
 #[test]
-fn endpoint_skips_queued_attempts_that_are_not_wanted() {
+fn endpoint_skips_abandoned_queued_attempts() {
     let mut endpoint = SimulatedEndpoint::new(&endpoints_configuration(), 0, 0.0);
     endpoint.receive(attempt(0));
     endpoint.receive(attempt(1));
@@ -168,7 +173,7 @@
 }
 
 #[test]
-fn endpoint_reception_follows_its_state() {
+fn admission_depends_on_endpoint_state() {
     let mut endpoint = SimulatedEndpoint::new(&endpoints_configuration(), 0, 0.0);
     endpoint.state = EndpointState::Draining;
     assert_eq!(endpoint.receive(attempt(0)), AttemptAdmission::Rejected(Status::Rejected));
@@ -183,7 +188,7 @@
 }
 
 #[test]
-fn capacity_rises_from_the_initial_share_during_slow_start() {
+fn capacity_rises_during_slow_start() {
     let configuration = endpoints_configuration();
     let endpoint = SimulatedEndpoint::new(&configuration, 0, RUN_START);
     assert_close(endpoint.capacity(RUN_START, &configuration), 0.2);
@@ -208,7 +213,7 @@
 }
 
 #[test]
-fn polls_are_served_in_order_and_time_out_in_the_queue() {
+fn polls_are_queued_and_time_out() {
     let mut discovery = discovery();
     let results: Vec<PollResult> = (0..3).map(|_| discovery.poll(RUN_START)).collect();
     assert_eq!(results[0], PollResult::Answered(RUN_START + 0.1));
@@ -217,21 +222,21 @@
 }
 
 #[test]
-fn list_at_a_past_time_has_the_changes_until_then() {
+fn list_at_past_time_has_changes_until_then() {
     let mut discovery = discovery();
     discovery.record_change(RUN_START + 1.0, endpoint("a", Lifecycle::Gone));
     discovery.record_change(RUN_START + 2.0, endpoint("c", Lifecycle::Running));
-    let mut names = |at: f64| -> Vec<String> {
-        discovery.list_at(RUN_START + at).endpoints.iter().map(|s| s.id.to_string()).collect()
+    let mut ids_at = |at: f64| -> Vec<String> {
+        discovery.list_at(RUN_START + at).endpoints.iter().map(|entry| entry.id.to_string()).collect()
     };
-    assert_eq!(names(0.5), ["a", "b"]);
-    assert_eq!(names(1.0), ["b"]);
-    assert_eq!(names(2.5), ["b", "c"]);
+    assert_eq!(ids_at(0.5), ["a", "b"]);
+    assert_eq!(ids_at(1.0), ["b"]);
+    assert_eq!(ids_at(2.5), ["b", "c"]);
     assert_eq!(discovery.version(), 2);
 }
 
 #[test]
-fn bucket_refills_to_its_burst_and_can_be_overdrawn() {
+fn token_bucket_refills_to_burst_and_can_be_overdrawn() {
     let mut bucket = TokenBucket::full(1.0, 4.0);
     assert!(bucket.try_take(RUN_START, 4.0));
     assert!(!bucket.try_take(RUN_START + 0.5, 1.0));
@@ -240,7 +245,7 @@
 }
 
 #[test]
-fn message_sizes_match_the_protocol() {
+fn message_sizes_match_protocol() {
     assert_eq!(wire_size::counter_call(42, -2.5, 4.0), "bump 42 -2.5 4000\r\n".len() as u64);
     assert_eq!(wire_size::counter_call(1, 1.0, 90.0), "bump 1 1 60000\r\n".len() as u64);
     assert_eq!(wire_size::counter_total(12.5), "ok 12.5\r\n".len() as u64);
--- a/lab/tests/fleet_report.rs
+++ b/lab/tests/fleet_report.rs
@@ -1,10 +1,10 @@
-//! The JSON keys of the report, which other tools read.
+//! JSON keys and names in the report, on which other tools depend.
 
 use oliverack_lab::fleet::{parse, report::Record, simulate};
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Keys of each kind of record, in their order.
+/// Keys of each kind of record, in order.
 const RECORD_KEYS: [(&str, &str); 13] = [
     ("run", "record seed seconds gatekeepers workers tenants nominal_requests_per_second"),
     ("wishes", "record asked served served_late refused failed abandoned lost"),
@@ -28,18 +28,18 @@
     ("processor", "record microseconds_per_request total_seconds by_event run_wall_seconds"),
 ];
 
-/// All records of a short run, as text and as JSON.
+/// Returns all records of a short run, as text and as JSON.
 fn records() -> Vec<(String, Value)> {
     let text = include_str!("../experiments/small.toml");
-    let mut configuration = parse(text).expect("a usable example");
+    let mut configuration = parse(text).expect("a valid example");
     configuration.seconds = 2.0;
-    let records = simulate(configuration, 1).expect("a run");
-    let line = |record: &Record| {
-        let text = serde_json::to_string(record).expect("a record");
-        let value = serde_json::from_str(&text).expect("JSON");
+    let records = simulate(configuration, 1).expect("a completed run");
+    let to_text_and_json = |record: &Record| {
+        let text = serde_json::to_string(record).expect("a serializable record");
+        let value = serde_json::from_str(&text).expect("valid JSON");
         (text, value)
     };
-    records.iter().map(line).collect()
+    records.iter().map(to_text_and_json).collect()
 }
 
 fn assert_keys_in_order(text: &str, keys: &str) {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn records_have_the_keys_that_other_tools_read() {
+fn records_have_stable_keys() {
     let mut kinds = BTreeSet::new();
     for (text, value) in records() {
         let kind = value["record"].as_str().expect("a kind");
@@ -64,18 +64,18 @@
 }
 
 #[test]
-fn seconds_have_the_keys_that_other_tools_read() {
+fn seconds_have_stable_keys() {
     let records = records();
     let (_, second) = records.iter().find(|(_, value)| value["record"] == "second").expect("a second");
     let keys =
         |value: &Value| -> Vec<String> { value.as_object().expect("an object").keys().cloned().collect() };
-    let wishes = ["abandoned", "asked", "failed", "lost", "refused", "served", "served_late"];
-    assert_eq!(keys(&second["wishes"]), wishes);
+    let demand_keys = ["abandoned", "asked", "failed", "lost", "refused", "served", "served_late"];
+    assert_eq!(keys(&second["wishes"]), demand_keys);
     assert_eq!(keys(&second["quotas"]), ["overrun_cost", "units_beyond", "units_inside", "worth_beyond"]);
 }
 
 #[test]
-fn roles_and_kinds_of_work_have_the_names_that_other_tools_read() {
+fn roles_and_kinds_of_work_have_stable_names() {
     let records = records();
     let roles: Vec<&str> = records.iter().filter_map(|(_, value)| value["role"].as_str()).collect();
     assert_eq!(
--- a/lab/tests/fleet_requests.rs
+++ b/lab/tests/fleet_requests.rs
@@ -1,4 +1,4 @@
-//! The table of open requests.
+//! Life cycle of requests and attempts in the table of open requests.
 
 use oliverack_lab::fleet::requests::{AttemptKey, Demand, RequestTable};
 
@@ -18,8 +18,8 @@
     }
 }
 
-/// A table with one request, whose first attempt is in flight.
-fn table_with_attempt() -> (RequestTable, AttemptKey) {
+/// Returns a table with one request, whose first attempt is in flight, and the key of the attempt.
+fn table_with_attempt_in_flight() -> (RequestTable, AttemptKey) {
     let mut requests = RequestTable::default();
     let number = requests.open(demand(), GATEWAY);
     let started = requests.start_attempt(number, "a".into(), 100.5).expect("an open request");
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn request_is_answered_once() {
-    let (mut requests, attempt) = table_with_attempt();
+fn request_is_answered_only_once() {
+    let (mut requests, attempt) = table_with_attempt_in_flight();
     assert!(!requests.is_answered(attempt.request));
     let answered = requests.answer(attempt.request).expect("the first response");
     assert_eq!((answered.gateway, answered.demand.weight), (GATEWAY, 2.0));
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn attempt_ends_once() {
-    let (mut requests, attempt) = table_with_attempt();
+fn attempt_ends_only_once() {
+    let (mut requests, attempt) = table_with_attempt_in_flight();
     assert!(attempt.is_first() && requests.is_in_flight(attempt));
     let ended = requests.end_attempt(attempt).expect("the first end");
     assert_eq!((ended.endpoint, ended.sent_at, ended.gateway), ("a".into(), 100.5, GATEWAY));
@@ -47,37 +47,37 @@
 }
 
 #[test]
-fn answered_request_stays_open_until_its_attempts_end() {
-    let (mut requests, attempt) = table_with_attempt();
+fn answered_request_stays_open_until_attempts_end() {
+    let (mut requests, attempt) = table_with_attempt_in_flight();
     requests.answer(attempt.request);
     assert_eq!(requests.close_if_finished(attempt.request), None);
-    let late = requests.start_attempt(attempt.request, "b".into(), 101.0).expect("an open request");
-    assert!(late.request_is_answered && !late.key.is_first());
+    let late_attempt = requests.start_attempt(attempt.request, "b".into(), 101.0).expect("an open request");
+    assert!(late_attempt.request_is_answered && !late_attempt.key.is_first());
     requests.end_attempt(attempt);
     assert_eq!(requests.close_if_finished(attempt.request), None);
-    requests.end_attempt(late.key);
+    requests.end_attempt(late_attempt.key);
     assert_eq!(requests.close_if_finished(attempt.request), Some(GATEWAY));
     assert_eq!(requests.close_if_finished(attempt.request), None);
     assert!(requests.is_empty() && requests.is_answered(attempt.request));
 }
 
 #[test]
-fn unanswered_request_stays_open_when_its_attempts_end() {
-    let (mut requests, attempt) = table_with_attempt();
+fn unanswered_request_stays_open() {
+    let (mut requests, attempt) = table_with_attempt_in_flight();
     requests.end_attempt(attempt);
     assert_eq!(requests.close_if_finished(attempt.request), None);
     assert_eq!(requests.len(), 1);
 }
 
 #[test]
-fn requests_of_a_stopped_gateway_are_removed_in_order() {
+fn requests_of_stopped_gateway_are_removed_in_order() {
     let mut requests = RequestTable::default();
     let gateways = [GATEWAY, 4, GATEWAY];
     let numbers = gateways.map(|gateway| requests.open(demand(), gateway));
     requests.answer(numbers[2]);
-    let removed: Vec<bool> =
+    let removed_are_answered: Vec<bool> =
         requests.remove_all_at(GATEWAY).iter().map(|request| request.is_answered).collect();
-    assert_eq!(removed, [false, true]);
+    assert_eq!(removed_are_answered, [false, true]);
     assert!(requests.get(numbers[0]).is_none() && requests.get(numbers[1]).is_some());
     assert!(requests.start_attempt(numbers[0], "a".into(), 101.0).is_none());
 }
--- a/lab/tests/fleet_runs.rs
+++ b/lab/tests/fleet_runs.rs
@@ -1,4 +1,4 @@
-//! Complete runs of the simulated fleet.
+//! Complete runs of small simulated fleets.
 
 use oliverack_lab::fleet::configuration::{Configuration, DiscoveryMode, Fault};
 use oliverack_lab::fleet::measures::{
@@ -7,32 +7,32 @@
 use oliverack_lab::fleet::report::{PerSubmissionRecord, QuotaRecord, Record, StateRecord};
 use oliverack_lab::fleet::{parse, simulate};
 
-/// The small example for a few seconds.
-fn small() -> Configuration {
+/// Returns the small example, shortened to eight seconds.
+fn small_fleet() -> Configuration {
     let text = include_str!("../experiments/small.toml");
-    let mut configuration = parse(text).expect("a usable example");
+    let mut configuration = parse(text).expect("a valid example");
     configuration.seconds = 8.0;
     configuration
 }
 
-/// Tenants that use only a part of their quota.
-fn quiet() -> Configuration {
-    let mut configuration = small();
+/// Returns the small example with only those tenants that use a part of their quota.
+fn lightly_loaded_fleet() -> Configuration {
+    let mut configuration = small_fleet();
     configuration.usage.truncate(1);
     configuration
 }
 
 fn run(configuration: Configuration, seed: u64) -> Vec<Record> {
-    simulate(configuration, seed).expect("a run")
+    simulate(configuration, seed).expect("valid policy settings")
 }
 
-/// All records except those of processor times, as in the JSON file.
-fn comparable(records: &[Record]) -> Vec<String> {
-    let compared = records.iter().filter(|record| !matches!(record, Record::Processor(_)));
-    compared.map(|record| serde_json::to_string(record).expect("a record")).collect()
+/// Returns the JSON lines of all records except that of processor times, which differs from run to run.
+fn reproducible_lines(records: &[Record]) -> Vec<String> {
+    let reproducible = records.iter().filter(|record| !matches!(record, Record::Processor(_)));
+    reproducible.map(|record| serde_json::to_string(record).expect("a serializable record")).collect()
 }
 
-/// The record of one kind.
+/// Returns the first record of a kind.
 macro_rules! record {
     ($records:expr, $kind:ident) => {
         $records
@@ -42,13 +42,13 @@
     };
 }
 
-fn ended(demands: &DemandCounts) -> u64 {
+fn ended_demands(demands: &DemandCounts) -> u64 {
     let DemandCounts { served, served_late, rejected, failed, abandoned, lost, .. } = *demands;
     served + served_late + rejected + failed + abandoned + lost
 }
 
-/// All kinds of faults, within eight seconds.
-fn every_fault() -> Vec<Fault> {
+/// Returns a fault of every kind, all within eight seconds.
+fn faults_of_every_kind() -> Vec<Fault> {
     vec![
         Fault::RestartAtOnce { at: 2.0, share: 0.5 },
         Fault::RestartOneByOne { from: 1.0, until: 7.0, count: 5 },
@@ -65,24 +65,25 @@
 }
 
 #[test]
-fn same_file_and_seed_give_the_same_records() {
-    let mut configuration = small();
-    configuration.faults = every_fault();
-    let [one, same, other] = [1, 1, 2].map(|seed| comparable(&run(configuration.clone(), seed)));
-    assert_eq!(one, same);
-    assert_ne!(one, other);
+fn same_file_and_seed_give_same_records() {
+    let mut configuration = small_fleet();
+    configuration.faults = faults_of_every_kind();
+    let [first, repeated, other_seed] =
+        [1, 1, 2].map(|seed| reproducible_lines(&run(configuration.clone(), seed)));
+    assert_eq!(first, repeated);
+    assert_ne!(first, other_seed);
 }
 
 #[test]
-fn quiet_fleet_serves_demands_within_quotas() {
-    let records = run(quiet(), 3);
-    let inside: &InQuotaWeight = record!(records, InQuotaWeight);
-    assert!(inside.served >= 0.98 * inside.submitted, "{inside:?}");
+fn light_load_within_quotas_is_served() {
+    let records = run(lightly_loaded_fleet(), 3);
+    let weight: &InQuotaWeight = record!(records, InQuotaWeight);
+    assert!(weight.served >= 0.98 * weight.submitted, "{weight:?}");
 }
 
 #[test]
-fn quiet_fleet_with_ceilings_serves_demands_within_quotas_and_exceeds_no_ceiling() {
-    let mut configuration = quiet();
+fn light_load_within_quotas_is_served_under_ceilings() {
+    let mut configuration = lightly_loaded_fleet();
     // A gateway starts with an empty ceiling, so a longer run is needed for its cost to be small.
     configuration.seconds = 30.0;
     for plan in &mut configuration.plans {
@@ -90,21 +91,21 @@
         plan.ceiling_burst = 2.0 * plan.burst;
     }
     let records = run(configuration, 3);
-    let (inside, quotas): (&InQuotaWeight, &QuotaRecord) =
+    let (weight, quotas): (&InQuotaWeight, &QuotaRecord) =
         (record!(records, InQuotaWeight), record!(records, Quotas));
-    assert!(inside.served >= 0.95 * inside.submitted, "{inside:?}");
+    assert!(weight.served >= 0.95 * weight.submitted, "{weight:?}");
     assert!(quotas.ceilings > 100, "{quotas:?}");
     assert_eq!(quotas.ceilings_exceeded, 0, "{quotas:?}");
 }
 
 #[test]
-fn each_demand_ends_once_under_every_fault() {
-    let mut configuration = small();
-    configuration.faults = every_fault();
+fn each_demand_ends_once_despite_faults() {
+    let mut configuration = small_fleet();
+    configuration.faults = faults_of_every_kind();
     let records = run(configuration, 5);
     let (demands, fleet): (&DemandCounts, &FleetCounts) =
         (record!(records, Demands), record!(records, Fleet));
-    assert_eq!(ended(demands), demands.submitted, "{demands:?}");
+    assert_eq!(ended_demands(demands), demands.submitted, "{demands:?}");
     assert!(demands.lost > 0 && demands.served > demands.submitted / 2, "{demands:?}");
     assert!(fleet.restarts >= 6 && fleet.list_changes >= 12, "{fleet:?}");
     let attempts: &AttemptCounts = record!(records, Attempts);
@@ -112,34 +113,34 @@
 }
 
 #[test]
-fn counts_of_seconds_add_up_to_the_totals() {
-    let records = run(small(), 7);
+fn counts_of_seconds_add_up_to_totals() {
+    let records = run(small_fleet(), 7);
     let demands: &DemandCounts = record!(records, Demands);
     let attempts: &AttemptCounts = record!(records, Attempts);
-    let (mut asked, mut done, mut sent) = (0, 0, 0);
+    let (mut submitted, mut ended, mut sent) = (0, 0, 0);
     for record in &records {
         if let Record::Second { counts, .. } = record {
-            asked += counts.demands.submitted;
-            done += ended(&counts.demands);
+            submitted += counts.demands.submitted;
+            ended += ended_demands(&counts.demands);
             sent += counts.attempts;
         }
     }
-    assert_eq!((asked, done, sent), (demands.submitted, ended(demands), attempts.sent));
+    assert_eq!((submitted, ended, sent), (demands.submitted, ended_demands(demands), attempts.sent));
 }
 
 #[test]
-fn silent_counter_times_out_and_full_counter_rejects() {
-    let mut silent = quiet();
+fn silent_counter_times_out_and_overloaded_counter_rejects() {
+    let mut silent = lightly_loaded_fleet();
     silent.faults = vec![Fault::SilenceCounter { at: 0.0, until: 60.0 }];
     let records = run(silent, 1);
     let calls: &CounterCallCounts = record!(records, CounterCalls);
     assert!(calls.made > 0 && calls.timeout == calls.made, "{calls:?}");
 
-    let mut narrow = quiet();
-    let counter = narrow.counter.as_mut().expect("the example has a counter");
+    let mut limited = lightly_loaded_fleet();
+    let counter = limited.counter.as_mut().expect("the example has a counter");
     counter.calls_per_second = 20.0;
     counter.queue = 1;
-    let records = run(narrow, 1);
+    let records = run(limited, 1);
     let calls: &CounterCallCounts = record!(records, CounterCalls);
     assert!(calls.rejected > 0 && calls.ok > 0, "{calls:?}");
     assert_eq!(calls.ok + calls.rejected + calls.timeout, calls.made);
@@ -147,25 +148,25 @@
 
 #[test]
 fn slow_counter_adds_calls_after_their_timeout() {
-    let mut slow = quiet();
-    slow.faults = vec![Fault::SlowCounter { at: 0.0, until: 60.0, factor: 50.0 }];
-    let records = run(slow, 1);
+    let mut configuration = lightly_loaded_fleet();
+    configuration.faults = vec![Fault::SlowCounter { at: 0.0, until: 60.0, factor: 50.0 }];
+    let records = run(configuration, 1);
     let calls: &CounterCallCounts = record!(records, CounterCalls);
     assert!(calls.timeout > 0 && calls.added_after_timeout > 0, "{calls:?}");
 }
 
 #[test]
 fn fleet_without_counter_makes_no_counter_calls() {
-    let mut alone = quiet();
-    alone.counter = None;
-    let records = run(alone, 1);
+    let mut configuration = lightly_loaded_fleet();
+    configuration.counter = None;
+    let records = run(configuration, 1);
     let per_submission: &PerSubmissionRecord = record!(records, PerSubmission);
     assert!(per_submission.counter_calls == 0.0 && per_submission.attempts > 0.0, "{per_submission:?}");
 }
 
 #[test]
 fn polled_list_reaches_every_gateway() {
-    let mut configuration = quiet();
+    let mut configuration = lightly_loaded_fleet();
     configuration.discovery.mode = DiscoveryMode::Poll;
     configuration.faults = vec![Fault::ReplaceEndpoints { from: 3.0, until: 3.5, count: 3 }];
     let records = run(configuration, 1);
