--- a/tests/common/counter.rs
+++ b/tests/common/counter.rs
@@ -12,8 +12,8 @@
 }
 
 impl FakeCounter {
-    /// Replies to the counter calls among `actions` and to further calls that the replies cause. Returns the actions that
-    /// result from the replies.
+    /// Replies to the counter calls among `actions` and to further calls that the replies cause. Returns the actions
+    /// that result from the replies.
     pub fn reply_to_calls(&mut self, harness: &mut GatewayHarness, actions: &[Action]) -> Vec<Action> {
         let mut pending: VecDeque<(u64, f64)> = counter_calls(actions).into();
         let mut resulting = Vec::new();
@@ -36,8 +36,8 @@
         actions
     }
 
-    /// Sends `count` requests with ids `{id_prefix}0`, `{id_prefix}1` and so on, whose attempts succeed at once. Returns
-    /// the number of attempts.
+    /// Sends `count` requests with ids `{id_prefix}0`, `{id_prefix}1` and so on, whose attempts succeed at once.
+    /// Returns the number of attempts.
     pub fn send_requests(&mut self, harness: &mut GatewayHarness, id_prefix: &str, count: usize) -> usize {
         let mut attempts = 0;
         for i in 0..count {
--- a/tests/common/harness.rs
+++ b/tests/common/harness.rs
@@ -149,8 +149,8 @@
     actions.iter().filter(|action| matches!(action, Action::Fail { .. })).count()
 }
 
-/// Sets the clock to `now` and fires every timer that is due by then; `counter` replies to the resulting calls. Takes the
-/// recorded actions, so a timer that is not yet due is dropped.
+/// Sets the clock to `now` and fires every timer that is due by then; `counter` replies to the resulting calls. Takes
+/// the recorded actions, so a timer that is not yet due is dropped.
 pub fn fire_timers(harness: &mut GatewayHarness, counter: &mut FakeCounter, now: Time) {
     let actions = std::mem::take(&mut harness.actions);
     harness.now = now;
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -72,8 +72,8 @@
     }
 }
 
-/// Sort key of pending events: the bits of the time, then the order in which the events were scheduled. The bits sort as
-/// the times do, because no time is negative.
+/// Sort key of pending events: the bits of the time, then the order in which the events were scheduled. The bits sort
+/// as the times do, because no time is negative.
 type ScheduleKey = (u64, u64);
 
 /// A fleet with a counter, and the pending counter replies, responses and timers.
--- a/tests/counter_call_rate.rs
+++ b/tests/counter_call_rate.rs
@@ -4,8 +4,8 @@
 use common::{GatewayHarness, counter_calls, request, settings, started_attempts};
 use oliverack::{Event, Request, Status};
 
-/// Sends requests of 100 new customers within one second and ends each counter call by `end_call`. Returns the number of
-/// calls.
+/// Sends requests of 100 new customers within one second and ends each counter call by `end_call`. Returns the number
+/// of calls.
 fn counter_calls_in_one_second(
     harness: &mut GatewayHarness,
     id_prefix: &str,
