--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line, on the built program.
+//! Command line of the built program.
 
 mod fakes;
 use fakes::{EndpointBehaviour, FakeEndpoint, LaunchOptions, NodeBuilder, spawn_program};
@@ -8,7 +8,7 @@
     process::{Command, Output},
 };
 
-/// A configuration file, removed when it is dropped.
+/// Configuration file, removed when dropped.
 struct ConfigFile {
     path: PathBuf,
 }
@@ -27,7 +27,7 @@
     }
 }
 
-/// Runs the program to its end.
+/// Runs the program with `arguments` until it exits.
 fn run_program(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oliverack"));
     for name in ["NODE_CONFIG", "NODE_OPERATOR", "NODE_ACCEPT_FD", "OLIVERACK_LOG"] {
@@ -36,34 +36,34 @@
     command.args(arguments).output().expect("the program starts")
 }
 
-/// The end of `oliverack check`.
+/// Result of `oliverack check`.
 struct CheckResult {
-    succeeded: bool,
+    has_succeeded: bool,
     stdout: String,
     stderr: String,
 }
 
-fn check(file: &ConfigFile) -> CheckResult {
+fn run_check(file: &ConfigFile) -> CheckResult {
     let output = run_program(&["check", file.path.to_str().expect("a plain path")]);
     let text = |bytes| String::from_utf8(bytes).expect("text");
     CheckResult {
-        succeeded: output.status.success(),
+        has_succeeded: output.status.success(),
         stdout: text(output.stdout),
         stderr: text(output.stderr),
     }
 }
 
-/// A valid configuration; no process is started with it.
+/// Returns a valid configuration; no process is started with it.
 fn valid_config() -> Value {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     builder.config()
 }
 
-/// The valid configuration with one value replaced.
+/// Returns the valid configuration with the value at `pointer` replaced.
 fn config_with(pointer: &str, value: Value) -> String {
     let mut config = valid_config();
-    *config.pointer_mut(pointer).expect("a key") = value;
+    *config.pointer_mut(pointer).expect("an existing key") = value;
     config.to_string()
 }
 
@@ -75,25 +75,25 @@
     config["settings"]["Classes"][0]["Worth"] = json!(2.0);
     config["limits"]["cores"] = json!(1.0);
     let file = ConfigFile::new("usable", &config.to_string());
-    let CheckResult { succeeded, stdout, stderr } = check(&file);
-    assert!(succeeded && stderr.is_empty(), "{stderr}");
+    let CheckResult { has_succeeded, stdout, stderr } = run_check(&file);
+    assert!(has_succeeded && stderr.is_empty(), "{stderr}");
     assert_eq!(stdout, format!("{}: usable\n", file.path.display()));
     // Two misspelled keys.
     config["settings"]["Limits"]["ConIdle"] = json!(3);
     config["settings"]["Classes"][1]["slo"] = json!(3);
     let file = ConfigFile::new("unknown", &config.to_string());
-    let CheckResult { succeeded, stdout, .. } = check(&file);
+    let CheckResult { has_succeeded, stdout, .. } = run_check(&file);
     let name = file.path.display();
     let expected = format!(
         "{name}: unknown key settings.Classes[].slo\n{name}: unknown key settings.Limits.ConIdle\n{name}: usable\n"
     );
-    assert!(succeeded);
+    assert!(has_succeeded);
     assert_eq!(stdout, expected);
 }
 
 #[test]
 fn check_of_invalid_configuration_prints_one_line_with_key_path() {
-    let bad = [
+    let invalid_configs = [
         ("listen", config_with("/listen", json!("nowhere"))),
         ("seed", config_with("/seed", json!("xyz"))),
         ("limits.sockets", config_with("/limits/sockets", json!(3))),
@@ -112,15 +112,15 @@
         ("malformed", "{".to_owned()),
         ("malformed", valid_config().to_string() + "}"),
     ];
-    for (path, text) in bad {
-        let CheckResult { succeeded, stdout, stderr } = check(&ConfigFile::new("bad", &text));
-        assert!(!succeeded && stdout.is_empty(), "{path}: {stdout}");
-        assert!(stderr.lines().count() == 1 && stderr.starts_with("oliverack: "), "{path}: {stderr}");
-        assert!(stderr.contains(path), "{path}: {stderr}");
+    for (key_path, text) in invalid_configs {
+        let CheckResult { has_succeeded, stdout, stderr } = run_check(&ConfigFile::new("bad", &text));
+        assert!(!has_succeeded && stdout.is_empty(), "{key_path}: {stdout}");
+        assert!(stderr.lines().count() == 1 && stderr.starts_with("oliverack: "), "{key_path}: {stderr}");
+        assert!(stderr.contains(key_path), "{key_path}: {stderr}");
     }
-    let CheckResult { succeeded, stderr, .. } =
-        check(&ConfigFile { path: std::env::temp_dir().join("oliverack-check-no-such-file") });
-    assert!(!succeeded && stderr.lines().count() == 1, "{stderr}");
+    let CheckResult { has_succeeded, stderr, .. } =
+        run_check(&ConfigFile { path: std::env::temp_dir().join("oliverack-check-no-such-file") });
+    assert!(!has_succeeded && stderr.lines().count() == 1, "{stderr}");
 }
 
 #[test]
@@ -128,35 +128,35 @@
     let output = run_program(&["schema"]);
     assert!(output.status.success());
     let schema: Value = serde_json::from_slice(&output.stdout).expect("a schema is JSON");
-    /// Follows references and alternatives to the schema of an object or a list.
+    /// Returns the schema behind references and optional alternatives.
     fn resolve<'a>(schema: &'a Value, root: &'a Value) -> &'a Value {
         if let Some(name) = schema["$ref"].as_str() {
-            return resolve(root.pointer(&name[1..]).expect("what it refers to"), root);
+            return resolve(root.pointer(&name[1..]).expect("the referenced schema"), root);
         }
-        let choices = schema["anyOf"].as_array().into_iter().flatten();
-        let mut choices = choices.filter(|choice| choice["type"] != "null");
-        choices.next().map_or(schema, |choice| resolve(choice, root))
+        let alternatives = schema["anyOf"].as_array().into_iter().flatten();
+        let mut alternatives = alternatives.filter(|alternative| alternative["type"] != "null");
+        alternatives.next().map_or(schema, |alternative| resolve(alternative, root))
     }
-    fn covers(schema: &Value, value: &Value, path: &str, root: &Value) {
+    fn assert_covers(schema: &Value, value: &Value, path: &str, root: &Value) {
         let schema = resolve(schema, root);
         match value {
             Value::Object(keys) => {
                 for (key, value) in keys {
-                    let known = &schema["properties"][key];
-                    let unused = ["cores", "kind", "weight"].contains(&key.as_str());
-                    assert!(!known.is_null() || unused, "{path}.{key} is not in {schema}");
-                    covers(known, value, &format!("{path}.{key}"), root);
+                    let property = &schema["properties"][key];
+                    let is_unused = ["cores", "kind", "weight"].contains(&key.as_str());
+                    assert!(!property.is_null() || is_unused, "{path}.{key} is not in {schema}");
+                    assert_covers(property, value, &format!("{path}.{key}"), root);
                 }
             }
             Value::Array(items) => {
                 for item in items {
-                    covers(&schema["items"], item, &format!("{path}[]"), root);
+                    assert_covers(&schema["items"], item, &format!("{path}[]"), root);
                 }
             }
             _ => {}
         }
     }
-    covers(&schema, &valid_config(), "", &schema);
+    assert_covers(&schema, &valid_config(), "", &schema);
 }
 
 #[test]
@@ -179,25 +179,25 @@
 fn invalid_configuration_prints_one_line_and_fails() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
-    let broken = |key: &str, value: Value| {
+    let invalid_config = |pointer: &str, value: Value| {
         let mut config = builder.config();
-        *config.pointer_mut(key).expect("a key") = value;
+        *config.pointer_mut(pointer).expect("an existing key") = value;
         config.to_string()
     };
-    let bad = [
+    let invalid_configs = [
         "{".to_owned(),
-        broken("/listen", json!("nowhere")),
-        broken("/listen", json!(endpoint.addr.to_string())),
-        broken("/seed", json!("xyz")),
-        broken("/limits/sockets", json!(3)),
-        broken("/settings/PeersTotal", json!(0)),
-        broken("/settings/Step", json!("soon")),
-        broken("/settings/Limits/ConnIdle", json!(-1)),
-        broken("/settings/Domain/CountLimit", json!(-1)),
+        invalid_config("/listen", json!("nowhere")),
+        invalid_config("/listen", json!(endpoint.addr.to_string())),
+        invalid_config("/seed", json!("xyz")),
+        invalid_config("/limits/sockets", json!(3)),
+        invalid_config("/settings/PeersTotal", json!(0)),
+        invalid_config("/settings/Step", json!("soon")),
+        invalid_config("/settings/Limits/ConnIdle", json!(-1)),
+        invalid_config("/settings/Domain/CountLimit", json!(-1)),
     ];
-    for config in bad {
+    for config in invalid_configs {
         let (child, path) = spawn_program(&config, &LaunchOptions::default());
-        let output = child.wait_with_output().expect("it ends");
+        let output = child.wait_with_output().expect("the process exits");
         let _ = std::fs::remove_file(path);
         let stderr = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success() && stderr.lines().count() == 1, "{config}: {stderr}");
--- a/tests/counter_connection.rs
+++ b/tests/counter_connection.rs
@@ -12,29 +12,29 @@
     let counter = FakeCounter::start(CounterBehaviour::Normal);
     let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     builder.counter(counter.addr);
-    let one = builder.start();
+    let first_gateway = builder.start();
     builder.settings["Me"] = json!(1);
-    let two = builder.start();
+    let second_gateway = builder.start();
     let mut served = 0;
     for i in 0..20 {
-        for node in [&one, &two] {
+        for node in [&first_gateway, &second_gateway] {
             let response =
                 node.send_request(&TestRequest::new(&format!("t{i}")).with_header("X-Plan", "pieni"));
             match response.status() {
                 200 => served += 1,
                 429 => assert!(response.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0)),
-                other => panic!("answered {other}"),
+                status => panic!("unexpected status {status}"),
             }
         }
     }
-    // A burst of eight, and at most a share of four that is reported to the counter late. With counts kept
-    // apart, as by different clocks or names, the gateways would serve sixteen.
+    // The burst is eight units, and the gateways may serve up to four more before they report them to the counter.
+    // Gateways that count separately, for example by different clocks or count names, would serve sixteen.
     assert!((6..=12).contains(&served), "{served} served of a burst of 8");
-    assert!(counter.total() >= 5.0, "reported to the counter: {}", counter.total());
+    assert!(counter.total() >= 5.0, "total at the counter: {}", counter.total());
 }
 
 #[test]
-fn silent_busy_or_invalid_counter_falls_back_to_even_share() {
+fn even_share_applies_while_counter_is_silent_busy_or_invalid() {
     for behaviour in [CounterBehaviour::Silent, CounterBehaviour::Busy, CounterBehaviour::Invalid] {
         let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
         let counter = FakeCounter::start(behaviour);
@@ -45,22 +45,24 @@
         let request = |i: usize| TestRequest::new(&format!("c{i}")).with_header("X-Plan", "pieni");
         let served = (0..12).filter(|i| client.send_request(&request(*i)).status() == 200).count();
         counter.next_call();
-        assert!((3..=5).contains(&served), "{served} served; half of a burst of 8");
+        assert!((3..=5).contains(&served), "{served} served, not half of a burst of 8");
     }
 }
 
 #[test]
 fn late_counter_reply_is_not_matched_to_another_call() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    // The first customer's count is far beyond its quota; the second customer's is new.
+    // The count of the first customer is far beyond the quota; the count of the second customer is new.
     let counter = FakeCounter::start_with_total(CounterBehaviour::FirstReplyAwaitsSecondCall, 1000.0);
     let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     builder.counter(counter.addr);
     // Long enough that the first call has not timed out when the second is made, even on a busy machine.
     builder.settings["Domain"]["CountLimit"] = json!(5.0);
     let node = builder.start();
-    let request = |n: usize, txn: &str| {
-        TestRequest::new(txn).with_header("X-Plan", "pieni").with_header("X-Customer", &format!("{n:016x}"))
+    let request = |customer: usize, txn: &str| {
+        TestRequest::new(txn)
+            .with_header("X-Plan", "pieni")
+            .with_header("X-Customer", &format!("{customer:016x}"))
     };
     assert_eq!(
         node.send_request(&request(1, "a")).status(),
@@ -68,8 +70,8 @@
         "new customer: admitted by the even share while the counter is called"
     );
     counter.next_call();
-    // Six of the second customer's eight units exceed the even share, so its count must have been read. A request
-    // rejected while the reply is pending is repeated; with the first customer's total it would always be rejected.
+    // Six of the second customer's eight units exceed the even share, so the gateway must have read the right count.
+    // Requests rejected while the reply is pending are repeated; with the first customer's count, all would be rejected.
     for i in 0..6 {
         let start = std::time::Instant::now();
         while node.send_request(&request(2, &format!("b{i}"))).status() != 200 {
@@ -85,7 +87,7 @@
 }
 
 #[test]
-fn stuck_counter_connection_does_not_block_other_calls() {
+fn silent_counter_connection_does_not_block_other_calls() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let counter = FakeCounter::start(CounterBehaviour::FirstConnectionSilent);
     let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
@@ -103,7 +105,7 @@
         if connections.len() > 1 {
             break;
         }
-        // Until a call on the first connection has timed out after 50 ms.
+        // Repeated until a call on the first connection has timed out after 50 ms.
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     assert!(served > 0 && connections.len() > 1, "{served} served, calls on {connections:?}");
@@ -117,7 +119,7 @@
     builder.counter(counter.addr);
     let _node = builder.start();
     let mut pings = [0; 4];
-    // Each connection sends a ping at first and the next after two seconds; a silent one is replaced before that.
+    // Each connection sends a ping when it opens and the next after two seconds; a silent one is replaced earlier.
     loop {
         let (connection, call) = counter.calls.recv_timeout(WAIT_LIMIT).expect("a ping");
         if connection >= 4 {
--- a/tests/discovery_connection.rs
+++ b/tests/discovery_connection.rs
@@ -21,13 +21,13 @@
         let (builder, discovery) = NodeBuilder::new(&[&one, &two]);
         let node = builder.start();
         discovery.wait_until_applied(2);
-        // Both endpoints are used at first.
-        let (mut first, mut second) = (0, 0);
+        // Both endpoints are used before the change.
+        let (mut first_count, mut second_count) = (0, 0);
         for i in 0.. {
             assert_eq!(node.send_request(&TestRequest::new(&format!("p{i}"))).status(), 200);
-            first += one.drain_requests().len();
-            second += two.drain_requests().len();
-            if first > 0 && second > 0 {
+            first_count += one.drain_requests().len();
+            second_count += two.drain_requests().len();
+            if first_count > 0 && second_count > 0 {
                 break;
             }
         }
@@ -49,7 +49,7 @@
     discovery.set_silent(true);
     let node = builder.start();
     discovery.next_call();
-    assert_eq!(node.send_request(&TestRequest::new("a")).body, b"old", "the configured list serves");
+    assert_eq!(node.send_request(&TestRequest::new("a")).body, b"old", "the configured list is used");
     node.wait_for_log("no complete response in time");
     discovery.set_silent(false);
     discovery.set_invalid(true);
@@ -70,7 +70,7 @@
     config["known"]["version"] = 1.into();
     let node = builder.start_with_config(&config.to_string(), &LaunchOptions::default());
     for _ in 0..3 {
-        assert_eq!(discovery.next_call(), 1, "never the complete list");
+        assert_eq!(discovery.next_call(), 1, "not the complete list");
     }
     assert_eq!(node.send_request(&TestRequest::new("a")).status(), 200);
     discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", endpoint.addr, "DRAINING")));
@@ -80,18 +80,18 @@
 #[test]
 fn endpoint_list_longer_than_body_limit_is_read() {
     let (mut builder, discovery) = NodeBuilder::new(&[]);
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let addr = nobody.local_addr().expect("bound");
+    let unused_listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let addr = unused_listener.local_addr().expect("bound");
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    let mut last = 0;
-    // About 130 bytes each: some 130 kB.
+    let mut version = 0;
+    // About 130 bytes each, 130 kB in total.
     for i in 0..1000 {
-        last = discovery.update_entry(endpoint_entry(&format!("w{i}"), addr, "DRAINING"));
+        version = discovery.update_entry(endpoint_entry(&format!("w{i}"), addr, "DRAINING"));
     }
-    last = last.max(discovery.update_entry(endpoint_entry("w", endpoint.addr, "SERVING")));
+    version = version.max(discovery.update_entry(endpoint_entry("w", endpoint.addr, "SERVING")));
     builder.known_endpoints.clear();
     let node = builder.start();
-    discovery.wait_until_applied(last);
+    discovery.wait_until_applied(version);
     assert_eq!(node.send_request(&TestRequest::new("a")).status(), 200);
 }
 
@@ -105,51 +105,55 @@
     for _ in 0..8 {
         assert_eq!(discovery.next_call(), 0);
     }
-    let gap = || {
+    let time_to_next_call = || {
         let start = Instant::now();
         discovery.next_call();
         start.elapsed()
     };
     // A busy machine only makes the gaps longer.
-    let shortest = (0..6).map(|_| gap()).min().expect("six");
+    let shortest = (0..6).map(|_| time_to_next_call()).min().expect("six");
     assert!(shortest < Duration::from_millis(450), "{shortest:?} between calls");
 }
 
 #[test]
 fn response_written_before_discovery_address_change_is_applied() {
-    for half in [false, true] {
+    for is_split in [false, true] {
         let (draining, serving) = (
             FakeEndpoint::start(EndpointBehaviour::Respond("left")),
             FakeEndpoint::start(EndpointBehaviour::Respond("well")),
         );
-        let (mut builder, _unused) = NodeBuilder::new(&[&draining, &serving]);
-        let old = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        // The new address accepts the connection and stays silent, as while discovery is down.
-        let new = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        builder.discovery(old.local_addr().expect("bound"));
+        let (mut builder, _unused_discovery) = NodeBuilder::new(&[&draining, &serving]);
+        let old_listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        // The new address accepts the connection and stays silent, as a failing discovery service may.
+        let new_listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        builder.discovery(old_listener.local_addr().expect("bound"));
         let node = builder.start();
-        let (mut socket, _) = old.accept().expect("a call");
-        let mut calls = BufReader::new(socket.try_clone().expect("a socket"));
-        read_message(&mut calls).expect("a call for the complete list");
+        let (mut socket, _) = old_listener.accept().expect("a call");
+        let mut reader = BufReader::new(socket.try_clone().expect("a socket"));
+        read_message(&mut reader).expect("a call for the complete list");
         let entries =
             [endpoint_entry("w0", draining.addr, "DRAINING"), endpoint_entry("w1", serving.addr, "SERVING")];
         let body = json!({"version": 7, "full": true, "servers": entries}).to_string();
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let (first, second) = response.split_at(if half { response.len() - 20 } else { response.len() });
-        builder.discovery(new.local_addr().expect("bound"));
+        let (first, second) = response.split_at(if is_split { response.len() - 20 } else { response.len() });
+        builder.discovery(new_listener.local_addr().expect("bound"));
         node.reload_while(&builder.config().to_string(), || {
-            socket.write_all(first.as_bytes()).expect("it reads");
+            socket.write_all(first.as_bytes()).expect("the gateway reads");
         });
         node.wait_for_log("configuration reloaded");
-        socket.write_all(second.as_bytes()).expect("it reads on");
-        let (moved, _) = new.accept().expect("the move's call");
-        let call = read_message(&mut BufReader::new(moved)).expect("a call");
+        socket.write_all(second.as_bytes()).expect("the gateway reads on");
+        let (new_socket, _) = new_listener.accept().expect("a call at the new address");
+        let call = read_message(&mut BufReader::new(new_socket)).expect("a call");
         assert_eq!(
             call.start_line, "GET /discovery/hosts HTTP/1.1",
             "the complete list, as versions of another service are not comparable"
         );
         for i in 0..20 {
-            assert_eq!(node.send_request(&TestRequest::new(&format!("m{i}"))).body, b"well", "half: {half}");
+            assert_eq!(
+                node.send_request(&TestRequest::new(&format!("m{i}"))).body,
+                b"well",
+                "split: {is_split}"
+            );
         }
     }
 }
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery that fail at each of their stages: how soon the next call is made.
+//! Calls to discovery that fail at different stages: the next call must follow in time.
 
 mod fakes;
 use fakes::{
@@ -13,19 +13,25 @@
     time::{Duration, Instant},
 };
 
-/// Time after which a gateway counts as notified of a change, even if a call has failed.
+/// Time after a change when every gateway counts as notified, even if a call has failed.
 const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
-/// Allowance for a slow connection of the next call.
+/// Allowance for a slow connect of the next call.
 const CONNECT_DELAY_ALLOWANCE: Duration = Duration::from_millis(1500);
 
-/// The stage at which a call fails.
+/// Stage at which a call fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
+    /// The connection stays pending.
     Connecting,
+    /// The connection is refused.
     Refused,
+    /// The response never begins.
     Head,
+    /// The response body never ends.
     Body,
+    /// The connection is closed without a response.
     Reset,
+    /// The response has status 503.
     Status,
 }
 
@@ -36,18 +42,18 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Accepts the next connection; returns it with the first line of its call.
+/// Accepts the next connection and reads a call; returns the connection and the request line.
 fn accept_call(listener: &TcpListener) -> (TcpStream, String) {
     let (socket, _) = listener.accept().expect("a connection");
     let message = read_message(&mut BufReader::new(&socket)).expect("a call");
     (socket, message.start_line)
 }
 
-/// Time from a change at discovery to the next call of one of `gateways`, if the watch that would deliver the change
-/// fails at `stage`.
+/// Returns the time from a change at discovery to the next call of one of `gateways` gateways if the watch that would
+/// deliver the change fails at `stage`.
 fn time_until_next_call(mode: &str, gateways: u32, stage: Stage) -> Duration {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    let (mut builder, _unused) = NodeBuilder::new(&[&endpoint]);
+    let (mut builder, _unused_discovery) = NodeBuilder::new(&[&endpoint]);
     builder.settings["Discovery"] = json!(mode);
     builder.settings["PeersTotal"] = json!(gateways);
     if stage == Stage::Refused {
@@ -55,9 +61,9 @@
         builder.discovery(closed_port.addr);
         let node = builder.start();
         node.wait_for_log("discovery failed reason=no connection");
-        let reached = Instant::now();
+        let failed_at = Instant::now();
         accept_call(&closed_port.listen());
-        return reached.elapsed();
+        return failed_at.elapsed();
     }
     let saturated = SaturatedListener::start();
     builder.discovery(saturated.addr);
@@ -65,51 +71,51 @@
     let _node = builder.start();
     let (mut socket, _) = accept_call(&listener);
     let body = json!({"version": 7, "full": true, "servers": builder.known_endpoints}).to_string();
-    socket.write_all(ok_response(&body).as_bytes()).expect("it reads");
+    socket.write_all(ok_response(&body).as_bytes()).expect("the gateway reads");
     let watch = read_message(&mut BufReader::new(&socket)).expect("a watch on the same connection");
     assert!(watch.start_line.contains("from=7&hold_ms="), "{}", watch.start_line);
-    // Discovery has the change from this moment on.
+    // Discovery has the change from here on.
     let changed_at = Instant::now();
     match stage {
         Stage::Connecting => {
             // The backlog of one is full again, so that the next connection stays pending.
-            let taken = TcpStream::connect(addr).expect("the one that fits");
+            let backlog_connection = TcpStream::connect(addr).expect("the connection that fills the backlog");
             drop(socket);
             wait_for_pending_connections(addr, 1);
             wait_for_pending_connections(addr, 0);
-            drop(taken);
-            listener.accept().expect("the one that fitted");
+            drop(backlog_connection);
+            listener.accept().expect("the connection that filled the backlog");
         }
         Stage::Refused | Stage::Head => drop(thread::spawn(move || hold_until_closed(socket))),
         Stage::Body => {
-            let (half, _) = body.split_at(body.len() / 2);
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{half}", body.len());
-            socket.write_all(head.as_bytes()).expect("it reads");
+            let (first_half, _) = body.split_at(body.len() / 2);
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{first_half}", body.len());
+            socket.write_all(head.as_bytes()).expect("the gateway reads");
             thread::spawn(move || hold_until_closed(socket));
         }
         Stage::Reset => drop(socket),
         Stage::Status => {
-            let full = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-            socket.write_all(full).expect("it reads");
+            let unavailable_response = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+            socket.write_all(unavailable_response).expect("the gateway reads");
         }
     }
     accept_call(&listener);
     changed_at.elapsed()
 }
 
-/// Keeps a connection open until the other side closes it.
+/// Keeps the connection open until the gateway closes it.
 fn hold_until_closed(socket: TcpStream) {
     while read_message(&mut BufReader::new(&socket)).is_some() {}
 }
 
 fn assert_next_call_in_time(mode: &str, gateways: u32) {
     thread::scope(|scope| {
-        let begin = |stage| (stage, scope.spawn(move || time_until_next_call(mode, gateways, stage)));
-        for (stage, thread) in ALL_STAGES.map(begin) {
-            let after = thread.join().expect("no panic inside");
+        let spawn_stage = |stage| (stage, scope.spawn(move || time_until_next_call(mode, gateways, stage)));
+        for (stage, thread) in ALL_STAGES.map(spawn_stage) {
+            let elapsed = thread.join().expect("the thread did not panic");
             assert!(
-                after + CONNECT_DELAY_ALLOWANCE < NOTIFICATION_LIMIT,
-                "{mode}, {gateways} gateways, {stage:?}: next call after {after:?}"
+                elapsed + CONNECT_DELAY_ALLOWANCE < NOTIFICATION_LIMIT,
+                "{mode}, {gateways} gateways, {stage:?}: next call after {elapsed:?}"
             );
         }
     });
--- a/tests/endpoint_attempts.rs
+++ b/tests/endpoint_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of the built program at endpoints that fail: what is retried, and what the client receives.
+//! Attempts of the built program at failing endpoints: retries, and responses to the client.
 
 mod fakes;
 use fakes::{EndpointBehaviour, EndpointEvent, FakeEndpoint, Gate, NodeBuilder, TestRequest, endpoint_entry};
@@ -22,7 +22,7 @@
         let (one, two) = (FakeEndpoint::start(behaviour.clone()), FakeEndpoint::start(behaviour));
         let (builder, _discovery) = NodeBuilder::new(&[&one, &two]);
         let node = builder.start();
-        // Failed, not rejected: a rejection would promise that the request has not run.
+        // The status says failed, not rejected: a rejection would mean that the request has not run.
         assert_eq!(node.send_request(&TestRequest::at_most_once("once")).status(), 502);
         assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "one attempt");
     }
@@ -30,7 +30,7 @@
 
 #[test]
 fn retry_with_zone_scoped_idempotency_key_stays_in_unlisted_zone() {
-    for (other, status, sent) in [("hall-y", 502, 0), ("hall-x", 200, 1)] {
+    for (second_zone, expected_status, expected_requests) in [("hall-y", 502, 0), ("hall-x", 200, 1)] {
         let (first, second) = (
             FakeEndpoint::start(EndpointBehaviour::Close),
             FakeEndpoint::start(EndpointBehaviour::Respond("second")),
@@ -40,7 +40,7 @@
         class["Effect"] = json!("deduplicated");
         class["Group"] = json!("zone");
         class["Window"] = json!(30.0);
-        for (id, endpoint, zone) in [("w0", &first, "hall-x"), ("w1", &second, other)] {
+        for (id, endpoint, zone) in [("w0", &first, "hall-x"), ("w1", &second, second_zone)] {
             let mut entry =
                 endpoint_entry(id, endpoint.addr, if id == "w0" { "SERVING" } else { "DRAINING" });
             entry["zone"] = json!(zone);
@@ -56,8 +56,12 @@
         builder.known_endpoints[1]["state"] = json!("SERVING");
         discovery.wait_until_applied(discovery.update_entry(builder.known_endpoints[1].clone()));
         gate.open();
-        assert_eq!(client.read_response().expect("a complete response").status(), status, "{other}");
-        assert_eq!(second.drain_requests().len(), sent, "{other}");
+        assert_eq!(
+            client.read_response().expect("a complete response").status(),
+            expected_status,
+            "{second_zone}"
+        );
+        assert_eq!(second.drain_requests().len(), expected_requests, "{second_zone}");
     }
 }
 
@@ -68,13 +72,13 @@
         FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
     );
     let (mut builder, discovery) = NodeBuilder::new(&[&overloaded, &healthy]);
-    // A port that was free a moment ago and on which nobody listens.
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
-    let unreachable = endpoint_entry("w2", nobody, "SERVING");
+    // A port that was free just before and on which nothing listens.
+    let closed_addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let unreachable = endpoint_entry("w2", closed_addr, "SERVING");
     discovery.update_entry(unreachable.clone());
     builder.known_endpoints.push(unreachable);
     let node = builder.start();
-    // The order is random and the retry budget limited: repeat until the overloaded endpoint was tried.
+    // The order is random and the retry budget limited, so the test repeats until the overloaded endpoint was tried.
     for i in 0.. {
         assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("r{i}"))).status(), 200);
         assert_eq!(healthy.drain_requests().len(), 1);
@@ -117,11 +121,11 @@
     assert_eq!(
         node.send_request(&TestRequest::at_most_once("u").with_header("X-Remaining", "0.3")).status(),
         502,
-        "it may have run"
+        "the request may have run"
     );
 }
 
-/// Malformed responses; after each the endpoint keeps the connection open.
+/// Malformed responses, after which the endpoint keeps the connection open.
 const MALFORMED_RESPONSES: [&str; 9] = [
     "\u{1}\u{2} noise \u{3}\r\n\r\n",
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Half",
@@ -163,7 +167,7 @@
         client.send(&TestRequest::at_most_once("once").with_header("Connection", "close"));
         endpoint.next_request();
         endpoint.set_behaviour(EndpointBehaviour::Respond("ok"));
-        // An endless body is streamed until it is cut off, visibly to the client.
+        // An endless body is streamed until it is cut off, so that the client sees an incomplete response.
         let response = client.read_until_closed();
         assert!(
             response.starts_with("HTTP/1.1 502 ")
--- a/tests/endpoint_pool.rs
+++ b/tests/endpoint_pool.rs
@@ -14,7 +14,7 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     let mut client = node.connect();
-    // At-most-once requests, so that an attempt on the dead connection would be visible as a failure.
+    // At-most-once requests are not retried, so an attempt on a dead connection would be visible as a failure.
     for i in 0..4 {
         assert_eq!(client.send_request(&TestRequest::at_most_once(&format!("d{i}"))).status(), 200);
         endpoint.wait_for_event(|event| matches!(event, EndpointEvent::WriteFinished));
@@ -31,7 +31,7 @@
     let send = |txn: &str| node.send_request(&TestRequest::at_most_once(txn)).status();
     assert_eq!(send("a"), 200);
     idle();
-    assert_eq!(send("b"), 502, "it may have run");
+    assert_eq!(send("b"), 502, "the request may have run");
     for txn in ["c", "d", "e"] {
         assert_eq!(send(txn), 200, "a new connection, as the pooled one was idle for too long");
         idle();
@@ -57,8 +57,8 @@
 #[test]
 fn unsolicited_bytes_on_idle_connection_do_not_answer_next_request() {
     let gate = Arc::new(Gate::default());
-    let more = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
-    let endpoint = FakeEndpoint::start(EndpointBehaviour::RespondThenWriteRaw(gate.clone(), more));
+    let unsolicited = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
+    let endpoint = FakeEndpoint::start(EndpointBehaviour::RespondThenWriteRaw(gate.clone(), unsolicited));
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     for i in 0..4 {
@@ -75,18 +75,18 @@
     let (builder, discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     assert_eq!(node.send_request(&TestRequest::new("a")).status(), 200);
-    let (first, _) = endpoint.next_request();
+    let (first_connection, _) = endpoint.next_request();
     wait_until_connection_is_reusable();
     discovery.update_entry(endpoint_entry("w0", endpoint.addr, "DELETED"));
     discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w1", endpoint.addr, "SERVING")));
     assert_eq!(node.send_request(&TestRequest::new("b")).status(), 200);
-    let (second, _) = endpoint.next_request();
-    assert_ne!(first, second);
+    let (second_connection, _) = endpoint.next_request();
+    assert_ne!(first_connection, second_connection);
     wait_until_connection_is_reusable();
-    // The same holds for the same endpoint after a restart.
+    // A restart of the same endpoint has the same effect.
     let mut restarted_entry = endpoint_entry("w1", endpoint.addr, "SERVING");
     restarted_entry["started_ms"] = json!(1000);
     discovery.wait_until_applied(discovery.update_entry(restarted_entry));
     assert_eq!(node.send_request(&TestRequest::new("c")).status(), 200);
-    assert_ne!(endpoint.next_request().0, second);
+    assert_ne!(endpoint.next_request().0, second_connection);
 }
