--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The structured log, as the built program writes it.
+//! Structured log of the built program.
 
 mod fakes;
 use fakes::{
@@ -12,8 +12,8 @@
     process::Command,
 };
 
-/// All lines that the program logs at a log setting while it serves one request, rejects one and stops.
-fn lines(setting: &str) -> Vec<String> {
+/// Returns all lines that the program logs with `setting` while it serves one request, rejects one and stops.
+fn logged_lines(setting: &str) -> Vec<String> {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let (mut child, path) = spawn_program(
@@ -22,58 +22,66 @@
     );
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines().map(|line| line.expect("text"));
     let mut lines: Vec<String> = log.by_ref().take(1).collect();
-    let addr = address(&lines[0]);
+    let addr = listening_address(&lines[0]);
     assert_eq!(Client::connect(addr).send_request(&TestRequest::new("served")).status(), 200);
     endpoint.set_behaviour(EndpointBehaviour::WriteRaw(
         "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
     ));
-    assert_eq!(Client::connect(addr).send_request(&TestRequest::new("refused")).status(), 429);
-    let killed = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().expect("kill runs");
-    assert!(killed.success());
+    assert_eq!(Client::connect(addr).send_request(&TestRequest::new("rejected")).status(), 429);
+    let kill_status =
+        Command::new("kill").args(["-TERM", &child.id().to_string()]).status().expect("kill runs");
+    assert!(kill_status.success());
     lines.extend(log);
     assert!(child.wait().expect("a child").success());
     let _ = std::fs::remove_file(path);
     lines
 }
 
-/// The listening address in the first line.
-fn address(line: &str) -> SocketAddr {
+/// Returns the listening address in the first line.
+fn listening_address(line: &str) -> SocketAddr {
     let (_, address) = line.split_once("address").expect("an address");
     let plain = address.trim_matches(|c: char| !c.is_ascii_digit());
     plain.parse().unwrap_or_else(|e| panic!("{e}: {line}"))
 }
 
-fn json(line: &str) -> BTreeMap<String, Value> {
+fn parse_json(line: &str) -> BTreeMap<String, Value> {
     serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"))
 }
 
 #[test]
 fn default_level_logs_no_requests() {
-    let lines = lines("info");
+    let lines = logged_lines("info");
     assert!(lines.iter().any(|line| line.contains("stopped")), "{lines:?}");
     assert!(!lines.iter().any(|line| line.contains("request") || line.contains("attempt")), "{lines:?}");
 }
 
 #[test]
 fn json_log_lines_are_objects_and_requests_are_traceable_by_id() {
-    let lines: Vec<BTreeMap<String, Value>> = lines("debug,json").iter().map(|line| json(line)).collect();
-    let of = |name: &str| -> Vec<&BTreeMap<String, Value>> {
+    let lines: Vec<BTreeMap<String, Value>> =
+        logged_lines("debug,json").iter().map(|line| parse_json(line)).collect();
+    let lines_of = |name: &str| -> Vec<&BTreeMap<String, Value>> {
         let name = format!("\"{name}\"");
         lines.iter().filter(|line| line.get("request").is_some_and(|r| *r == name)).collect()
     };
-    let events = |name: &str| -> Vec<String> {
-        of(name).iter().map(|line| line["message"].as_str().expect("a message").to_owned()).collect()
+    let messages_of = |name: &str| -> Vec<String> {
+        lines_of(name).iter().map(|line| line["message"].as_str().expect("a message").to_owned()).collect()
     };
-    assert_eq!(events("served"), ["request accepted", "attempt started", "attempt ended", "final response"]);
-    let refused = events("refused");
     assert_eq!(
-        (refused[0].as_str(), refused[refused.len() - 1].as_str()),
+        messages_of("served"),
+        ["request accepted", "attempt started", "attempt ended", "final response"]
+    );
+    let rejected_messages = messages_of("rejected");
+    assert_eq!(
+        (rejected_messages[0].as_str(), rejected_messages[rejected_messages.len() - 1].as_str()),
         ("request accepted", "final response")
     );
-    let begun = of("served")[1];
-    assert_eq!((&begun["endpoint"], &begun["attempt"]), (&Value::from("w0"), &Value::from(0)));
-    assert_eq!(of("served")[2]["reason"], "Ok");
-    assert_eq!(of("served")[0]["customer"], "00000000b4d65521");
+    let attempt_started = lines_of("served")[1];
+    assert_eq!(
+        (&attempt_started["endpoint"], &attempt_started["attempt"]),
+        (&Value::from("w0"), &Value::from(0))
+    );
+    assert_eq!(lines_of("served")[2]["reason"], "Ok");
+    assert_eq!(lines_of("served")[0]["customer"], "00000000b4d65521");
     assert!(
         lines.iter().all(|line| ["timestamp", "level", "message"].iter().all(|key| line.contains_key(*key)))
     );
@@ -88,15 +96,15 @@
         &LaunchOptions { log_setting: Some("debug"), ..LaunchOptions::default() },
     );
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-    let listening =
+    let logged_address =
         log.find_map(|line| line.expect("text").rsplit_once("address=").map(|(_, a)| a.to_owned()));
-    let addr = listening.and_then(|addr| addr.parse().ok()).expect("what it bound");
+    let addr = logged_address.and_then(|addr| addr.parse().ok()).expect("the bound address");
     // Every write to the log fails from now on.
     drop(log);
     for i in 0..20 {
         assert_eq!(Client::connect(addr).send_request(&TestRequest::new(&format!("r{i}"))).status(), 200);
     }
-    assert!(child.try_wait().expect("a child").is_none(), "it has ended");
+    assert!(child.try_wait().expect("a child").is_none(), "the process has ended");
     let _ = child.kill();
     let _ = child.wait();
     let _ = std::fs::remove_file(path);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Calls of the operators to the built program: health check, maintenance, statistics.
+//! Operator calls to the built program: health check, maintenance, statistics.
 
 mod fakes;
 use fakes::{Client, EndpointBehaviour, FakeEndpoint, Gate, NodeBuilder, TestRequest, endpoint_entry};
@@ -13,14 +13,14 @@
 fn health_check_succeeds_while_accepting_and_invalid_calls_get_errors() {
     let (builder, _discovery) = NodeBuilder::with_operator_address(&[]);
     let node = builder.start();
-    // The health check may fail until the process accepts clients, though the port is bound before.
+    // The operator port is bound before the process accepts clients; until then the health check may fail.
     while node.operator_call("GET /healthcheck").status() != 200 {}
     assert_eq!(node.operator_call("GET /nonesuch").status(), 404);
-    let no = node.operator_call("POST /healthcheck");
-    assert_eq!((no.status(), no.header("allow")), (405, "GET"));
+    let response = node.operator_call("POST /healthcheck");
+    assert_eq!((response.status(), response.header("allow")), (405, "GET"));
     let mut client = Client::connect(node.operator_addr);
     client.reader.get_mut().write_all(b"\x16\x03\x01 nonsense\r\n\r\n").expect("a socket");
-    assert_eq!(client.read_response().expect("an answer").status(), 400);
+    assert_eq!(client.read_response().expect("a response").status(), 400);
 }
 
 #[test]
@@ -34,14 +34,17 @@
         client.send(&TestRequest::new(&format!("h{i}")));
     }
     endpoint.next_request();
-    let half = |_| {
+    let start_incomplete_call = |_| {
         let mut caller = Client::connect(node.operator_addr);
         let _ = caller.reader.get_mut().write_all(b"GET /healthcheck HTT");
         caller
     };
-    let mut held: Vec<Client> = (0..60).map(half).collect();
+    let mut incomplete_callers: Vec<Client> = (0..60).map(start_incomplete_call).collect();
     while node.operator_call("GET /healthcheck").status() != 200 {}
-    assert!(held[0].reader.read(&mut [0]).is_ok_and(|n| n == 0), "it made room");
+    assert!(
+        incomplete_callers[0].reader.read(&mut [0]).is_ok_and(|n| n == 0),
+        "the oldest operator connection is closed"
+    );
 }
 
 #[test]
@@ -67,7 +70,7 @@
     let node = builder.start();
     assert_eq!(node.operator_call("PUT /workers/w0/maint").status(), 200);
     assert_eq!(node.operator_call("PUT /workers/w%30/maint").status(), 200, "idempotent");
-    // The endpoint list says that it is running.
+    // The endpoint list says that the endpoint is running.
     discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", one.addr, "SERVING")));
     for i in 0..20 {
         assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("a{i}"))).body, b"two");
@@ -85,10 +88,10 @@
     assert_eq!(node.operator_call("PUT /workers/w0/ready").status(), 200);
     assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200);
     for i in 0.. {
-        // Slow start: requests beyond its allowance are rejected.
+        // Requests beyond the allowance of the slow start are rejected.
         match node.send_request(&TestRequest::at_most_once(&format!("b{i}"))) {
             served if served.status() == 200 => return assert_eq!(served.body, b"one"),
-            refused => assert_eq!(refused.status(), 429),
+            rejected => assert_eq!(rejected.status(), 429),
         }
     }
 }
@@ -101,7 +104,7 @@
     );
     let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
     let node = builder.start();
-    let figure = |name: &str| -> u64 {
+    let metric = |name: &str| -> u64 {
         let response = node.operator_call("GET /stats");
         assert!(response.status() == 200 && response.header("content-type").starts_with("text/plain"));
         let text = String::from_utf8(response.body).expect("text");
@@ -110,7 +113,7 @@
     };
     let classes = ["check-answer", "submit"];
     for (kind, class) in ["success", "overload", "error"].iter().flat_map(|k| classes.map(|c| (k, c))) {
-        assert_eq!(figure(&format!("svc_{kind}{{type=\"{class}\"}}")), 0, "from the start");
+        assert_eq!(metric(&format!("svc_{kind}{{type=\"{class}\"}}")), 0, "reported from the start");
     }
     for i in 0..3 {
         assert_eq!(node.send_request(&TestRequest::new(&format!("a{i}"))).status(), 200);
@@ -122,12 +125,12 @@
     assert_eq!(node.send_request(&TestRequest::new("c")).status(), 429);
     // An invalid request is not counted.
     assert_eq!(node.send_request(&TestRequest::new("d").without_header("X-Plan")).status(), 400);
-    assert_eq!(figure("svc_success{type=\"check-answer\"}"), 3);
-    assert_eq!(figure("svc_success{type=\"submit\"}"), 0);
-    assert_eq!(figure("svc_overload{type=\"check-answer\"}"), 1);
-    assert_eq!(figure("svc_error{type=\"submit\"}"), 1);
-    let whole = one.drain_requests().len() + two.drain_requests().len();
-    assert_eq!(figure("svc_dispatches"), whole as u64);
+    assert_eq!(metric("svc_success{type=\"check-answer\"}"), 3);
+    assert_eq!(metric("svc_success{type=\"submit\"}"), 0);
+    assert_eq!(metric("svc_overload{type=\"check-answer\"}"), 1);
+    assert_eq!(metric("svc_error{type=\"submit\"}"), 1);
+    let attempts = one.drain_requests().len() + two.drain_requests().len();
+    assert_eq!(metric("svc_dispatches"), attempts as u64);
     // A request is in flight until its client has the response or has disconnected.
     let gate = Arc::new(Gate::default());
     for endpoint in [&one, &two] {
@@ -137,16 +140,16 @@
     for (i, client) in clients.iter_mut().enumerate() {
         client.send(&TestRequest::at_most_once(&format!("w{i}")));
     }
-    while figure("svc_concurrent") != 3 {}
+    while metric("svc_concurrent") != 3 {}
     drop(clients.pop());
-    while figure("svc_concurrent") != 2 {}
+    while metric("svc_concurrent") != 2 {}
     gate.open();
     for client in &mut clients {
         assert_eq!(client.read_response().map(|response| response.status()), Some(200));
     }
-    while figure("svc_concurrent") != 0 {}
-    assert_eq!(figure("svc_success{type=\"submit\"}"), 2);
-    assert_eq!((figure("svc_targets"), figure("svc_targets_disabled")), (2, 0));
+    while metric("svc_concurrent") != 0 {}
+    assert_eq!(metric("svc_success{type=\"submit\"}"), 2);
+    assert_eq!((metric("svc_targets"), metric("svc_targets_disabled")), (2, 0));
     assert_eq!(node.operator_call("PUT /workers/w1/maint").status(), 200);
-    assert_eq!((figure("svc_targets"), figure("svc_targets_disabled")), (2, 1));
+    assert_eq!((metric("svc_targets"), metric("svc_targets_disabled")), (2, 1));
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -17,30 +17,30 @@
         FakeEndpoint::start(EndpointBehaviour::RespondAfter(gate.clone())),
         FakeEndpoint::start(EndpointBehaviour::Respond("new")),
     );
-    let (one, two) =
+    let (old_counter, new_counter) =
         (FakeCounter::start(CounterBehaviour::Normal), FakeCounter::start(CounterBehaviour::Normal));
     let (mut builder, _discovery) = NodeBuilder::new(&[&old]);
-    builder.counter(one.addr);
+    builder.counter(old_counter.addr);
     let node = builder.start();
-    let mut held = node.connect();
-    held.send(&TestRequest::new("held").with_header("X-Plan", "pieni"));
-    one.next_call();
+    let mut client = node.connect();
+    client.send(&TestRequest::new("held").with_header("X-Plan", "pieni"));
+    old_counter.next_call();
     old.next_request();
-    // The new discovery has versions of its own, which are lower: only its complete list shows that the endpoint is
-    // gone.
-    let elsewhere = FakeDiscovery::start(&[endpoint_entry("w9", new.addr, "SERVING")]);
-    builder.discovery(elsewhere.addr).counter(two.addr);
+    // The new discovery service numbers its versions separately and lower, so only its complete list shows that the old
+    // endpoint is gone.
+    let new_discovery = FakeDiscovery::start(&[endpoint_entry("w9", new.addr, "SERVING")]);
+    builder.discovery(new_discovery.addr).counter(new_counter.addr);
     node.reload(&builder.config().to_string());
     node.wait_for_log("configuration reloaded");
-    elsewhere.wait_until_applied(1);
-    let other = TestRequest::new("other")
+    new_discovery.wait_until_applied(1);
+    let other_customer = TestRequest::new("other")
         .with_header("X-Plan", "pieni")
         .with_header("X-Customer", "0000000000000002");
-    assert_eq!(node.send_request(&other).body, b"new");
-    two.next_call();
+    assert_eq!(node.send_request(&other_customer).body, b"new");
+    new_counter.next_call();
     gate.open();
     assert_eq!(
-        held.read_response().map(|response| response.status()),
+        client.read_response().map(|response| response.status()),
         Some(200),
         "the request in flight is answered"
     );
@@ -55,19 +55,19 @@
     let (mut builder, discovery) = NodeBuilder::new(&[&old]);
     let node = builder.start();
     discovery.wait_until_applied(1);
-    for bad in ["{", "", "{\"discovery\":\"nowhere\"}"] {
-        node.reload(bad);
+    for invalid_config in ["{", "", "{\"discovery\":\"nowhere\"}"] {
+        node.reload(invalid_config);
         node.wait_for_log("the old configuration stays");
         assert_eq!(node.send_request(&TestRequest::new("a")).body, b"old");
     }
-    // The old discovery is still followed, and after the next reload the new one.
+    // The gateway still follows the old discovery service, and after the next reload the new one.
     discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w1", new.addr, "SERVING")));
     discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", old.addr, "DELETED")));
     assert_eq!(node.send_request(&TestRequest::new("b")).body, b"new");
-    let elsewhere = FakeDiscovery::start(&[endpoint_entry("w0", old.addr, "SERVING")]);
-    builder.discovery(elsewhere.addr);
+    let new_discovery = FakeDiscovery::start(&[endpoint_entry("w0", old.addr, "SERVING")]);
+    builder.discovery(new_discovery.addr);
     node.reload(&builder.config().to_string());
-    elsewhere.wait_until_applied(1);
+    new_discovery.wait_until_applied(1);
     assert_eq!(node.send_request(&TestRequest::new("c")).body, b"old");
 }
 
@@ -78,13 +78,13 @@
     let entries = builder.known_endpoints.clone();
     let mut node = builder.start();
     let addr = node.addr;
-    let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let load = std::thread::spawn({
-        let (stop, asked) = (stop.clone(), asked.clone());
+    let (is_stopping, sent) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let load_thread = std::thread::spawn({
+        let (is_stopping, sent) = (is_stopping.clone(), sent.clone());
         move || {
             let mut client = Client::connect(addr);
-            while !stop.load(Ordering::Relaxed) {
-                let i = asked.fetch_add(1, Ordering::Relaxed);
+            while !is_stopping.load(Ordering::Relaxed) {
+                let i = sent.fetch_add(1, Ordering::Relaxed);
                 let request = TestRequest::new(&format!("l{i}")).with_header("X-Plan", "pieni");
                 // Each customer sends one request, so each request causes a counter call.
                 assert_eq!(
@@ -94,8 +94,8 @@
             }
         }
     });
-    // Services that are no longer used stay open, as an old address may.
-    let mut kept = Vec::new();
+    // Services that are no longer used keep running, as they may at an old address.
+    let mut services = Vec::new();
     for _ in 0..12 {
         let (discovery, counter) =
             (FakeDiscovery::start(&entries), FakeCounter::start(CounterBehaviour::Normal));
@@ -103,17 +103,17 @@
         node.reload(&builder.config().to_string());
         discovery.wait_until_applied(1);
         counter.next_call();
-        kept.push((discovery, counter));
+        services.push((discovery, counter));
     }
-    let before = asked.load(Ordering::Relaxed);
-    while asked.load(Ordering::Relaxed) < before + 20 && !load.is_finished() {
+    let sent_before = sent.load(Ordering::Relaxed);
+    while sent.load(Ordering::Relaxed) < sent_before + 20 && !load_thread.is_finished() {
         std::thread::yield_now();
     }
-    let open = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("a process").count();
-    assert!(open < 64, "{open} descriptors");
+    let descriptors = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).expect("a process").count();
+    assert!(descriptors < 64, "{descriptors} descriptors");
     node.reload(&builder.config().to_string());
-    stop.store(true, Ordering::Relaxed);
-    load.join().expect("every request was served");
+    is_stopping.store(true, Ordering::Relaxed);
+    load_thread.join().expect("every request was served");
     node.terminate();
-    assert!(node.wait_for_exit().success(), "SIGTERM right behind a reload drains");
+    assert!(node.wait_for_exit().success(), "SIGTERM right after a reload drains");
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -12,10 +12,11 @@
     time::{Duration, Instant},
 };
 
-/// Processor time that the process has used, in hundredths of a second.
+/// Returns the processor time that the process has used, in hundredths of a second.
 fn processor_time(node: &Node) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.child.id())).expect("a process");
-    let fields: Vec<&str> = stat.rsplit(')').next().expect("its name").split_whitespace().collect();
+    let fields: Vec<&str> =
+        stat.rsplit(')').next().expect("the fields after the name").split_whitespace().collect();
     fields[11..13].iter().map(|v| v.parse::<u64>().expect("a time")).sum()
 }
 
@@ -30,9 +31,9 @@
     builder.discovery(closed_port.addr);
     let node = builder.start_with(&LaunchOptions { max_descriptors: Some(96), ..LaunchOptions::default() });
     node.wait_for_log("discovery failed reason=no connection");
-    let mut old = node.connect();
-    assert_eq!(old.send_request(&TestRequest::new("old")).status(), 200);
-    // Far more clients than descriptors: some send one request and idle, some a part of one, some nothing.
+    let mut earlier_client = node.connect();
+    assert_eq!(earlier_client.send_request(&TestRequest::new("old")).status(), 200);
+    // Far more clients than descriptors: a third send a request and idle, a third send a part of one, a third nothing.
     let mut idle = Vec::new();
     for i in 0..300 {
         let mut client = node.connect();
@@ -48,26 +49,26 @@
         let status = client.read_response().expect("a complete response").status();
         assert!(matches!(status, 200 | 429), "{status}, though excess requests may be rejected");
     }
-    let before = processor_time(&node);
+    let time_before = processor_time(&node);
     std::thread::sleep(Duration::from_secs(1));
-    assert!(processor_time(&node) - before < 50, "it spins");
+    assert!(processor_time(&node) - time_before < 50, "the process spins");
     // Discovery recovers, with a change.
     let serving = FakeEndpoint::start(EndpointBehaviour::Respond("well"));
     discovery.update_entry(endpoint_entry("w1", serving.addr, "SERVING"));
     let version = discovery.update_entry(endpoint_entry("w0", endpoint.addr, "DRAINING"));
     discovery.also_serve_on(closed_port.listen());
     discovery.wait_until_applied(version);
-    let plan = |txn: &str| TestRequest::new(txn).with_header("X-Plan", "pieni");
-    assert_eq!(node.send_request(&plan("new")).body, b"well", "the counter is reached, too");
-    let mut resting = 0;
+    let limited_request = |txn: &str| TestRequest::new(txn).with_header("X-Plan", "pieni");
+    assert_eq!(node.send_request(&limited_request("new")).body, b"well", "the counter is reached, too");
+    let mut kept_open = 0;
     for (i, client) in idle.iter_mut().enumerate().step_by(3) {
-        // A client whose idle connection was closed would connect again.
+        // An idle connection may have been closed; its client would connect again.
         client.send(&TestRequest::new(&format!("again{i}")));
         let response = client.read_response();
-        resting += usize::from(response.is_some());
+        kept_open += usize::from(response.is_some());
         assert!(response.is_none_or(|a| a.body == b"well" || a.status() == 429));
     }
-    assert!(resting > 0, "some idle connections stay open");
+    assert!(kept_open > 0, "some idle connections stay open");
     assert_eq!(node.send_request(&TestRequest::new("last")).body, b"well");
     counter.calls.recv_timeout(WAIT_LIMIT).expect("a call");
 }
@@ -75,48 +76,48 @@
 #[test]
 fn nine_in_ten_of_350_processes_are_ready_in_time_without_discovery_and_counter() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    let (mut builder, _unused) = NodeBuilder::new(&[&endpoint]);
+    let (mut builder, _unused_discovery) = NodeBuilder::new(&[&endpoint]);
     let closed_port = ReservedPort::new();
-    // Accepted and silent, never established, or refused.
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let late = SaturatedListener::start();
-    let places = [silent.local_addr().expect("bound"), late.addr, closed_port.addr];
-    let fleet = 350;
+    // Connections are accepted without a response, stay pending, or are refused.
+    let silent_listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let saturated = SaturatedListener::start();
+    let addresses = [silent_listener.local_addr().expect("bound"), saturated.addr, closed_port.addr];
+    let process_count = 350;
     let mut nodes = Vec::new();
-    for index in 0..fleet {
-        builder.discovery(places[index % 3]);
-        builder.counter(places[index / 3 % 3]);
+    for index in 0..process_count {
+        builder.discovery(addresses[index % 3]);
+        builder.counter(addresses[index / 3 % 3]);
         builder.settings["Discovery"] = json!(if index % 2 == 0 { "push" } else { "ask" });
-        builder.settings["PeersTotal"] = json!(fleet);
+        builder.settings["PeersTotal"] = json!(process_count);
         builder.settings["Me"] = json!(index);
         nodes.push((Instant::now(), builder.spawn()));
     }
-    let mut slow = 0;
-    for (begun, (mut child, path)) in nodes {
+    let mut late_count = 0;
+    for (started_at, (mut child, path)) in nodes {
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
         let mut line = String::new();
         while !line.contains("listening gateway=") {
             line.clear();
-            assert!(log.read_line(&mut line).expect("a line") > 0, "it ended");
+            assert!(log.read_line(&mut line).expect("a line") > 0, "the process has ended");
         }
         let addr =
-            line.trim().rsplit_once("address=").and_then(|(_, a)| a.parse().ok()).expect("what it bound");
-        let mut up = TestRequest::new("");
-        up.request_line = "GET /up HTTP/1.1".into();
-        let response = Client::connect(addr).send_request(&up);
-        slow += usize::from(response.status() != 200 || begun.elapsed() > Duration::from_secs(10));
+            line.trim().rsplit_once("address=").and_then(|(_, a)| a.parse().ok()).expect("the bound address");
+        let mut health_check = TestRequest::new("");
+        health_check.request_line = "GET /up HTTP/1.1".into();
+        let response = Client::connect(addr).send_request(&health_check);
+        late_count += usize::from(response.status() != 200 || started_at.elapsed() > Duration::from_secs(10));
         assert!(child.kill().is_ok() && child.wait().is_ok());
         let _ = std::fs::remove_file(path);
     }
-    assert!(slow * 10 <= fleet, "{slow} of {fleet} were not ready in time");
+    assert!(late_count * 10 <= process_count, "{late_count} of {process_count} were not ready in time");
 }
 
 #[test]
 fn list_of_1024_endpoints_in_fleet_of_1024_is_applied() {
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let addr = nobody.local_addr().expect("bound");
+    let unused_listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let addr = unused_listener.local_addr().expect("bound");
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    let (mut builder, _unused) = NodeBuilder::new(&[]);
+    let (mut builder, _unused_discovery) = NodeBuilder::new(&[]);
     builder.known_endpoints = (0..1023).map(|i| endpoint_entry(&format!("w{i}"), addr, "DRAINING")).collect();
     builder.known_endpoints.push(endpoint_entry("w1023", endpoint.addr, "SERVING"));
     builder.settings["PeersTotal"] = json!(1024);
@@ -127,7 +128,7 @@
     config["limits"]["memory_mb"] = json!(32);
     let node = builder.start_with_config(&config.to_string(), &LaunchOptions::default());
     let request = |txn: &str| TestRequest::new(txn).with_header("X-Quota", "units=1,spread=1024,first=1023");
-    assert_eq!(node.send_request(&request("known")).status(), 200, "the list of the start");
+    assert_eq!(node.send_request(&request("known")).status(), 200, "the configured list");
     // The same list from discovery, indented, with another running endpoint.
     let other = FakeEndpoint::start(EndpointBehaviour::Respond("other"));
     builder.known_endpoints[1023] = endpoint_entry("w1023", addr, "DRAINING");
@@ -138,24 +139,25 @@
     let (mut socket, _) = listener.accept().expect("a call");
     read_message(&mut BufReader::new(&socket)).expect("a call");
     let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    socket.write_all(response.as_bytes()).expect("it reads");
-    let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
-    assert!(next.start_line.contains("from=7"), "{}", next.start_line);
+    socket.write_all(response.as_bytes()).expect("the gateway reads");
+    let watch = read_message(&mut BufReader::new(&socket)).expect("a watch");
+    assert!(watch.start_line.contains("from=7"), "{}", watch.start_line);
     assert_eq!(node.send_request(&request("told")).body, b"other");
 }
 
-/// An endpoint list of `count` endpoints, indented for people to read, of which only the last is running.
+/// Returns an indented list of `count` endpoints, of which only `last` is running.
 fn indented_list(count: usize, version: u64, last: &FakeEndpoint) -> String {
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let closed_addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
     let id = |i: usize| format!("worker-hall-a-{i:05}");
-    let mut endpoints: Vec<_> = (0..count - 1).map(|i| endpoint_entry(&id(i), nobody, "DRAINING")).collect();
+    let mut endpoints: Vec<_> =
+        (0..count - 1).map(|i| endpoint_entry(&id(i), closed_addr, "DRAINING")).collect();
     endpoints.push(endpoint_entry(&id(count - 1), last.addr, "SERVING"));
     let list = json!({"version": version, "full": true, "servers": endpoints});
     serde_json::to_string_pretty(&list).expect("JSON").replace('\n', "\r\n        ")
 }
 
-/// Accepts the next call to discovery and answers it.
-fn answer_with(listener: &TcpListener, body: &str) -> TcpStream {
+/// Accepts the next call to discovery, responds with `body` and returns the connection.
+fn answer_next_call(listener: &TcpListener, body: &str) -> TcpStream {
     let (mut socket, _) = listener.accept().expect("a call");
     read_message(&mut BufReader::new(&socket)).expect("a call");
     let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -164,9 +166,9 @@
     socket
 }
 
-/// One of 680 gateways, with 32 MB of memory, and the listener that it polls for the endpoint list.
-fn small_gateway() -> (Node, TcpListener) {
-    let (mut builder, _unused) = NodeBuilder::new(&[]);
+/// Starts one of 680 gateways with 32 MB of memory; returns it with the listener at its address of discovery.
+fn start_small_gateway() -> (Node, TcpListener) {
+    let (mut builder, _unused_discovery) = NodeBuilder::new(&[]);
     builder.settings["PeersTotal"] = json!(680);
     builder.settings["Me"] = json!(679);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -179,16 +181,16 @@
 #[test]
 fn indented_list_of_9200_endpoints_is_applied_within_32_mb() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    // Built before the gateway starts, which waits for a list only for seconds.
+    // Built before the gateway starts, because the gateway waits only seconds for a list.
     let body = indented_list(9200, 7, &endpoint);
-    let (node, listener) = small_gateway();
+    let (node, listener) = start_small_gateway();
     assert!(body.len() > 2 << 20, "{} bytes", body.len());
-    let socket = answer_with(&listener, &body);
-    let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
-    assert!(next.start_line.contains("from=7"), "{}", next.start_line);
+    let socket = answer_next_call(&listener, &body);
+    let watch = read_message(&mut BufReader::new(&socket)).expect("a watch");
+    assert!(watch.start_line.contains("from=7"), "{}", watch.start_line);
     assert_eq!(node.send_request(&TestRequest::new("told")).body, b"ok");
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("a process");
-    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its most resident memory");
+    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("the peak of resident memory");
     let peak: usize = peak.trim().trim_end_matches(" kB").parse().expect("a size");
     assert!(peak < 32 << 10, "{peak} kB");
 }
@@ -197,10 +199,10 @@
 fn too_long_list_is_logged_in_one_line_and_next_list_is_applied() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (long, short) = (indented_list(20_000, 7, &endpoint), indented_list(2, 8, &endpoint));
-    let (node, listener) = small_gateway();
-    answer_with(&listener, &long);
-    answer_with(&listener, &long);
-    answer_with(&listener, &short);
+    let (node, listener) = start_small_gateway();
+    answer_next_call(&listener, &long);
+    answer_next_call(&listener, &long);
+    answer_next_call(&listener, &short);
     assert!(
         node.wait_for_log("discovery failed").ends_with(
             "discovery failed reason=the list is longer than the 4194304 bytes that fit in memory"
@@ -213,20 +215,20 @@
 #[test]
 fn long_list_in_slow_chunks_is_applied() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    // Built before the gateway starts, which waits for a list only for seconds.
+    // Built before the gateway starts, because the gateway waits only seconds for a list.
     let body = indented_list(9200, 7, &endpoint);
-    let (node, listener) = small_gateway();
+    let (node, listener) = start_small_gateway();
     let (mut socket, _) = listener.accept().expect("a call");
     read_message(&mut BufReader::new(&socket)).expect("a call");
-    socket.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("it reads");
-    for piece in body.as_bytes().chunks(body.len().div_ceil(5)) {
+    socket.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("the gateway reads");
+    for chunk in body.as_bytes().chunks(body.len().div_ceil(5)) {
         std::thread::sleep(Duration::from_millis(30));
-        socket.write_all(format!("{:x}\r\n", piece.len()).as_bytes()).expect("it reads");
-        socket.write_all(piece).expect("it reads");
-        socket.write_all(b"\r\n").expect("it reads");
+        socket.write_all(format!("{:x}\r\n", chunk.len()).as_bytes()).expect("the gateway reads");
+        socket.write_all(chunk).expect("the gateway reads");
+        socket.write_all(b"\r\n").expect("the gateway reads");
     }
-    socket.write_all(b"0\r\n\r\n").expect("it reads");
-    let next = read_message(&mut BufReader::new(&socket)).expect("a watch");
-    assert!(next.start_line.contains("from=7"), "{}", next.start_line);
+    socket.write_all(b"0\r\n\r\n").expect("the gateway reads");
+    let watch = read_message(&mut BufReader::new(&socket)).expect("a watch");
+    assert!(watch.start_line.contains("from=7"), "{}", watch.start_line);
     assert_eq!(node.send_request(&TestRequest::new("told")).body, b"ok");
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -17,7 +17,7 @@
     node.terminate();
     node.wait_for_log("stopping gateway=n0 waiting=1");
     gate.open();
-    let response = client.read_response().expect("an answer");
+    let response = client.read_response().expect("a response");
     assert_eq!((response.status(), response.header("connection")), (200, "close"));
     assert!(idle.read_response().is_none(), "idle connections are closed");
     assert!(node.wait_for_exit().success());
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -1,4 +1,4 @@
-//! Streaming by the built program: bodies that are too large to be buffered, in every framing.
+//! Streaming by the built program: bodies that are too large to be buffered, in each framing.
 
 mod fakes;
 use fakes::{
@@ -10,11 +10,11 @@
     sync::Arc,
 };
 
-/// Far more than the sockets and the gateway buffer.
-const LARGE: usize = 24 << 20;
+/// Size of a body that is far larger than all buffers of the gateway and the sockets.
+const LARGE_BODY_BYTES: usize = 24 << 20;
 
-fn text(length: usize) -> String {
-    // Numbered, so that parts out of order are detected.
+fn numbered_text(length: usize) -> String {
+    // The parts are numbered, so that parts out of order are detected.
     (0..).map(|i| format!("{i:07} ")).take(length.div_ceil(8)).collect::<String>()[..length].to_owned()
 }
 
@@ -22,11 +22,11 @@
     text.leak()
 }
 
-fn sized(body: &str) -> &'static str {
+fn sized_response(body: &str) -> &'static str {
     leak(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-fn in_chunks(body: &str, trailer: &str) -> &'static str {
+fn chunked_response(body: &str, trailer: &str) -> &'static str {
     let chunks: String = body
         .as_bytes()
         .chunks(body.len().div_ceil(99))
@@ -37,15 +37,15 @@
 
 #[test]
 fn response_of_any_length_and_framing_is_delivered_complete() {
-    for length in [70_000, LARGE] {
-        let body = text(length);
-        let closing = leak(format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}"));
-        let open = Arc::new(Gate::default());
-        open.open();
+    for length in [70_000, LARGE_BODY_BYTES] {
+        let body = numbered_text(length);
+        let unframed_response = leak(format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}"));
+        let open_gate = Arc::new(Gate::default());
+        open_gate.open();
         for behaviour in [
-            EndpointBehaviour::WriteRaw(sized(&body)),
-            EndpointBehaviour::WriteRaw(in_chunks(&body, "X-Sum: 1\r\n")),
-            EndpointBehaviour::WriteRawInTwoParts(closing, open, ""),
+            EndpointBehaviour::WriteRaw(sized_response(&body)),
+            EndpointBehaviour::WriteRaw(chunked_response(&body, "X-Sum: 1\r\n")),
+            EndpointBehaviour::WriteRawInTwoParts(unframed_response, open_gate, ""),
         ] {
             let endpoint = FakeEndpoint::start(behaviour);
             let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
@@ -65,9 +65,9 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     let mut client = node.connect();
-    for (i, length) in [65_536, 65_537, 400_000, 600_000, LARGE].into_iter().enumerate() {
+    for (i, length) in [65_536, 65_537, 400_000, 600_000, LARGE_BODY_BYTES].into_iter().enumerate() {
         let mut request = TestRequest::at_most_once(&format!("l{i}"));
-        request.body = text(length).into_bytes();
+        request.body = numbered_text(length).into_bytes();
         assert_eq!(client.send_request(&request).status(), 200);
         let forwarded = endpoint.next_request().1;
         assert!(
@@ -90,12 +90,12 @@
 
 #[test]
 fn first_response_bytes_are_delivered_before_last_arrive() {
-    let body = text(200_000);
+    let body = numbered_text(200_000);
     let gate = Arc::new(Gate::default());
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-    let first = leak(head + &body[..1000]);
+    let first_part = leak(head + &body[..1000]);
     let endpoint = FakeEndpoint::start(EndpointBehaviour::WriteRawInTwoParts(
-        first,
+        first_part,
         gate.clone(),
         leak(body[1000..].to_owned()),
     ));
@@ -106,21 +106,21 @@
     let mut line = String::new();
     while line != "\r\n" {
         line.clear();
-        client.reader.read_line(&mut line).expect("a head, though most is still to come");
+        client.reader.read_line(&mut line).expect("the head, before the end of the body is written");
     }
-    let mut came = vec![0; 1000];
-    client.reader.read_exact(&mut came).expect("the first bytes");
+    let mut first_bytes = vec![0; 1000];
+    client.reader.read_exact(&mut first_bytes).expect("the first bytes");
     gate.open();
-    let mut rest = vec![0; body.len() - 1000];
-    client.reader.read_exact(&mut rest).expect("and the last");
-    assert!([came, rest].concat() == body.as_bytes());
+    let mut remaining_bytes = vec![0; body.len() - 1000];
+    client.reader.read_exact(&mut remaining_bytes).expect("the remaining bytes");
+    assert!([first_bytes, remaining_bytes].concat() == body.as_bytes());
 }
 
 #[test]
 fn response_broken_midway_is_visible_to_client_and_not_retried() {
     let gate = Arc::new(Gate::default());
     gate.open();
-    let half = text(100_000);
+    let half = numbered_text(100_000);
     for head in ["Content-Length: 200000", "Transfer-Encoding: chunked"] {
         let chunk = if head.starts_with('T') { "186a0\r\n" } else { "" };
         let received = leak(format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n{chunk}{half}"));
@@ -131,7 +131,7 @@
         let mut client = node.connect();
         client.send(&TestRequest::new("a"));
         let mut received = Vec::new();
-        // A reset is as visible as a missing end.
+        // A reset shows the client a broken response as clearly as a missing end.
         let _ = client.reader.read_to_end(&mut received);
         assert!(
             received.starts_with(b"HTTP/1.1 200 OK") && received.len() < 100_000 + 500,
@@ -156,7 +156,7 @@
     let mut client = node.connect();
     client.send(&TestRequest::at_most_once("a"));
     endpoint.next_request();
-    // Long enough for the response to be streamed; the assertion holds also if it is not yet.
+    // Long enough for the gateway to start streaming the response; the assertion also holds if it has not started.
     std::thread::sleep(std::time::Duration::from_millis(300));
     gate.open();
     let response = client.read_response().expect("a response, as nothing was delivered yet");
@@ -165,7 +165,8 @@
 
 #[test]
 fn client_that_does_not_read_applies_backpressure_and_uses_little_memory() {
-    let endpoint = FakeEndpoint::start(EndpointBehaviour::WriteRaw(sized(&text(LARGE))));
+    let endpoint =
+        FakeEndpoint::start(EndpointBehaviour::WriteRaw(sized_response(&numbered_text(LARGE_BODY_BYTES))));
     let (mut builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     builder.max_sockets(256);
     let node = builder.start();
@@ -177,9 +178,9 @@
         assert!(!client.reader.fill_buf().expect("the first bytes").is_empty());
     }
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("a process");
-    let most = status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.split_whitespace().next()?.parse().ok());
+    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.split_whitespace().next()?.parse().ok());
     // Twenty buffered responses would take 480 MB.
-    assert!(most.is_some_and(|kb: usize| kb < 32 << 10), "{most:?} kB");
+    assert!(peak.is_some_and(|kb: usize| kb < 32 << 10), "{peak:?} kB");
     drop(clients);
     endpoint.set_behaviour(EndpointBehaviour::Respond("ok"));
     // The concurrency limit may reject until the gateway has detected all disconnects.
@@ -192,7 +193,7 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
     let mut request = TestRequest::at_most_once("cut").with_header("Content-Length", "1000000");
-    request.body = text(800_000).into_bytes();
+    request.body = numbered_text(800_000).into_bytes();
     let mut client = node.connect();
     client.send(&request);
     client.reader.get_ref().shutdown(Shutdown::Write).expect("a socket");
@@ -209,7 +210,7 @@
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
-    let body = text(1_000_000);
+    let body = numbered_text(1_000_000);
     let head = |txn: &str| {
         let request = TestRequest::at_most_once(txn)
             .with_header("Content-Length", "1000000")
@@ -222,20 +223,20 @@
     client.reader.get_mut().write_all(body.as_bytes()).expect("a socket");
     assert_eq!(client.read_response().map(|response| response.status()), Some(200));
     assert!(endpoint.next_request().1.body == body.as_bytes());
-    // A plan with a burst of eight units at two gateways, which hardly refills.
-    let refused = (0..20).any(|i| {
+    // The plan's burst of eight units is shared by two gateways and hardly refills.
+    let is_rejected = (0..20).any(|i| {
         let mut client = node.connect();
         client.send(&head(&format!("b{i}")).with_header("X-Plan", "pieni"));
-        let status = client.read_response().expect("a word").status();
+        let status = client.read_response().expect("a response").status();
         assert!(matches!(status, 100 | 429));
         status == 429
     });
-    assert!(refused, "rejected at once, without its body");
+    assert!(is_rejected, "rejected before the body is sent");
 }
 
 #[test]
 fn request_rejected_during_upload_is_answered_while_client_sends_on() {
-    let full = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+    let rejection = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
     let (listener, addr) = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
         let addr = listener.local_addr().expect("bound");
@@ -245,7 +246,7 @@
         for mut socket in listener.incoming().flatten() {
             // Reads the head only, then responds.
             let _ = socket.read(&mut [0; 2000]);
-            let _ = socket.write_all(full.as_bytes());
+            let _ = socket.write_all(rejection.as_bytes());
             let _ = socket.read_to_end(&mut Vec::new());
         }
     });
@@ -254,7 +255,7 @@
     discovery.update_entry(builder.known_endpoints[0].clone());
     let node = builder.start();
     let mut request = TestRequest::at_most_once("t");
-    request.body = text(4 << 20).into_bytes();
+    request.body = numbered_text(4 << 20).into_bytes();
     let mut client = node.connect();
     client.reader.get_mut().write_all(&request.to_bytes()).expect("all of it is read");
     assert_eq!(client.read_response().map(|response| response.status()), Some(429), "the request never ran");
