--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -1,4 +1,5 @@
-//! The `demo` command: runs the built program with stand-ins on this machine, for a first look by hand.
+//! The `demo` command: runs the built program on this machine, with stand-ins for endpoints, discovery and the counter,
+//! so that requests can be sent to it by hand.
 
 use crate::process::{
     Error,
@@ -18,38 +19,38 @@
 };
 use tempfile::NamedTempFile;
 
-/// Endpoints behind the gateway.
+/// Number of endpoints behind the gateway.
 const ENDPOINT_COUNT: usize = 4;
-/// The one class of requests.
+/// Name of the only class of requests.
 const CLASS: &str = "lookup";
-/// The plan with a quota of a few requests.
+/// Name of the only plan, with a quota of a few requests.
 const PLAN: &str = "small";
-/// Time between two checks whether the program has ended.
+/// Interval between checks whether the program has ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Arguments of the `demo` command.
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
-    /// The built program.
+    /// Path of the built program.
     #[arg(long, default_value = concat!(env!("CARGO_MANIFEST_DIR"), "/../target/release/oliverack"))]
     program: PathBuf,
-    /// Where clients connect.
+    /// Address on which the program listens for clients.
     #[arg(long, default_value = "127.0.0.1:8080")]
     listen: SocketAddr,
-    /// Where operators call.
+    /// Address on which the program listens for operators.
     #[arg(long, default_value = "127.0.0.1:8081")]
     operator: SocketAddr,
-    /// Ends after so many seconds; without it, when it is interrupted.
+    /// Ends after this many seconds; without it, runs until interrupted.
     #[arg(long)]
     seconds: Option<u64>,
 }
 
-/// Addresses of the parts of a demonstration.
+/// Addresses of the program and of the services that it calls.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// Where clients connect.
+    /// Address on which the program listens for clients.
     pub listen: SocketAddr,
-    /// Where operators call.
+    /// Address on which the program listens for operators.
     pub operator: SocketAddr,
     /// Address of discovery.
     pub discovery: SocketAddr,
@@ -57,7 +58,7 @@
     pub counter: SocketAddr,
 }
 
-/// The program's configuration, with one plan that allows three requests at once and one every two seconds.
+/// Returns the program's configuration. Its one plan allows a burst of three requests, and then one every two seconds.
 pub fn configuration(addresses: Addresses, endpoints: &[ListEntry]) -> Value {
     json!({
         "name": "demo",
@@ -79,10 +80,10 @@
     })
 }
 
-/// Starts the stand-ins and the program, and waits until the program ends or the time is up.
+/// Starts the stand-ins and the program, and waits until the program ends or the time limit has passed.
 ///
 /// # Errors
-/// One of them does not start.
+/// The program does not exist, or a stand-in or the program does not start.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     if !arguments.program.is_file() {
         return Err(Error::ProgramMissing(arguments.program.clone()));
@@ -98,9 +99,9 @@
         discovery: discovery.address,
         counter: counter.address,
     };
-    let mut file = NamedTempFile::new().map_err(Error::system("writing the program's configuration"))?;
+    let mut file = NamedTempFile::new().map_err(Error::system("writing the configuration of the program"))?;
     let text = configuration(addresses, &entries).to_string();
-    file.write_all(text.as_bytes()).map_err(Error::system("writing the program's configuration"))?;
+    file.write_all(text.as_bytes()).map_err(Error::system("writing the configuration of the program"))?;
     let program =
         start_program(&arguments.program, file.path()).map_err(Error::system("starting the program"))?;
     println!("configuration: {}", file.path().display());
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Measurements of the gateway at scale: a simulated fleet that hosts the policy itself, and benchmarks of the policy
-//! and of the built program.
+//! Measures the gateway at scale: simulates a fleet of gateways that run the real policy, and benchmarks the policy and
+//! the built program.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,15 +1,15 @@
-//! Command line of the lab, which measures the gateway at scale.
+//! Command line of the lab.
 
 use clap::{Parser, Subcommand};
 use oliverack_lab::{demo, fleet, process};
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::{alloc::System, error::Error, process::ExitCode};
 
-/// Counts the bytes that are allocated; the measurements of state depend on it.
+/// Global allocator that counts allocated bytes, so that `process policy` can measure the size of the policy's state.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Measures the gatekeeper at scale.
+/// Measures the gateway at scale.
 #[derive(Debug, Parser)]
 #[command(name = "oliverack-lab", version)]
 struct Arguments {
@@ -19,11 +19,11 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Simulates a fleet of gatekeepers on a discrete clock.
+    /// Simulates a fleet of gateways on a discrete clock.
     Fleet(fleet::Arguments),
-    /// Runs the built program before stand-ins on this machine, for a first look by hand.
+    /// Runs the built program with stand-ins for its services on this machine, to try it by hand.
     Demo(demo::Arguments),
-    /// Measures the policy and the built program at growing sizes.
+    /// Benchmarks the policy and the built program at growing numbers of endpoints and tenants.
     Process(process::Arguments),
 }
 
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -1,4 +1,4 @@
-//! The built program as a child process that is killed with its handle.
+//! Runs the built program as a child process, which is killed when its handle is dropped.
 
 use super::{Error, kill_on_drop::KillOnDrop, proc_fs};
 use serde_json::{Value, json};
@@ -19,23 +19,23 @@
 
 /// Longest time from the start of the program until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time that the program gets to become idle before its processor time is read.
+/// Wait for the program to become idle before its processor time is read.
 const SCHEDULER_UPDATE_DELAY: Duration = Duration::from_millis(5);
-/// What precedes the bound address in the log of the program.
+/// Text that precedes the listening address in a line of the program's log.
 const LISTEN_MARKER: &str = "listen";
-/// Last lines of the log that are stored.
+/// Number of log lines that are kept.
 const MAX_LOG_LINES: usize = 20;
 
-/// The part of the program's configuration that differs between runs.
+/// Values of the program's configuration that differ between runs.
 #[derive(Debug)]
 pub struct Configuration {
     /// Address of discovery.
     pub discovery: SocketAddr,
     /// Address of the counter; `None` for a program without one.
     pub counter: Option<SocketAddr>,
-    /// The endpoint list at the start.
+    /// Endpoint list with which the program starts.
     pub initial_list: Value,
-    /// Gateways in the settings.
+    /// Number of gateways in the settings.
     pub gateways: u32,
     /// Memory limit, in MiB.
     pub memory_mb: usize,
@@ -45,7 +45,7 @@
 pub const PLAN_FREE: &str = "free";
 /// Name of the plan whose quota comes from the counter.
 pub const PLAN_METERED: &str = "metered";
-/// The one class of requests.
+/// Name of the only class of requests.
 pub const CLASS: &str = "lookup";
 
 impl Configuration {
@@ -87,13 +87,13 @@
     }
 }
 
-/// The last lines of the program's log.
+/// Latest lines of the program's log, oldest first.
 type Log = Arc<Mutex<VecDeque<String>>>;
 
-/// The running program; killed when this is dropped.
+/// Running program, which is killed when this handle is dropped.
 #[derive(Debug)]
 pub struct ChildProgram {
-    /// Address on which it listens for clients.
+    /// Address on which the program listens for clients.
     pub address: SocketAddr,
     child: KillOnDrop,
     log: Log,
@@ -107,7 +107,7 @@
     /// The program cannot be started, ends before it listens, or does not listen in time.
     pub fn start(program: &Path, configuration: &Configuration) -> Result<Self, Error> {
         let file = write_configuration(configuration)
-            .map_err(Error::system("writing the program's configuration"))?;
+            .map_err(Error::system("writing the configuration of the program"))?;
         let mut command = Command::new(program);
         command
             .env("NODE_CONFIG", file.path())
@@ -117,22 +117,22 @@
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let child = command.spawn().map_err(Error::system("starting the program"))?;
         let mut child = KillOnDrop(child);
-        let stderr = child.0.stderr.take().ok_or(Error::ProcField("log of the program"))?;
+        let stderr = child.0.stderr.take().ok_or(Error::ProcessFieldUnreadable("stderr"))?;
         let log = Log::default();
         let (address_sender, address) = channel();
         let thread_log = log.clone();
         thread::spawn(move || follow_log(stderr, &thread_log, &address_sender));
         let address = address.recv_timeout(START_TIMEOUT).map_err(|error| match error {
             RecvTimeoutError::Timeout => {
-                Error::TimedOut { event: "the program's listening socket", limit: START_TIMEOUT }
+                Error::TimedOut { event: "the program to listen", limit: START_TIMEOUT }
             }
             RecvTimeoutError::Disconnected => Error::ProgramEnded(last_log_line(&log)),
         })?;
         Ok(Self { address, child, log, _configuration: file })
     }
 
-    /// Processor time used so far. Waits for the program to become idle first, as the kernel updates the time of a thread
-    /// when it goes to sleep.
+    /// Returns the processor time that the program has used so far. First waits for the program to become idle, because
+    /// the kernel updates the time of a thread when the thread goes to sleep.
     ///
     /// # Errors
     /// The program has ended.
@@ -141,7 +141,7 @@
         proc_fs::processor_time(self.child.0.id())
     }
 
-    /// Memory of the program.
+    /// Returns the current and peak memory of the program.
     ///
     /// # Errors
     /// The program has ended.
@@ -149,7 +149,7 @@
         proc_fs::memory(self.child.0.id())
     }
 
-    /// The last line of its log; empty if there is none.
+    /// Returns the last line of the program's log; empty if there is none.
     pub fn last_log_line(&self) -> String {
         last_log_line(&self.log)
     }
@@ -166,14 +166,14 @@
     Ok(file)
 }
 
-/// The address that a line of the log says the program listens on: its last word, or the value of its last field. Both
-/// are accepted, so that builds with an older format of the log can be compared.
+/// Returns the address in a log line about listening: the last word, or the value of the last field. Accepts both, so
+/// that builds with an older log format can be compared.
 fn listen_address(line: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once(LISTEN_MARKER)?;
     rest.rsplit([' ', '=']).next()?.trim().parse().ok()
 }
 
-/// Stores the last lines of the log, and sends the address on which the program listens.
+/// Reads the log until it ends, keeps its latest lines, and sends the address on which the program listens.
 fn follow_log(stderr: ChildStderr, log: &Log, address_sender: &Sender<SocketAddr>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         if let Some(address) = listen_address(&line) {
--- a/lab/src/process/error.rs
+++ b/lab/src/process/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the benchmarks.
+//! Errors of the benchmarks.
 
 use super::bounds::CheckFailure;
 use oliverack::SettingsError;
@@ -6,91 +6,91 @@
 
 const BYTES_PER_KIBIBYTE: u64 = 1024;
 
-/// Why a measurement could not be made.
+/// Reason why a measurement or a whole run failed.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// An argument is invalid; the text says why.
+    /// An argument is invalid; the text says what was expected.
     #[error("{0}")]
     InvalidArgument(&'static str),
-    /// There is no file at this path of the program.
+    /// The path of the program does not lead to a file.
     #[error("there is no program at {}", .0.display())]
     ProgramMissing(PathBuf),
-    /// An operation of the system failed.
+    /// An I/O operation failed.
     #[error("{operation}: {source}")]
     System {
-        /// What was attempted.
+        /// Operation, as a phrase such as "reading /proc".
         operation: &'static str,
-        /// How it failed.
+        /// Cause of the failure.
         source: io::Error,
     },
     /// The policy rejects the settings.
-    #[error("the settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
-    /// A file in `/proc` lacks this field.
-    #[error("/proc holds no readable {0}")]
-    ProcField(&'static str),
-    /// An event did not come within its time limit.
-    #[error("{event} did not come within {limit:?}")]
+    /// A field of the process in `/proc` is missing or malformed, or the stream of this name is not piped.
+    #[error("cannot read {0} of the process")]
+    ProcessFieldUnreadable(&'static str),
+    /// An event did not occur within its time limit.
+    #[error("timed out after {limit:?} while waiting for {event}")]
     TimedOut {
-        /// What was waited for.
+        /// Awaited event, as a noun phrase.
         event: &'static str,
-        /// For how long.
+        /// Longest wait.
         limit: Duration,
     },
-    /// The program ended before it listened; the text is the last line of its log.
+    /// The program ended before it listened for clients; the text is the last line of its log.
     #[error("the program ended before it listened; last log line: {0}")]
     ProgramEnded(String),
-    /// The program did not accept an endpoint list; the text is the last line of its log.
-    #[error("the list was not taken in; last log line: {0}")]
+    /// The program did not apply an endpoint list; the text is the last line of its log.
+    #[error("the program did not apply the endpoint list; last log line: {0}")]
     ListNotApplied(String),
-    /// The program used more memory than its limit.
+    /// The program used more memory than its configuration allows.
     #[error(
         "peak memory of {} KiB is over the limit of {} KiB",
         .peak_bytes / BYTES_PER_KIBIBYTE,
         .limit_bytes / BYTES_PER_KIBIBYTE
     )]
     MemoryLimitExceeded {
-        /// The most that it used.
+        /// Peak of the resident memory.
         peak_bytes: u64,
-        /// What its configuration allows.
+        /// Memory limit in the configuration.
         limit_bytes: u64,
     },
-    /// Too few requests were served for their cost to mean anything.
+    /// Too few requests were served for their processor time to be meaningful.
     #[error("only {served} of {sent} requests were served")]
     TooFewServed {
-        /// Requests answered 200.
+        /// Requests that received status 200.
         served: u64,
         /// Requests sent.
         sent: u64,
     },
-    /// Too few requests led to a counter call for a row of tenants to show its cost.
+    /// Too few requests led to a counter call, so that a row of tenants would not show the cost of counter calls.
     #[error(
         "the counter was called {calls} times in {sent} requests, fewer than {min_calls_per_request} a request"
     )]
     TooFewCounterCalls {
-        /// Calls of the counter.
+        /// Counter calls.
         calls: u64,
         /// Requests sent.
         sent: u64,
-        /// Calls a request that are needed at least.
+        /// Lowest accepted number of counter calls per request.
         min_calls_per_request: f64,
     },
-    /// A request costs too much of the baseline's processor time.
-    #[error("the ratio of {ratio:.4} is over {bound}")]
+    /// A request takes too much processor time in comparison with the baseline.
+    #[error("processor time per request is {ratio:.4} times that of the baseline, more than {bound}")]
     RatioExceeded {
-        /// Processor time over that of the baseline.
+        /// Processor time per request, divided by that of the baseline.
         ratio: f64,
-        /// The highest ratio allowed.
+        /// Highest accepted ratio.
         bound: f64,
     },
-    /// A checked run has violated bounds, or rows of it have failed.
+    /// A checked run violated bounds, or rows of it failed.
     #[error("the check failed: {}", join(.0))]
     CheckFailed(Vec<CheckFailure>),
 }
 
 impl Error {
-    /// Converts the failure of an operation of the system, for `map_err`.
+    /// Returns a function for `map_err` that adds the name of the failed operation to an I/O error.
     pub fn system(operation: &'static str) -> impl Fn(io::Error) -> Self {
         move |source| Self::System { operation, source }
     }
--- a/lab/src/process/http.rs
+++ b/lab/src/process/http.rs
@@ -1,26 +1,27 @@
-//! The part of HTTP/1.1 that the stand-ins and the load need: messages with a `Content-Length` on persistent connections.
+//! Reads and writes the subset of HTTP/1.1 that the stand-ins and the load need: messages with a `Content-Length` on
+//! persistent connections.
 
 use std::io::{self, BufRead};
 
-/// Longest body that is read.
+/// Longest accepted body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// One request or response.
+/// Request or response, without its headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Message {
-    /// The request line or status line.
+    /// Request line or status line, without the line break.
     pub start_line: String,
-    /// The body.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The status code; `None` if the start line is no status line.
+    /// Returns the status code; `None` if the start line is not a status line.
     pub fn status(&self) -> Option<u16> {
         self.start_line.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
     }
 
-    /// The value of a parameter in the request's query.
+    /// Returns the value of a query parameter of a request; `None` if the parameter is absent.
     pub fn query(&self, name: &str) -> Option<&str> {
         let target = self.start_line.split(' ').nth(1)?;
         let (_, query) = target.split_once('?')?;
@@ -28,10 +29,10 @@
     }
 }
 
-/// Reads one message; `None` at the end of the stream.
+/// Reads one message. Returns `None` at the end of the stream.
 ///
 /// # Errors
-/// The stream fails, or the message is malformed.
+/// The stream fails or ends within the message, or the message is malformed.
 pub fn read_message(reader: &mut impl BufRead) -> io::Result<Option<Message>> {
     let mut message = Message::default();
     if reader.read_line(&mut message.start_line)? == 0 {
@@ -44,7 +45,7 @@
     Ok(Some(message))
 }
 
-/// Reads the headers and returns the length of the body.
+/// Reads the headers. Returns the length of the body, 0 without a `Content-Length`.
 fn read_headers(reader: &mut impl BufRead) -> io::Result<usize> {
     let malformed = |text| io::Error::new(io::ErrorKind::InvalidData, text);
     let mut length = 0;
@@ -58,19 +59,19 @@
         if text.is_empty() {
             return Ok(length);
         }
-        let (name, value) = text.split_once(':').ok_or_else(|| malformed("a header without a colon"))?;
+        let (name, value) = text.split_once(':').ok_or_else(|| malformed("a header has no colon"))?;
         if name.eq_ignore_ascii_case("content-length") {
-            length = value.trim().parse().map_err(|_| malformed("an unreadable content length"))?;
+            length = value.trim().parse().map_err(|_| malformed("the Content-Length is not a number"))?;
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(malformed("a transfer encoding"));
+            return Err(malformed("Transfer-Encoding is not supported"));
         }
         if length > MAX_BODY_BYTES {
-            return Err(malformed("a body that is too long"));
+            return Err(malformed("the Content-Length is above 16 MiB"));
         }
     }
 }
 
-/// A 200 response with this body.
+/// Returns a response with status 200 and this body.
 pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/lab/src/process/kill_on_drop.rs
+++ b/lab/src/process/kill_on_drop.rs
@@ -1,14 +1,14 @@
-//! A child process that does not outlive its handle.
+//! Handle of a child process that kills the process when dropped.
 
 use std::process::Child;
 
-/// Kills the child process and waits for it when it is dropped.
+/// Child process that is killed and waited for when this handle is dropped.
 #[derive(Debug)]
 pub struct KillOnDrop(pub Child);
 
 impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        // Both fail only for a process that has ended.
+        // Both calls fail only if the process has already ended.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/lab/src/process/load.rs
+++ b/lab/src/process/load.rs
@@ -1,4 +1,4 @@
-//! The load: clients that each send one request after another on a persistent connection.
+//! Sends requests from clients that each use one persistent connection and wait for each response.
 
 use super::{
     Error,
@@ -17,33 +17,33 @@
 
 /// Longest wait for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Gateways that serve a tenant, unless there are fewer.
+/// Number of gateways that serve a tenant, unless there are fewer.
 const GATEWAYS_PER_TENANT: u32 = 3;
 
-/// Number of the next request; unique in this process.
+/// Number of the next request. Numbers are unique in this process, so that no two requests share a transaction id.
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// Requests to be sent.
+/// Requests to send.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// How many requests are sent.
+    /// Number of requests to send.
     pub requests: u64,
-    /// How many were sent before; the tenants take turns after them.
+    /// Number of requests sent by earlier loads; the turn of the tenants continues after them.
     pub sent_before: u64,
-    /// Connections on which they are sent.
+    /// Number of connections, which share the requests evenly.
     pub connections: u64,
-    /// Tenants with a quota, which take turns; `None` for one tenant without a quota.
+    /// Number of tenants with a quota, which take turns; `None` for one tenant without a quota.
     pub metered_tenants: Option<u64>,
-    /// Gateways in the program's settings.
+    /// Number of gateways in the program's settings.
     pub gateways: u32,
 }
 
-/// How the requests ended.
+/// Counts of sent and served requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadResult {
     /// Requests sent.
     pub sent: u64,
-    /// Requests answered 200.
+    /// Requests that received status 200.
     pub served: u64,
 }
 
@@ -51,7 +51,7 @@
     /// Sends the requests and waits for all responses.
     ///
     /// # Errors
-    /// A connection fails.
+    /// A connection fails, or a response does not arrive in time.
     pub fn run(&self, address: SocketAddr) -> Result<LoadResult, Error> {
         let requests_per_client = self.requests.div_ceil(self.connections);
         let clients: Vec<_> = (0..self.connections)
--- a/lab/src/process/mod.rs
+++ b/lab/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The `process` command: benchmarks of the policy alone and of the built program, at growing counts of endpoints and
+//! The `process` command: benchmarks the policy alone and the built program, at growing numbers of endpoints and
 //! tenants.
 
 pub mod bounds;
@@ -30,22 +30,22 @@
     benchmark: Benchmark,
 }
 
-/// What is measured.
+/// Available benchmarks.
 #[derive(Debug, clap::Subcommand)]
 enum Benchmark {
-    /// Measures the built program, as a child process against stand-ins on loopback.
+    /// Measures the built program as a child process, with stand-ins for its services on loopback.
     Program(program::Arguments),
-    /// Measures the policy alone, inside this process: processor time and bytes of state.
+    /// Measures the processor time and the bytes of state of the policy alone, inside this process.
     Policy(policy::Arguments),
-    /// Compares what a request costs two builds of the program, in one run.
+    /// Compares the processor time per request of two builds of the program.
     Compare(compare::Arguments),
 }
 
-/// Runs the command: measures, prints the table, and writes the JSON lines where a file is named.
+/// Runs the benchmark, prints the results, and writes them as JSON lines if a file is given.
 ///
 /// # Errors
-/// Arguments that cannot be used, a report that cannot be written, and bounds that a checked run has violated. Rows
-/// that could not be measured are part of the report, and no errors.
+/// An argument is invalid, the report cannot be written, or a checked run violates a bound. A row that cannot be
+/// measured is listed in the report and is an error only in a checked run.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     match &arguments.benchmark {
         Benchmark::Program(arguments) => program::run(arguments),
--- a/lab/src/process/proc_fs.rs
+++ b/lab/src/process/proc_fs.rs
@@ -8,13 +8,13 @@
 /// Memory of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Memory {
-    /// Resident now.
+    /// Memory that is resident now.
     pub resident_bytes: u64,
-    /// Most that was resident at once.
+    /// Most memory that was resident at once.
     pub peak_bytes: u64,
 }
 
-/// Processor time of all present threads of a process, at the resolution of the scheduler.
+/// Returns the processor time of all threads that a process has now, at the resolution of the scheduler.
 ///
 /// # Errors
 /// There is no such process, or the kernel keeps no scheduler statistics.
@@ -32,7 +32,7 @@
     Ok(total)
 }
 
-/// Memory of a process.
+/// Returns the current and peak memory of a process.
 ///
 /// # Errors
 /// There is no such process.
@@ -41,24 +41,24 @@
     parse_status(&text.map_err(Error::system("reading /proc"))?)
 }
 
-/// Processor time in the text of `/proc/PID/schedstat`.
+/// Returns the processor time in the text of `/proc/PID/task/TID/schedstat`.
 ///
 /// # Errors
-/// It does not begin with a number.
+/// The text does not begin with a number.
 pub fn parse_schedstat(text: &str) -> Result<Duration, Error> {
     let first = text.split_whitespace().next().and_then(|field| field.parse().ok());
-    first.map(Duration::from_nanos).ok_or(Error::ProcField("schedstat"))
+    first.map(Duration::from_nanos).ok_or(Error::ProcessFieldUnreadable("schedstat"))
 }
 
-/// Memory in the text of `/proc/PID/status`.
+/// Returns the memory in the text of `/proc/PID/status`.
 ///
 /// # Errors
-/// A field is missing.
+/// A field is missing or malformed.
 pub fn parse_status(text: &str) -> Result<Memory, Error> {
     let field = |name: &'static str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
         let kibibytes = line.and_then(|line| line.trim().strip_suffix(" kB")?.trim().parse::<u64>().ok());
-        kibibytes.map(|value| value * BYTES_PER_KIBIBYTE).ok_or(Error::ProcField(name))
+        kibibytes.map(|value| value * BYTES_PER_KIBIBYTE).ok_or(Error::ProcessFieldUnreadable(name))
     };
     Ok(Memory { resident_bytes: field("VmRSS")?, peak_bytes: field("VmHWM")? })
 }
--- a/lab/src/process/rounds.rs
+++ b/lab/src/process/rounds.rs
@@ -1,4 +1,4 @@
-//! What `process policy` and `process program` share: their arguments, and the loop over rounds and rows.
+//! Arguments that `process policy` and `process program` have in common, and the loop over rounds and rows.
 
 use super::{
     Error,
@@ -10,19 +10,19 @@
     time::{Duration, Instant},
 };
 
-/// Endpoints in the rows of tenants.
+/// Number of endpoints in the rows of tenants.
 pub const TENANT_ROW_ENDPOINTS: usize = 100;
 
-/// Position in the help of the arguments that come last.
+/// Position of `--time-limit` in the help. Arguments without a position precede it.
 const TIME_LIMIT_POSITION: usize = 100;
-/// Position in the help of `--check`, which each command explains differently.
+/// Position of `--check` in the help; each command defines the argument with its own description.
 pub const CHECK_POSITION: usize = TIME_LIMIT_POSITION + 1;
 const JSON_POSITION: usize = CHECK_POSITION + 1;
 
-/// Arguments of both commands.
+/// Arguments of `process policy` and `process program`.
 #[derive(Debug, clap::Args)]
 pub struct RoundArguments {
-    /// Counts of listed workers.
+    /// Numbers of listed endpoints, one row each.
     #[arg(
         long = "workers",
         value_name = "WORKERS",
@@ -30,39 +30,39 @@
         default_value = "10,100,1000,3000,9200"
     )]
     pub endpoints: Vec<usize>,
-    /// Counts of tenants with a quota, served by 100 workers and a counter.
+    /// Numbers of tenants with a quota, one row each, with 100 endpoints and a counter.
     #[arg(long, value_delimiter = ',', default_value = "100,1000,10000,32000")]
     pub tenants: Vec<usize>,
-    /// No row begins after so many seconds; those left out are reported as failed.
+    /// Seconds after which no further row starts. Rows that did not start are reported as failed.
     #[arg(long, default_value_t = 600, display_order = TIME_LIMIT_POSITION)]
     time_limit: u64,
-    /// Writes the report to this file, too, as JSON lines.
+    /// Also writes the report to this file, as JSON lines.
     #[arg(long, display_order = JSON_POSITION)]
     json: Option<PathBuf>,
 }
 
 impl RoundArguments {
-    /// Checks the counts of endpoints and tenants.
+    /// Checks that the numbers of endpoints and tenants can be measured.
     ///
     /// # Errors
-    /// One cannot be measured.
+    /// A number is 0 or too large.
     pub fn check_sizes(&self) -> Result<(), Error> {
         check_sizes(self.endpoints.iter().chain(&self.tenants))
     }
 
-    /// Checks that a checked run measures the rows that the bounds are for.
+    /// Checks that the run includes the row that the bounds apply to and the base row of its ratios.
     ///
     /// # Errors
-    /// One of the rows is missing.
+    /// One of the two rows is missing.
     pub fn check_has_bounded_rows(&self) -> Result<(), Error> {
         if [BASE_SIZE, BOUND_SIZE].iter().all(|size| self.endpoints.contains(size)) {
             Ok(())
         } else {
-            Err(Error::InvalidArgument("a checked run needs 100 and 9200 among the workers"))
+            Err(Error::InvalidArgument("a checked run needs 100 and 9200 among --workers"))
         }
     }
 
-    /// Measures each row once in each round, until the time limit. Failed rows are part of the report.
+    /// Measures each row once in each round, until the time limit. Rows that fail are listed in the report.
     pub fn measure(
         &self,
         rounds: usize,
@@ -75,7 +75,8 @@
         for round in 0..rounds {
             for row_key in row_keys {
                 if started.elapsed() >= limit {
-                    report.record_failure(*row_key, &Error::TimedOut { event: "the row's turn", limit });
+                    report
+                        .record_failure(*row_key, &Error::TimedOut { event: "the start of the row", limit });
                 } else if let Err(error) = measure_row(round, *row_key, &mut report) {
                     report.record_failure(*row_key, &error);
                 }
@@ -84,10 +85,10 @@
         report
     }
 
-    /// Publishes the report of a command, and checks it if there are bounds.
+    /// Prints the report, writes the JSON lines if a file is given, and checks the report if there are bounds.
     ///
     /// # Errors
-    /// The report cannot be written, or violates a bound.
+    /// The report cannot be written, violates a bound or, with bounds, contains a failed row.
     pub fn publish(
         &self,
         part: &str,
