--- a/lab/src/process/bounds.rs
+++ b/lab/src/process/bounds.rs
@@ -1,21 +1,21 @@
-//! The bounds that a checked run compares its report with.
+//! Bounds with which a checked run compares its report.
 
 use super::report::{Axis, Metric, Report, RowFailure, RowKey, Summary};
 use std::fmt;
 
-/// The count of endpoints at which the bounds hold.
+/// Number of endpoints in the row that the bounds apply to.
 pub const BOUND_SIZE: usize = 9200;
-/// The memory limit of the program with which it has to apply the indented list, in MiB.
+/// Memory limit, in MiB, with which the program has to be able to apply the indented list.
 pub const BOUND_MEMORY_MB: usize = 32;
 const KIBIBYTES_PER_MEBIBYTE: usize = 1024;
 
-/// Processor time of a one-entry change, of the program and of the policy alone: 0.2 ms.
+/// Bound on the processor time of a one-entry change, for the program and for the policy alone: 200 µs.
 pub const CHANGE: Bound = Bound {
     metric: Metric::ChangeProcessorMicros,
     statistic: Statistic::Median,
     limit: Limit::AtMost(200.0),
 };
-/// The bounds of the program.
+/// Bounds of the `process program` benchmark.
 pub const PROGRAM: [Bound; 3] = [
     Bound { metric: Metric::RequestProcessorMicros, statistic: Statistic::Ratio, limit: Limit::AtMost(1.25) },
     CHANGE,
@@ -25,18 +25,18 @@
         limit: Limit::AtMost((BOUND_MEMORY_MB * KIBIBYTES_PER_MEBIBYTE) as f64),
     },
 ];
-/// State of an endpoint outside the subset of the gateway.
+/// Bound on the bytes of state of an endpoint outside the subset of the gateway.
 pub const OUTSIDE_STATE: Bound =
     Bound { metric: Metric::EndpointOutsideBytes, statistic: Statistic::Median, limit: Limit::Below(150.0) };
 
-/// Which value of a summary is compared with the limit.
+/// Value of a summary that is compared with a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Statistic {
-    /// The median of the rounds.
+    /// Median of the rounds.
     Median,
-    /// The highest of the rounds.
+    /// Highest value of the rounds.
     Highest,
-    /// The median divided by that of the base row.
+    /// Median divided by that of the base row.
     Ratio,
 }
 
@@ -60,12 +60,12 @@
     }
 }
 
-/// The limit of a value.
+/// Limit of a value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Limit {
-    /// The value may be equal to it.
+    /// The value may be equal to the limit.
     AtMost(f64),
-    /// The value has to be below it.
+    /// The value has to be below the limit.
     Below(f64),
 }
 
@@ -87,18 +87,18 @@
     }
 }
 
-/// A limit on one quantity of a row.
+/// Limit on one quantity of a row.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// The quantity.
+    /// Quantity that is bounded.
     pub metric: Metric,
-    /// Which of its values.
+    /// Value of the summary that is compared with the limit.
     pub statistic: Statistic,
-    /// What the value is compared with.
+    /// Limit of the value.
     pub limit: Limit,
 }
 
-/// Why a checked run fails.
+/// Reason why a checked run fails.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CheckFailure {
     /// The value of a row violates a bound, or was not measured.
@@ -112,30 +112,30 @@
     Violated {
         /// The row.
         row_key: RowKey,
-        /// The bound.
+        /// Violated bound.
         bound: Bound,
-        /// The value; `None` if it was not measured.
+        /// Value of the row; `None` if it was not measured.
         value: Option<f64>,
     },
-    /// A row could not be measured.
+    /// A row could not be measured completely.
     #[error(transparent)]
     Row(RowFailure),
 }
 
-/// The value of a violated bound as text.
+/// Returns the value of a violated bound as text.
 fn value_text(value: Option<f64>) -> String {
     value.map_or_else(|| "not measured".to_owned(), |value| format!("{value:.2}"))
 }
 
-/// The row that the bounds are for, in a run with this count of gateways.
+/// Returns the key of the row that the bounds apply to, in a run with this number of gateways.
 pub fn bounded_row_key(gateways: u32) -> RowKey {
     RowKey { axis: Axis::Endpoints, gateways, size: BOUND_SIZE }
 }
 
-/// Compares the values of rows with their bounds. Each failed row of the report is a failure of the check, too.
+/// Compares the values of rows with their bounds. Returns the violations and all failed rows of the report.
 pub fn check(report: &Report, bounds: impl IntoIterator<Item = (RowKey, Bound)>) -> Vec<CheckFailure> {
-    let violated = bounds.into_iter().filter_map(|(row_key, bound)| violation(report, row_key, bound));
-    violated.chain(report.failures().map(CheckFailure::Row)).collect()
+    let violations = bounds.into_iter().filter_map(|(row_key, bound)| violation(report, row_key, bound));
+    violations.chain(report.failures().map(CheckFailure::Row)).collect()
 }
 
 fn violation(report: &Report, row_key: RowKey, bound: Bound) -> Option<CheckFailure> {
--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -1,5 +1,5 @@
-//! Compares the processor time of a request between two builds of the program. Their batches take turns in pairs, so
-//! that other load on the machine affects both.
+//! The `process compare` benchmark: compares the processor time per request of two builds of the program. The builds
+//! take turns with their batches of requests, so that other load on the machine affects both.
 
 use super::{
     Error,
@@ -10,42 +10,42 @@
 };
 use std::path::{Path, PathBuf};
 
-/// Requests before those that are measured.
+/// Number of requests before the measured ones.
 const WARM_UP_REQUESTS: u64 = 1000;
-/// Quantile of the median.
+/// Quantile that is the median.
 const MEDIAN: f64 = 0.5;
 
 /// Arguments of `process compare`.
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
-    /// The program that is measured.
+    /// Path of the build that is measured.
     #[arg(long)]
     program: PathBuf,
-    /// The program that it is compared with.
+    /// Path of the build with which it is compared.
     #[arg(long)]
     baseline: PathBuf,
-    /// Pairs of batches.
+    /// Number of pairs of batches, with one batch for each build.
     #[arg(long, default_value_t = 60)]
     pairs: usize,
-    /// Requests in a batch.
+    /// Number of requests in a batch.
     #[arg(long, default_value_t = 500)]
     requests: u64,
-    /// Connections that they come on.
+    /// Number of connections on which the requests are sent.
     #[arg(long, default_value_t = 4)]
     connections: u64,
-    /// Counts of listed workers.
+    /// Number of listed endpoints.
     #[arg(long = "workers", value_name = "WORKERS", default_value_t = BASE_SIZE)]
     endpoints: usize,
-    /// Gateways in the programs' settings: few, as each then keeps to many workers, and seldom waits for a connection
-    /// to rest.
+    /// Number of gateways in the programs' settings. Low, because each gateway then has many endpoints in its subset,
+    /// and seldom waits for a connection to become idle.
     #[arg(long, default_value_t = 4)]
     gateways: u32,
-    /// Fails where the middle ratio is above this.
+    /// Fails if the median ratio is above this bound.
     #[arg(long)]
     bound: Option<f64>,
 }
 
-/// One of the two builds, running.
+/// One of the two builds with its running process.
 struct Candidate<'a> {
     row: Row<'a>,
     test_bed: TestBed,
@@ -74,20 +74,20 @@
         Ok(candidate)
     }
 
-    /// Sends so many requests. Returns the mean processor time of a request, in microseconds.
+    /// Sends `requests` requests. Returns the mean processor time per request, in microseconds.
     fn measure_batch(&mut self, requests: u64) -> Result<f64, Error> {
         let before = self.test_bed.child.processor_time()?;
-        let outcome = self.row.load(requests, self.sent).run(self.test_bed.child.address)?;
+        let result = self.row.load(requests, self.sent).run(self.test_bed.child.address)?;
         let elapsed = self.test_bed.child.processor_time()? - before;
-        self.sent += outcome.sent;
-        if outcome.served < outcome.sent {
-            return Err(Error::TooFewServed { served: outcome.served, sent: outcome.sent });
+        self.sent += result.sent;
+        if result.served < result.sent {
+            return Err(Error::TooFewServed { served: result.served, sent: result.sent });
         }
-        Ok(elapsed.as_secs_f64() * MICROSECONDS_PER_SECOND / outcome.sent as f64)
+        Ok(elapsed.as_secs_f64() * MICROSECONDS_PER_SECOND / result.sent as f64)
     }
 }
 
-/// Values in rising order, for quantiles.
+/// Values in ascending order, from which quantiles are read.
 struct SortedValues(Vec<f64>);
 
 impl SortedValues {
@@ -96,16 +96,17 @@
         Self(values)
     }
 
-    /// The value at a quantile from 0 to 1.
+    /// Returns the value at a quantile from 0 to 1.
     fn quantile(&self, quantile: f64) -> f64 {
         self.0[((self.0.len() - 1) as f64 * quantile).round() as usize]
     }
 }
 
-/// Compares the two builds and prints the processor time of a request of each.
+/// Compares the two builds, and prints the median processor time per request of each and the ratio.
 ///
 /// # Errors
-/// Invalid arguments, a program that does not serve, and a ratio above the bound.
+/// An argument is invalid, a build does not start or does not serve all requests, or the median ratio is above the
+/// bound.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     if arguments.pairs == 0 || arguments.requests == 0 || arguments.connections == 0 {
         return Err(Error::InvalidArgument("pairs, requests and connections must be above 0"));
@@ -115,7 +116,7 @@
     let mut program_micros = Vec::new();
     let mut baseline_micros = Vec::new();
     for pair in 0..arguments.pairs {
-        // Each of the two goes first in every other pair.
+        // The builds take turns at going first.
         if pair % 2 == 0 {
             program_micros.push(program.measure_batch(arguments.requests)?);
             baseline_micros.push(baseline.measure_batch(arguments.requests)?);
--- a/lab/src/process/policy.rs
+++ b/lab/src/process/policy.rs
@@ -1,4 +1,4 @@
-//! The benchmark `process policy`: the policy alone, inside this process.
+//! The `process policy` benchmark: measures the policy alone, inside this process.
 
 use super::{
     Error,
@@ -13,15 +13,15 @@
 use oliverack::{Lifecycle, Seconds};
 use std::time::Duration;
 
-/// Endpoints of the gateway whose open requests are measured.
+/// Number of endpoints in the measurement of open requests.
 const OPEN_REQUEST_ENDPOINTS: usize = 1000;
-/// Requests before those that are measured, in which the policy learns the latencies of its endpoints.
+/// Number of requests before the measured ones. The policy learns the latencies of its endpoints from them.
 const WARM_UP_REQUESTS: usize = 100;
-/// Sweeps over the tenants that a value is taken over.
+/// Number of sweeps over the tenants in a batch.
 const SWEEP_COUNT: usize = 20;
-/// Processor time after which a batch stops, whatever its count.
+/// Processor time after which a batch stops, however few repetitions are done.
 const BATCH_TIME_LIMIT: Duration = Duration::from_millis(400);
-/// Repetitions between two readings of the clock, which costs as much as some of the work measured.
+/// Number of repetitions between two readings of the clock. A reading takes as long as some of the measured work.
 const CLOCK_READ_INTERVAL: usize = 16;
 /// Virtual time after which the timers of requests have expired.
 const TIMER_DELAY: Seconds = 1.0;
@@ -31,21 +31,22 @@
 pub struct Arguments {
     #[command(flatten)]
     round_arguments: RoundArguments,
-    /// Counts of gateways in the settings; the rows of workers are measured at each, those of tenants at the largest.
+    /// Numbers of gateways in the settings. Rows of endpoints are measured at each number, rows of tenants at the
+    /// highest.
     #[arg(long, value_delimiter = ',', default_value = "1,100,680")]
     gateways: Vec<u32>,
-    /// Rounds; each measures every row once, on a new gateway.
+    /// Number of rounds. Each round measures every row once, on a new gateway.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
-    /// Requests at most that a value is taken over.
+    /// Most requests over which a value is averaged.
     #[arg(long, default_value_t = 4000)]
     requests: usize,
-    /// One-entry changes at most that a value is taken over.
+    /// Most one-entry changes over which a value is averaged.
     #[arg(long, default_value_t = 200)]
     changes: usize,
-    /// Fails where a row has failed, or, at 9,200 workers and any of the counts of gateways, a change takes more than
-    /// 0.2 ms of processor time, or a worker outside the gateway's subset holds 150 bytes or more. Sizes 100 and 9200
-    /// have to be among the workers, and a count above 1 among the gateways.
+    /// Fails if a row fails or if, at 9,200 endpoints and any number of gateways, a change takes more than 0.2 ms of
+    /// processor time, or an endpoint outside the gateway's subset takes 150 bytes or more. Requires 100 and 9200 among
+    /// `--workers` and a number above 1 among `--gateways`.
     #[arg(long, display_order = CHECK_POSITION)]
     check: bool,
 }
@@ -62,10 +63,10 @@
         if self.check { self.check_bounded() } else { Ok(()) }
     }
 
-    /// Checks that the run measures what the bounds are for.
+    /// Checks that the run measures everything that has a bound.
     fn check_bounded(&self) -> Result<(), Error> {
         self.round_arguments.check_has_bounded_rows()?;
-        // The subset of a single gateway is all endpoints, so none is outside it.
+        // A single gateway has all endpoints in its subset, so none is outside it.
         if self.gateways.iter().all(|gateways| *gateways == 1) {
             return Err(Error::InvalidArgument("a checked run needs a count of gateways above 1"));
         }
@@ -84,13 +85,13 @@
         row_keys
     }
 
-    /// The bounds that a checked run has to keep.
+    /// Returns the bounds of a checked run.
     fn bounds(&self) -> Vec<(RowKey, Bound)> {
         let mut bounds = Vec::new();
         for gateways in &self.gateways {
             let row_key = bounds::bounded_row_key(*gateways);
             bounds.push((row_key, bounds::CHANGE));
-            // The subset of a single gateway is all endpoints.
+            // A single gateway has all endpoints in its subset, so none is outside it.
             if *gateways > 1 {
                 bounds.push((row_key, bounds::OUTSIDE_STATE));
             }
@@ -102,7 +103,7 @@
 /// Measures the policy and publishes the report.
 ///
 /// # Errors
-/// Invalid arguments, a report that cannot be written, and, in a checked run, bounds that were violated.
+/// An argument is invalid, the report cannot be written, or a checked run violates a bound or has a failed row.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     arguments.check_values()?;
     let report = measure(arguments);
@@ -124,7 +125,7 @@
     report
 }
 
-/// Measures the times of one row, and the bytes of its state if `measures_memory`.
+/// Measures the processor times of one row, and with `measures_memory` also the bytes of state.
 fn measure_row(
     arguments: &Arguments,
     row_key: RowKey,
@@ -153,7 +154,7 @@
     }
 }
 
-/// Repeats `work` up to `max_repetitions` times within the time limit of a batch. Returns the mean processor time of a
+/// Repeats `work` up to `max_repetitions` times or until [`BATCH_TIME_LIMIT`]. Returns the mean processor time of a
 /// repetition, in microseconds.
 fn measure_batch(max_repetitions: usize, mut work: impl FnMut(usize)) -> f64 {
     let started = ThreadTime::now();
@@ -168,7 +169,7 @@
     started.elapsed().as_secs_f64() * MICROSECONDS_PER_SECOND / done.max(1) as f64
 }
 
-/// Measures requests from their arrival to their response, and then the timers that they have set.
+/// Measures requests from arrival to response, and then the timers that they have set.
 fn measure_requests(arguments: &Arguments, row_key: RowKey, driver: &mut Driver, report: &mut Report) {
     let (mut served, mut sent) = (0_u64, 0_u64);
     let micros = measure_batch(arguments.requests, |_| {
@@ -178,7 +179,7 @@
     report.record(row_key, Metric::RequestProcessorMicros, micros);
     report.record(row_key, Metric::ServedShare, served as f64 / sent as f64);
     driver.advance(TIMER_DELAY);
-    // The oldest timer is the sweep over the tenants, set at the start; it sets the next one.
+    // The oldest timer triggers the sweep over the tenants and was set at the start. The sweep sets its next timer.
     driver.deliver_timer();
     let timers = driver.pending_timers().saturating_sub(1);
     if timers > 0 {
@@ -190,7 +191,7 @@
     while driver.pending_timers() > 1 && driver.deliver_timer() {}
 }
 
-/// Measures changes of one entry: endpoints all over the list drain and are back.
+/// Measures changes of one entry: endpoints spread over the list begin to drain, and then run again.
 fn measure_changes(arguments: &Arguments, row_key: RowKey, driver: &mut Driver, report: &mut Report) {
     let micros = measure_batch(arguments.changes, |change| {
         let number = change / 2 * row_key.size / arguments.changes.div_ceil(2);
@@ -200,7 +201,7 @@
     report.record(row_key, Metric::ChangeProcessorMicros, micros);
 }
 
-/// Measures sweeps over the tenants: the only timer that is left, which each sweep sets again.
+/// Measures sweeps over the tenants. The only timer left triggers a sweep, and each sweep sets it again.
 fn measure_sweeps(row_key: RowKey, driver: &mut Driver, report: &mut Report) {
     let micros = measure_batch(SWEEP_COUNT, |_| {
         driver.deliver_timer();
--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the policy of one gateway without any I/O: endpoints and counter respond at once.
+//! Runs the policy of one gateway on a virtual clock without any I/O. Endpoints and the counter respond to every call.
 
 use super::Error;
 use oliverack::{
@@ -7,25 +7,25 @@
 };
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// The seed of every gateway, so that runs differ only in their times.
+/// Seed of every gateway, the same so that runs differ only in the measured times.
 const SEED: u64 = 1;
-/// Virtual time between two requests. The policy forgets a tenant that is idle for 26 s, so with the two durations below
-/// this has to be short enough for 32,000 tenants to take turns in that time.
+/// Virtual time between two requests. The policy forgets a tenant that is idle for 26 s, so this time and the next two
+/// have to be short enough that each of 32,000 tenants gets its turn within 26 s.
 const REQUEST_SPACING: Seconds = 0.0001;
-/// Virtual time until an endpoint responds.
+/// Virtual time from the start of an attempt to its response.
 const RESPONSE_TIME: Seconds = 0.0003;
 /// Virtual time that a counter call takes.
-const COUNTER_TIME: Seconds = 0.0001;
-/// Virtual time until the deadline of a request.
+const COUNTER_CALL_DURATION: Seconds = 0.0001;
+/// Virtual time from the arrival of a request to its deadline.
 const CLIENT_DEADLINE: Seconds = 5.0;
-/// Gateways that serve a tenant, unless there are fewer.
+/// Number of gateways that serve a tenant, unless there are fewer.
 const GATEWAYS_PER_TENANT: u32 = 3;
-/// Index of the plan without a quota.
+/// Index in the settings of the plan without a quota.
 const PLAN_FREE: usize = 0;
-/// Index of the plan with a quota.
+/// Index in the settings of the plan with a quota.
 const PLAN_METERED: usize = 1;
 
-/// A gateway, its clock, and the actions that are pending.
+/// Policy of one gateway with its virtual clock, pending timers and attempts in flight.
 #[derive(Debug)]
 pub struct Driver {
     gateway: Gateway,
@@ -35,9 +35,8 @@
     requests: u64,
     tenants: Vec<CustomerId>,
     counter_totals: HashMap<u64, f64>,
-    /// Timers that were set and have not been delivered, oldest first.
+    /// Tokens of the timers that were set and have not been delivered, in the order in which they were set.
     timers: VecDeque<u64>,
-    /// Attempts in flight.
     attempts_in_flight: Vec<AttemptInFlight>,
     actions: Vec<Action>,
 }
@@ -48,14 +47,14 @@
     endpoint: EndpointId,
 }
 
-/// The settings and the load of a driver.
+/// Values that differ between drivers.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
-    /// Gateways in the settings.
+    /// Number of gateways in the settings.
     pub gateways: u32,
-    /// Tenants, which take turns.
+    /// Number of tenants, which take turns.
     pub tenants: usize,
-    /// True if the tenants have a quota and there is a counter.
+    /// True if the tenants have a quota, which the counter enforces; false for no quota and no counter.
     pub is_metered: bool,
 }
 
@@ -79,18 +78,18 @@
     }
 }
 
-/// Id of an endpoint, in the format of real lists.
+/// Returns the id of an endpoint, in the format of real lists.
 fn endpoint_id(number: usize) -> EndpointId {
     format!("s-{number:08x}").into()
 }
 
-/// The list entry of the endpoint with this number.
+/// Returns the list entry of the endpoint with this number.
 fn endpoint(number: usize, lifecycle: Lifecycle) -> Endpoint {
     Endpoint { id: endpoint_id(number), zone: 0, cell: 0, started: 0.0, lifecycle }
 }
 
 impl Driver {
-    /// A gateway without endpoints.
+    /// Creates a gateway without endpoints.
     ///
     /// # Errors
     /// The policy rejects the settings.
@@ -111,35 +110,35 @@
         })
     }
 
-    /// Notifies the gateway of a complete list, as at its start. This also sets the timer of its sweeps, which
-    /// [`Driver::deliver_timer`] delivers first.
+    /// Delivers a complete list with this number of endpoints, marked as stale like the list at a gateway's start. The
+    /// gateway then sets the timer of its sweeps, so that [`Driver::deliver_timer`] delivers this timer first.
     pub fn update_list(&mut self, endpoints: usize) {
         let endpoints = (0..endpoints).map(|number| endpoint(number, Lifecycle::Running)).collect();
         self.handle(Event::EndpointsUpdated { kind: ListKind::Stale, endpoints });
     }
 
-    /// Notifies the gateway of the change of one entry.
+    /// Delivers the change of one entry of the list.
     pub fn change_endpoint(&mut self, number: usize, lifecycle: Lifecycle) {
         self.now += REQUEST_SPACING;
         let endpoints = vec![endpoint(number, lifecycle)];
         self.handle(Event::EndpointsUpdated { kind: ListKind::Changes, endpoints });
     }
 
-    /// One request, from its arrival to its response. Returns whether it was served.
+    /// Delivers a request and the response to its attempts. Returns whether the request was served.
     pub fn complete_request(&mut self) -> bool {
         self.open_request();
         self.now += RESPONSE_TIME;
         self.serve_all(None)
     }
 
-    /// Like [`Driver::complete_request`]; adds the endpoints that were reached.
+    /// Does the same as [`Driver::complete_request`] and adds the endpoints that served the request to `reached`.
     pub fn complete_request_and_record(&mut self, reached: &mut BTreeSet<EndpointId>) -> bool {
         self.open_request();
         self.now += RESPONSE_TIME;
         self.serve_all(Some(reached))
     }
 
-    /// A request arrives, and its attempts stay in flight. Returns how many attempts are in flight.
+    /// Delivers a request and leaves its attempts in flight. Returns the number of attempts in flight.
     pub fn open_request(&mut self) -> usize {
         self.now += REQUEST_SPACING;
         let tenant = (self.requests % self.tenants.len().max(1) as u64) as usize;
@@ -159,7 +158,7 @@
         self.attempts_in_flight.len()
     }
 
-    /// All attempts in flight are served. Returns whether there were any.
+    /// Delivers successful responses to all attempts in flight. Returns whether there were any.
     fn serve_all(&mut self, mut reached: Option<&mut BTreeSet<EndpointId>>) -> bool {
         let served = !self.attempts_in_flight.is_empty();
         for AttemptInFlight { request_id, endpoint } in std::mem::take(&mut self.attempts_in_flight) {
@@ -180,24 +179,24 @@
         served
     }
 
-    /// Advances the clock.
+    /// Advances the virtual clock.
     pub fn advance(&mut self, seconds: Seconds) {
         self.now += seconds;
     }
 
-    /// Delivers the oldest timer. Returns false if there is none.
+    /// Delivers the timer that was set first, whatever the clock says. Returns false if there is none.
     pub fn deliver_timer(&mut self) -> bool {
         let Some(token) = self.timers.pop_front() else { return false };
         self.handle(Event::Timer { token });
         true
     }
 
-    /// How many timers have not been delivered.
+    /// Returns the number of timers that have not been delivered.
     pub fn pending_timers(&self) -> usize {
         self.timers.len()
     }
 
-    /// Frees the unused capacity of the driver, so that it is not measured as state of the gateway.
+    /// Frees the unused capacity of the driver's collections, so that it is not measured as state of the gateway.
     pub fn shrink(&mut self) {
         self.actions = Vec::new();
         self.counter_totals.shrink_to_fit();
@@ -205,7 +204,7 @@
         self.attempts_in_flight.shrink_to_fit();
     }
 
-    /// Notifies the gateway of an event, and responds to the counter calls that result.
+    /// Delivers an event and the replies to the counter calls that result from it.
     fn handle(&mut self, event: Event) {
         let mut event = Some(event);
         let mut calls = VecDeque::new();
@@ -226,9 +225,9 @@
     }
 
     fn counter_reply(&mut self, counter: u64, amount: f64) -> Event {
-        self.now += COUNTER_TIME;
+        self.now += COUNTER_CALL_DURATION;
         let total = self.counter_totals.entry(counter).or_default();
         *total += amount;
-        Event::CounterReplied { counter, status: Status::Ok, total: *total, elapsed: COUNTER_TIME }
+        Event::CounterReplied { counter, status: Status::Ok, total: *total, elapsed: COUNTER_CALL_DURATION }
     }
 }
--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -1,7 +1,7 @@
-//! Bytes of the policy's state, by the counts of the global allocator.
+//! Measures the bytes of the policy's state with the counts of the global allocator.
 //!
-//! The binary installs `stats_alloc` as its global allocator. In a program that does not, nothing is counted and nothing
-//! is measured. The values are the sizes that were requested, without the overhead of the allocator.
+//! The lab's binary installs `stats_alloc` as its global allocator. In a program with another allocator nothing is
+//! measured. Values are requested sizes, without the overhead of the allocator.
 
 use super::{
     Error,
@@ -12,42 +12,42 @@
 use stats_alloc::INSTRUMENTED_SYSTEM;
 use std::collections::BTreeSet;
 
-/// Requests for each listed endpoint, enough that each endpoint of the subset almost certainly receives one.
+/// Number of requests per listed endpoint, enough that each endpoint of the subset almost certainly receives one.
 const REQUESTS_PER_ENDPOINT: usize = 12;
-/// Lowest count of these requests.
+/// Lowest number of requests sent to reach the whole subset.
 const MIN_REQUESTS: usize = 500;
-/// Highest count of these requests.
+/// Highest number of requests sent to reach the whole subset.
 const MAX_REQUESTS: usize = 6000;
-/// Open requests over which the bytes of one are averaged.
+/// Number of open requests over which the bytes are averaged.
 const OPEN_REQUESTS: usize = 200;
 /// Virtual time after which the timers of requests have expired.
 const TIMER_DELAY: Seconds = 1.0;
 
-/// Bytes that are allocated now; `None` if the allocator does not count.
+/// Returns the bytes that are allocated now; `None` if the allocator does not count them.
 fn allocated_bytes() -> Option<isize> {
     let stats = INSTRUMENTED_SYSTEM.stats();
     (stats.allocations > 0).then(|| stats.bytes_allocated.wrapping_sub(stats.bytes_deallocated) as isize)
 }
 
-/// Bytes that `work` allocated and did not free.
+/// Returns the bytes that `work` allocates and does not free; `None` if the allocator does not count them.
 fn measure_growth(work: impl FnOnce()) -> Option<f64> {
     let before = allocated_bytes()?;
     work();
     Some((allocated_bytes()? - before) as f64)
 }
 
-/// True if this program counts the bytes that it allocates.
+/// Checks whether the allocator of this program counts the allocated bytes.
 pub fn is_allocation_counted() -> bool {
     allocated_bytes().is_some()
 }
 
-/// Records the bytes of an endpoint inside and outside the gateway's subset.
+/// Records the bytes per endpoint inside and outside the gateway's subset.
 ///
 /// # Errors
 /// The policy rejects the settings.
 pub fn measure_endpoints(row_key: RowKey, report: &mut Report) -> Result<(), Error> {
     let scenario = Scenario { gateways: row_key.gateways, tenants: 1, is_metered: false };
-    // The subset of a single gateway is all endpoints.
+    // A single gateway has all endpoints in its subset.
     let mut single = Driver::new(Scenario { gateways: 1, ..scenario })?;
     let Some(all_inside) = measure_growth(|| single.update_list(row_key.size)) else { return Ok(()) };
     let inside = all_inside / row_key.size as f64;
@@ -64,18 +64,18 @@
     Ok(())
 }
 
-/// The endpoints that have responded to a gateway, almost certainly its complete subset.
+/// Endpoints that have responded to a gateway; almost certainly the gateway's whole subset.
 struct RespondedSubset {
     size: usize,
-    /// Bytes that the responses added to the state.
+    /// Bytes of state that the responses added.
     added_bytes: f64,
 }
 
-/// Sends requests until almost certainly each endpoint of the subset has responded.
+/// Sends enough requests that almost certainly each endpoint of the subset has responded.
 fn reach_whole_subset(row_key: RowKey, mut driver: Driver) -> RespondedSubset {
     let requests = (REQUESTS_PER_ENDPOINT * row_key.size).clamp(MIN_REQUESTS, MAX_REQUESTS);
     let mut reached = BTreeSet::new();
-    // The state of the tenant and its plan must not be counted as that of endpoints.
+    // The first request creates the state of the tenant and its plan, which must not be counted as state of endpoints.
     driver.complete_request();
     let before = allocated_bytes().unwrap_or_default();
     for _ in 0..requests {
@@ -85,12 +85,12 @@
     while driver.pending_timers() > 1 && driver.deliver_timer() {}
     driver.shrink();
     let size = reached.len();
-    // The set of ids must not be counted as state of the gateway.
+    // Frees the set of ids, which must not be counted as state of the gateway.
     drop(reached);
     RespondedSubset { size, added_bytes: (allocated_bytes().unwrap_or_default() - before) as f64 }
 }
 
-/// Records the bytes of a tenant.
+/// Records the bytes per tenant.
 ///
 /// # Errors
 /// The policy rejects the settings.
@@ -110,7 +110,7 @@
     Ok(())
 }
 
-/// Records the bytes of an open request, in a single gateway, which may have many attempts in flight.
+/// Records the bytes per open request of a single gateway, which may have many attempts in flight.
 ///
 /// # Errors
 /// The policy rejects the settings.
--- a/lab/src/process/program.rs
+++ b/lab/src/process/program.rs
@@ -1,4 +1,4 @@
-//! The benchmark `process program`: the built program against stand-ins on loopback.
+//! The `process program` benchmark: measures the built program, with stand-ins for its services on loopback.
 
 use super::{
     Error,
@@ -12,38 +12,39 @@
 /// Arguments of `process program`.
 #[derive(Debug, clap::Args)]
 pub struct Arguments {
-    /// The built program; by default target/release/oliverack in the workspace.
+    /// Path of the built program; by default target/release/oliverack in the workspace.
     #[arg(long)]
     program: Option<PathBuf>,
     #[command(flatten)]
     round_arguments: RoundArguments,
-    /// Gateways in the program's settings, in the rows of workers.
+    /// Number of gateways in the program's settings, in the rows of endpoints.
     #[arg(long, default_value_t = 680)]
     gateways: u32,
-    /// The same in the rows of tenants: few, as all gateways share the calls of the counter.
+    /// Number of gateways in the program's settings, in the rows of tenants. Low, because all
+    /// gateways share the counter calls, which leaves few calls to each of many gateways.
     #[arg(long, default_value_t = 4)]
     tenant_gateways: u32,
-    /// Rounds; each measures every row once, on a new process.
+    /// Number of rounds. Each round measures every row once, with a new process.
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// Requests that a row's processor time is taken over.
+    /// Number of requests per row over which the processor time is averaged.
     #[arg(long, default_value_t = 6000)]
     requests: u64,
-    /// Connections that they come on.
+    /// Number of connections on which the requests are sent.
     #[arg(long, default_value_t = 4)]
     connections: u64,
-    /// One-entry changes of the list in a row.
+    /// Number of one-entry changes of the list per row.
     #[arg(long, default_value_t = 50)]
     changes: usize,
-    /// The program's limit on memory in the rows of workers, in MB.
+    /// Memory limit of the program in the rows of endpoints, in MiB.
     #[arg(long, default_value_t = 32)]
     memory_mb: usize,
-    /// The program's limit on memory in the rows of tenants, in MB.
+    /// Memory limit of the program in the rows of tenants, in MiB.
     #[arg(long, default_value_t = 192)]
     tenant_memory_mb: usize,
-    /// Fails where a row has failed, or, at 9,200 workers, a request takes more than 1.25 times the processor time of
-    /// 100 workers, a change takes more than 0.2 ms of it, or the indented list is not taken in with 32 MB. Sizes 100
-    /// and 9200 have to be among the workers.
+    /// Fails if a row fails or if, at 9,200 endpoints, a request takes more than 1.25 times the processor time that it
+    /// takes at 100 endpoints, a change takes more than 0.2 ms of processor time, or the program needs more than 32 MiB
+    /// to apply the indented list. Requires 100 and 9200 among `--workers`.
     #[arg(long, display_order = CHECK_POSITION)]
     check: bool,
 }
@@ -65,7 +66,7 @@
         if self.check { self.check_bounded() } else { Ok(()) }
     }
 
-    /// Checks that the run measures what the bounds are for.
+    /// Checks that the run measures everything that has a bound, within the bounded memory.
     fn check_bounded(&self) -> Result<(), Error> {
         self.round_arguments.check_has_bounded_rows()?;
         if self.memory_mb > BOUND_MEMORY_MB {
@@ -92,7 +93,7 @@
     }
 }
 
-/// The release build in the workspace's target folder.
+/// Returns the path of the release build in the workspace.
 fn default_program() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../target/release/oliverack")
 }
@@ -100,8 +101,8 @@
 /// Measures the program and publishes the report.
 ///
 /// # Errors
-/// Invalid arguments, a report that cannot be written, and, in a checked run, bounds that were violated and
-/// rows that failed.
+/// An argument is invalid, the program does not exist, the report cannot be written, or a checked run violates a bound
+/// or has a failed row.
 pub fn run(arguments: &Arguments) -> Result<(), Error> {
     arguments.check_values()?;
     let program = arguments.program()?;
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -1,4 +1,5 @@
-//! One row of the program's benchmark: a new process, a list of endpoints, requests, and changes of the list.
+//! Measures one row of the `process program` benchmark: starts a new process, and sends it a list of endpoints,
+//! requests, and changes of the list.
 
 use super::{
     Error,
@@ -16,22 +17,23 @@
     time::{Duration, Instant},
 };
 
-/// Endpoints listed in the configuration; discovery lists the others.
+/// Number of endpoints in the configuration's list. Discovery adds the others.
 const CONFIGURED_ENDPOINTS: usize = 10;
-/// Longest wait for an event of discovery.
+/// Longest wait for a call to the stand-in for discovery or for its response.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Requests before those that are measured, in which connections are opened and the program learns the latencies of its
-/// endpoints.
+/// Number of requests before the measured ones. The program opens connections and learns the latencies of its endpoints
+/// from them.
 const WARM_UP_REQUESTS: u64 = 1000;
-/// Requests in a batch of the warm-up of tenants.
+/// Number of requests in a batch of the tenants' warm-up.
 const BATCH_REQUESTS: u64 = 1000;
-/// Longest warm-up of tenants. The program raises its rate of counter calls over a second or two, from a low start.
+/// Longest warm-up of tenants. The program starts with a low rate of counter calls and raises it over a second or two.
 const STEADY_STATE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Fewest counter calls a request; with fewer, a row of tenants does not show the cost of a lease.
+/// Lowest accepted number of counter calls per request. With fewer, a row of tenants does not show the cost of a lease.
 const MIN_CALLS_PER_REQUEST: f64 = 0.01;
-/// Connections on which each tenant sends its first request. Many, as the program forgets a tenant that is idle for 26 s.
+/// Number of connections for the first request of each tenant. High, so that the load finishes before the program
+/// forgets its first tenants, which it does after 26 s without a request.
 const TENANT_CONNECTIONS: u64 = 32;
-/// Lowest share of requests that has to be served.
+/// Lowest accepted share of requests that are served.
 const MIN_SERVED_SHARE: f64 = 0.9;
 
 const BYTES_PER_KIBIBYTE: f64 = 1024.0;
@@ -40,20 +42,20 @@
 /// Microseconds in a second.
 pub const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// What a row measures and with what load.
+/// Program, load and limits of a row.
 #[derive(Debug)]
 pub struct Row<'a> {
-    /// The built program.
+    /// Path of the built program.
     pub program: &'a Path,
-    /// Its place in the report.
+    /// Key of the row in the report.
     pub row_key: RowKey,
-    /// Requests that are measured.
+    /// Number of measured requests.
     pub requests: u64,
-    /// Connections that they come on.
+    /// Number of connections on which the requests are sent.
     pub connections: u64,
-    /// One-entry changes.
+    /// Number of one-entry changes of the list.
     pub changes: usize,
-    /// The program's limit on memory, in MB.
+    /// Memory limit of the program, in MiB.
     pub memory_mb: usize,
 }
 
@@ -72,7 +74,7 @@
         }
     }
 
-    /// A load of so many requests, after those that were sent before.
+    /// Returns a load of `requests` requests, which follow `sent_before` earlier ones.
     pub fn load(&self, requests: u64, sent_before: u64) -> Load {
         Load {
             requests,
@@ -84,14 +86,14 @@
     }
 }
 
-/// The running program and the stand-ins that it is connected to.
+/// Running program and the stand-ins that it is connected to.
 #[derive(Debug)]
 pub struct TestBed {
     entries: Vec<ListEntry>,
     discovery: StandInDiscovery,
     counter: Option<StandInCounter>,
     _stand_in_endpoints: StandInEndpoints,
-    /// The running program.
+    /// Running program.
     pub child: ChildProgram,
 }
 
@@ -99,7 +101,7 @@
     /// Starts the stand-ins and the program, and waits until the program watches discovery.
     ///
     /// # Errors
-    /// One of them does not start, or the program does not watch discovery.
+    /// A stand-in or the program does not start, or the program does not watch discovery in time.
     pub fn start(row: &Row<'_>) -> Result<Self, Error> {
         let endpoints = StandInEndpoints::start()?;
         let entry = |number| ListEntry::new(number, endpoints.address(number), EntryState::Serving);
@@ -123,26 +125,26 @@
     /// Sends the complete list to the program. Returns how long the program took to apply it.
     ///
     /// # Errors
-    /// The program does not apply the list.
+    /// The program does not apply the list in time.
     pub fn send_list(&self, format: ListFormat) -> Result<Duration, Error> {
         let version = self.discovery.replace(self.entries.clone(), format);
         self.wait_until_applied(version)
     }
 
-    /// Waits until the program watches for changes of any version.
+    /// Waits until the program watches for changes, whatever the version of its list.
     fn wait_for_watch(&self) -> Result<(), Error> {
         while !matches!(self.next_event("a watch")?, DiscoveryEvent::Call { from: Some(_), .. }) {}
         Ok(())
     }
 
-    /// Waits until the response that leads to `version` was written and the next watch has come. Returns the time between
-    /// the two.
+    /// Waits for the start of the response that leads to `version`, and for the next watch, which shows whether the
+    /// program has applied the list. Returns the time between the two.
     fn wait_until_applied(&self, version: u64) -> Result<Duration, Error> {
-        let mut written = None;
+        let mut write_started = None;
         loop {
-            match (self.next_event("a watch")?, written) {
-                (DiscoveryEvent::Response { version: answered, at }, _) if answered >= version => {
-                    written = Some(at);
+            match (self.next_event("a watch")?, write_started) {
+                (DiscoveryEvent::Response { version: sent, at }, _) if sent >= version => {
+                    write_started = Some(at);
                 }
                 (DiscoveryEvent::Call { from, at }, Some(started)) => {
                     if from.is_none_or(|from| from < version) {
@@ -163,19 +165,19 @@
     }
 }
 
-/// A row that is being measured.
+/// Row that is being measured.
 struct RowBenchmark<'a> {
     row: &'a Row<'a>,
     report: &'a mut Report,
     test_bed: TestBed,
-    /// Requests sent so far.
+    /// Number of requests sent so far.
     sent: u64,
 }
 
-/// Measures one row into the report.
+/// Measures one row and records the values in the report.
 ///
 /// # Errors
-/// A measurement could not be made; the results of earlier ones are in the report.
+/// A measurement could not be made. The values of earlier measurements stay in the report.
 pub fn measure(row: &Row<'_>, report: &mut Report) -> Result<(), Error> {
     let test_bed = TestBed::start(row)?;
     let mut benchmark = RowBenchmark { row, report, test_bed, sent: 0 };
@@ -202,7 +204,7 @@
 
     fn measure_tenants(&mut self) -> Result<(), Error> {
         self.test_bed.send_list(ListFormat::Compact)?;
-        // Each tenant sends one request, so that the program knows all of them when the measurement begins.
+        // One request per tenant, so that the program has the state of all tenants before the measurement.
         let load = self.row.load(self.row.row_key.size as u64, self.sent);
         self.send(Load { connections: TENANT_CONNECTIONS, ..load })?;
         self.wait_for_steady_counter_calls()?;
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Sends the complete list, and records how long the program took to apply it, and its processor time.
+    /// Sends the complete list, and records the elapsed time and the processor time that the program took to apply it.
     fn measure_list(&mut self, format: ListFormat) -> Result<(), Error> {
         let (elapsed_metric, processor_metric) = match format {
             ListFormat::Compact => (Metric::CompactListElapsedMillis, Metric::CompactListProcessorMillis),
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Sends requests until the rate of counter calls a request is steady, or for [`STEADY_STATE_TIMEOUT`].
+    /// Sends requests until the number of counter calls per request is steady, or until [`STEADY_STATE_TIMEOUT`].
     fn wait_for_steady_counter_calls(&mut self) -> Result<(), Error> {
         let started = Instant::now();
         let mut steady_state = SteadyState::default();
@@ -295,12 +297,12 @@
         Ok(result)
     }
 
-    /// Counter calls so far; 0 in a row without a counter.
+    /// Returns the number of counter calls so far; 0 in a row without a counter.
     fn counter_calls(&self) -> u64 {
         self.test_bed.counter.as_ref().map_or(0, StandInCounter::calls)
     }
 
-    /// Measures changes of one entry: endpoints all over the list drain and are back.
+    /// Measures changes of one entry: endpoints spread over the list begin to drain, and then serve again.
     fn measure_changes(&mut self) -> Result<(), Error> {
         let changes = self.row.changes;
         let endpoints = self.test_bed.entries.len();
--- a/lab/src/process/report.rs
+++ b/lab/src/process/report.rs
@@ -1,4 +1,4 @@
-//! Collects measured values over rounds and reports their medians as a table and as JSON lines.
+//! Collects measured values over several rounds, and reports their medians as a table and as JSON lines.
 
 use super::Error;
 use serde::Serialize;
@@ -9,10 +9,10 @@
     path::Path,
 };
 
-/// Size of the row that ratios are relative to.
+/// Size of the base row, by whose medians ratios are computed.
 pub const BASE_SIZE: usize = 100;
 
-/// The largest size of a row.
+/// Largest accepted size of a row.
 const MAX_SIZE: usize = 1_000_000;
 
 /// Checks that rows of these sizes can be measured.
@@ -27,14 +27,14 @@
     }
 }
 
-/// What differs in size from row to row.
+/// Quantity that grows from row to row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Axis {
-    /// Listed endpoints.
+    /// Number of listed endpoints.
     #[serde(rename = "workers")]
     Endpoints,
-    /// Tenants with a quota.
+    /// Number of tenants with a quota.
     Tenants,
 }
 
@@ -47,14 +47,14 @@
     }
 }
 
-/// A row of the report.
+/// Identifies a row of the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct RowKey {
-    /// What the size is of.
+    /// Quantity that `size` is the value of.
     pub axis: Axis,
-    /// Gateways in the settings.
+    /// Number of gateways in the settings.
     pub gateways: u32,
-    /// How many endpoints or tenants there are.
+    /// Number of endpoints or tenants.
     pub size: usize,
 }
 
@@ -64,31 +64,31 @@
     }
 }
 
-/// A measured quantity.
+/// Measured quantity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Metric {
-    /// Processor time a request, in microseconds.
+    /// Processor time per request, in microseconds.
     RequestProcessorMicros,
-    /// Share of the requests that were served.
+    /// Share of the requests that were served, from 0 to 1.
     ServedShare,
-    /// Counter calls a request, on which the processor time of a row of tenants depends.
+    /// Counter calls per request, on which the processor time of a row of tenants depends.
     CounterCallsPerRequest,
-    /// Processor time of a change of one entry, in microseconds.
+    /// Processor time per change of one entry, in microseconds.
     ChangeProcessorMicros,
-    /// Time from the write of such a change to the next watch, in microseconds.
+    /// Time from the write of a change of one entry to the next watch, in microseconds.
     ChangeElapsedMicros,
-    /// Processor time of a timer, in microseconds.
+    /// Processor time per delivered timer, in microseconds.
     TimerProcessorMicros,
-    /// Processor time of a sweep over the tenants, in microseconds.
+    /// Processor time per sweep over the tenants, in microseconds.
     SweepProcessorMicros,
-    /// Processor time to apply the complete list, compact, in milliseconds.
+    /// Processor time to apply the complete compact list, in milliseconds.
     CompactListProcessorMillis,
-    /// Time from the write of the complete list, compact, to the next watch, in milliseconds.
+    /// Time from the write of the complete compact list to the next watch, in milliseconds.
     CompactListElapsedMillis,
-    /// Processor time to apply the complete list, indented, in milliseconds.
+    /// Processor time to apply the complete indented list, in milliseconds.
     IndentedListProcessorMillis,
-    /// Time from the write of the complete list, indented, to the next watch, in milliseconds.
+    /// Time from the write of the complete indented list to the next watch, in milliseconds.
     IndentedListElapsedMillis,
     /// Resident memory after the requests, in KiB.
     ResidentKibibytes,
@@ -96,23 +96,23 @@
     PeakResidentKibibytes,
     /// Peak of the resident memory after the indented list, in KiB.
     PeakIndentedKibibytes,
-    /// Bytes of state for a listed endpoint outside the subset of the gateway.
+    /// Bytes of state per listed endpoint outside the subset of the gateway.
     #[serde(rename = "worker_outside_bytes")]
     EndpointOutsideBytes,
-    /// Bytes of state for an endpoint of the subset that has not received requests.
+    /// Bytes of state per endpoint of the subset that has not received requests.
     #[serde(rename = "worker_inside_bytes")]
     EndpointInsideBytes,
-    /// Bytes of state for an endpoint of the subset that has responded.
+    /// Bytes of state per endpoint of the subset that has responded.
     #[serde(rename = "worker_answered_bytes")]
     EndpointRespondedBytes,
-    /// Bytes of state for a tenant.
+    /// Bytes of state per tenant.
     TenantBytes,
-    /// Bytes of state for an open request with its timer.
+    /// Bytes of state per open request, with its timer.
     OpenRequestBytes,
 }
 
 impl Metric {
-    /// Its name in the table, with its unit.
+    /// Returns the title in the table, with the unit.
     pub fn title(self) -> &'static str {
         match self {
             Self::RequestProcessorMicros => "processor time a request [us]",
@@ -138,42 +138,43 @@
     }
 }
 
-/// The values of one quantity over the rounds.
+/// Summary of the values of one quantity of a row over the rounds, in the unit of the [`Metric`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Summary {
-    /// The median.
+    /// Median of the values.
     pub median: f64,
-    /// The lowest.
+    /// Lowest value.
     pub lowest: f64,
-    /// The highest.
+    /// Highest value.
     pub highest: f64,
-    /// How many values there are.
+    /// Number of values, one for each round in which the quantity was measured.
     pub rounds: usize,
-    /// The median divided by that of the row of [`BASE_SIZE`] in the same run.
+    /// Median divided by that of the row with [`BASE_SIZE`] and the same number of gateways; `None` if the latter was
+    /// not measured or is 0.
     pub ratio: Option<f64>,
 }
 
-/// Why a row could not be measured completely.
+/// Reason why a row could not be measured completely.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{row_key}, in {rounds} rounds: {reason}")]
 pub struct RowFailure {
-    /// The row.
+    /// Row that failed.
     pub row_key: RowKey,
-    /// What the error said.
+    /// Text of the error.
     pub reason: String,
-    /// In how many rounds.
+    /// Number of rounds in which the row failed for this reason.
     pub rounds: usize,
 }
 
-/// Measured values, by quantity and row, and the rows that failed.
+/// Measured values by quantity and row, and the failures of rows.
 #[derive(Debug, Default)]
 pub struct Report {
     values: BTreeMap<(Axis, Metric), BTreeMap<RowKey, Vec<f64>>>,
-    /// By row and reason, in how many rounds it failed.
+    /// Number of failed rounds by row and reason.
     failures: BTreeMap<RowKey, BTreeMap<String, usize>>,
 }
 
-/// One line of the JSON file.
+/// Line of the JSON file.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 enum Line<'a> {
@@ -195,17 +196,17 @@
 }
 
 impl Report {
-    /// Adds a value.
+    /// Adds the value of one round.
     pub fn record(&mut self, row_key: RowKey, metric: Metric, value: f64) {
         self.values.entry((row_key.axis, metric)).or_default().entry(row_key).or_default().push(value);
     }
 
-    /// Adds a failure of a row.
+    /// Adds the failure of a row in one round.
     pub fn record_failure(&mut self, row_key: RowKey, error: &Error) {
         *self.failures.entry(row_key).or_default().entry(error.to_string()).or_default() += 1;
     }
 
-    /// The summary of one quantity of one row; `None` if it was not measured.
+    /// Returns the summary of one quantity of a row; `None` if the quantity was not measured.
     pub fn summary(&self, row_key: RowKey, metric: Metric) -> Option<Summary> {
         let values = self.values.get(&(row_key.axis, metric))?.get(&row_key)?;
         let mut summary = summarize(values)?;
@@ -215,12 +216,12 @@
         Some(summary)
     }
 
-    /// The rows of which a quantity was measured.
+    /// Returns the keys of the rows for which a quantity was measured.
     pub fn row_keys(&self, axis: Axis, metric: Metric) -> impl Iterator<Item = RowKey> + '_ {
         self.values.get(&(axis, metric)).into_iter().flat_map(|rows| rows.keys().copied())
     }
 
-    /// The failures of rows.
+    /// Returns the failures of rows, one for each row and reason.
     pub fn failures(&self) -> impl Iterator<Item = RowFailure> + '_ {
         self.failures.iter().flat_map(|(row_key, reasons)| {
             let failure = |(reason, rounds): (&String, &usize)| RowFailure {
@@ -242,7 +243,7 @@
         fs::write(path, self.json_lines(part)).map_err(Error::system("writing the JSON lines"))
     }
 
-    /// The table: a block for each quantity, a line for each row.
+    /// Returns the report as a table with a block for each quantity and a line for each row, followed by the failures.
     pub fn table(&self) -> String {
         let mut text = String::new();
         for (axis, metric) in self.values.keys() {
@@ -279,7 +280,7 @@
         text
     }
 
-    /// The report as JSON lines: one for each quantity of each row, and one for each failure.
+    /// Returns the report as JSON lines: one for each quantity of each row, and one for each failure.
     pub fn json_lines(&self, part: &str) -> String {
         let mut lines = Vec::new();
         for (axis, metric) in self.values.keys() {
--- a/lab/src/process/stand_in_counter.rs
+++ b/lab/src/process/stand_in_counter.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the counter service: adds at once and responds with the total.
+//! A stand-in for the counter service, which adds each amount at once and responds with the total.
 
 use super::Error;
 use std::{
@@ -12,27 +12,27 @@
     thread,
 };
 
-/// The call that checks whether the connection is alive.
+/// Call that checks whether the connection is alive.
 const PING: &str = "ping";
 
-/// Totals by name. They never expire, as no measurement takes that long.
+/// Totals by counter name. Totals never expire, as no measurement takes as long as their time to live.
 type Totals = Arc<Mutex<HashMap<String, f64>>>;
 
-/// A counter that listens on loopback.
+/// Counter service that listens on loopback.
 #[derive(Debug)]
 pub struct StandInCounter {
-    /// Where it listens.
+    /// Address on which the counter listens.
     pub address: SocketAddr,
     calls: Arc<AtomicU64>,
 }
 
 impl StandInCounter {
-    /// Starts to listen on a free port. Its threads end with the process.
+    /// Listens on a free port. The threads run until the process ends.
     ///
     /// # Errors
     /// No socket can be opened.
     pub fn start() -> Result<Self, Error> {
-        let system = Error::system("listening as counter");
+        let system = Error::system("listening as the counter");
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&system)?;
         let address = listener.local_addr().map_err(&system)?;
         let totals = Totals::default();
@@ -47,14 +47,14 @@
         Ok(Self { address, calls })
     }
 
-    /// Calls so far, without pings.
+    /// Returns the number of calls so far, without pings.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 }
 
 fn serve(mut socket: &TcpStream, totals: &Totals, calls: &AtomicU64) {
-    // Without this, a response waits until the client has acknowledged the one before.
+    // Without this option, a response is held back until the client has acknowledged the previous one.
     if socket.set_nodelay(true).is_err() {
         return;
     }
--- a/lab/src/process/stand_in_discovery.rs
+++ b/lab/src/process/stand_in_discovery.rs
@@ -1,4 +1,5 @@
-//! A stand-in for discovery: serves the complete list, compact or indented, and holds watches until a change.
+//! A stand-in for discovery, which serves the complete list, compact or indented, and holds each watch until the list
+//! changes.
 
 use super::{Error, http};
 use serde::Serialize;
@@ -13,23 +14,23 @@
     time::{Duration, Instant},
 };
 
-/// Longest hold of a watch, whatever hold it requests; the protocol allows a shorter one.
+/// Longest hold of a watch. The protocol allows a shorter hold than the watch requests.
 const MAX_HOLD: Duration = Duration::from_millis(1000);
 
-/// End of a line of an indented list, with the indent of the next.
+/// Line break of an indented list, with additional indentation of the next line.
 const INDENTED_LINE_BREAK: &str = "\r\n        ";
 
 /// State of an endpoint in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EntryState {
-    /// Accepts requests.
+    /// The endpoint accepts requests.
     Serving,
-    /// Finishes the requests that it has.
+    /// The endpoint finishes its open requests and accepts no new ones.
     Draining,
 }
 
-/// One entry of the list, in the order of the protocol's fields.
+/// Entry of the list, with its fields in the order of the protocol.
 #[derive(Debug, Clone, Serialize)]
 pub struct ListEntry {
     id: String,
@@ -43,31 +44,31 @@
 }
 
 impl ListEntry {
-    /// The entry of the endpoint with this number.
+    /// Creates the entry of the endpoint with this number.
     pub fn new(number: usize, addr: SocketAddr, state: EntryState) -> Self {
         let id = format!("s-{number:08x}");
         Self { id, addr, zone: "zone-a", kind: "m2", cell: 0, state, weight: 1.0, started_ms: 0 }
     }
 }
 
-/// Body of a response.
+/// Body of a response with the complete list or with changes.
 #[derive(Debug, Serialize)]
 pub struct ListResponse<'a> {
-    /// Version of the list after it.
+    /// Version of the list that the receiver has after applying the response.
     pub version: u64,
     /// True for the complete list, false for changes.
     pub full: bool,
-    /// The entries.
+    /// All entries of the list, or the changed ones.
     #[serde(rename = "servers")]
     pub endpoints: &'a [ListEntry],
 }
 
-/// How the JSON of a list is formatted.
+/// Layout of the JSON text of a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListFormat {
-    /// Without white space.
+    /// No white space.
     Compact,
-    /// Each field of an entry on a line of its own, far indented and ended by CRLF.
+    /// Each field of an entry on a separate line, deeply indented and ended by CRLF.
     Indented,
 }
 
@@ -83,38 +84,39 @@
     }
 }
 
-/// A call or a response of the stand-in.
+/// Call to the stand-in, or response of the stand-in.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DiscoveryEvent {
     /// A call was received.
     Call {
-        /// Version from which it watches; `None` if it asks for the complete list.
+        /// Version whose successors are watched for; `None` for a call for the complete list.
         from: Option<u64>,
-        /// When it was received.
+        /// Time at which the call was received.
         at: Instant,
     },
     /// A response is about to be written.
     Response {
-        /// Version of the list after it.
+        /// Version of the list after the response.
         version: u64,
-        /// When the write started.
+        /// Time just before the write.
         at: Instant,
     },
 }
 
-/// The change of one entry.
+/// Change of one entry.
 #[derive(Debug)]
 struct EntryChange {
-    /// Version of the list after it.
+    /// Version of the list after the change.
     version: u64,
+    /// New value of the entry.
     entry: ListEntry,
 }
 
-/// The list and its changes.
+/// Current list and its latest changes.
 #[derive(Debug)]
 struct ListHistory {
     version: u64,
-    /// Oldest version from which changes are known; watches from earlier ones get the complete list.
+    /// Oldest version whose later changes are known. A watch from an earlier version receives the complete list.
     oldest_watchable_version: u64,
     format: ListFormat,
     entries: Vec<ListEntry>,
@@ -122,7 +124,7 @@
 }
 
 impl ListHistory {
-    /// Body of the response to a watch from a version, or to a call for the complete list.
+    /// Returns the body of the response to a watch from a version, or with `None` to a call for the complete list.
     fn response_body(&self, from: Option<u64>) -> String {
         match from.filter(|from| *from >= self.oldest_watchable_version) {
             Some(from) => {
@@ -155,18 +157,18 @@
     }
 }
 
-/// A discovery service that listens on loopback.
+/// Discovery service that listens on loopback.
 #[derive(Debug)]
 pub struct StandInDiscovery {
-    /// Where it listens.
+    /// Address on which discovery listens.
     pub address: SocketAddr,
-    /// Calls and responses in their order.
+    /// Calls and responses, in the order in which they occur.
     pub events: Receiver<DiscoveryEvent>,
     shared: Arc<SharedList>,
 }
 
 impl StandInDiscovery {
-    /// Starts to listen on a free port, with this list as version 1. Its threads end with the process.
+    /// Listens on a free port, with these entries as version 1 of the list. The threads run until the process ends.
     ///
     /// # Errors
     /// No socket can be opened.
@@ -193,7 +195,7 @@
         Ok(Self { address, events, shared })
     }
 
-    /// Replaces the list and sends it to each watch. Returns its version.
+    /// Replaces the list and sends the complete new list to each watch. Returns the new version.
     pub fn replace(&self, entries: Vec<ListEntry>, format: ListFormat) -> u64 {
         let mut history = self.shared.lock();
         history.version += 1;
@@ -207,7 +209,8 @@
         version
     }
 
-    /// Changes the entry with this number and sends only this entry to each watch. Returns the new version.
+    /// Changes the state of the entry with this number and sends only this entry to each watch. Returns the new
+    /// version.
     pub fn change(&self, number: usize, state: EntryState) -> u64 {
         let mut history = self.shared.lock();
         history.version += 1;
@@ -222,7 +225,7 @@
 }
 
 fn serve(mut socket: &TcpStream, shared: &SharedList, event_sender: &Sender<DiscoveryEvent>) {
-    // Without this, a response waits until the client has acknowledged the one before.
+    // Without this option, a response is held back until the client has acknowledged the previous one.
     if socket.set_nodelay(true).is_err() {
         return;
     }
@@ -244,14 +247,14 @@
     }
 }
 
-/// The response to a call.
+/// Response to a call.
 struct Response {
-    /// Version of the list after it.
+    /// Version of the list after the response.
     version: u64,
     body: String,
 }
 
-/// Waits until there is a version other than `from`, or the hold has elapsed.
+/// Waits until the list has another version than `from`, or `hold` has passed. Returns the response.
 fn wait_for_response(shared: &SharedList, from: Option<u64>, hold: Duration) -> Response {
     let history = shared.lock();
     let is_unchanged = |history: &mut ListHistory| from == Some(history.version);
--- a/lab/src/process/stand_in_endpoints.rs
+++ b/lab/src/process/stand_in_endpoints.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for endpoints: they respond 200 at once on persistent connections.
+//! Stand-ins for endpoints, which respond with status 200 at once on persistent connections.
 
 use super::{Error, http};
 use std::{
@@ -7,25 +7,25 @@
     thread,
 };
 
-/// Endpoints on each octet of a loopback address.
+/// Number of values that an octet of the endpoints' loopback addresses takes.
 const ENDPOINTS_PER_OCTET: usize = 250;
 /// Body of each response.
 const RESPONSE_BODY: &str = "ok";
 
-/// Any number of endpoints that share one listener: each has its own loopback address, and the listener accepts the
-/// connections to all of them. Connections from other machines are closed unread.
+/// Endpoints that share one listener. Each endpoint has a loopback address of its own, and the listener accepts the
+/// connections to all of these addresses. Connections from other machines are closed unread.
 #[derive(Debug)]
 pub struct StandInEndpoints {
     port: u16,
 }
 
 impl StandInEndpoints {
-    /// Starts to listen on a free port. Its threads end with the process.
+    /// Listens on a free port. The threads run until the process ends.
     ///
     /// # Errors
     /// No socket can be opened.
     pub fn start() -> Result<Self, Error> {
-        let system = Error::system("listening as workers");
+        let system = Error::system("listening as the endpoints");
         // Only the wildcard address accepts connections to every loopback address.
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).map_err(&system)?;
         let port = listener.local_addr().map_err(&system)?.port();
@@ -33,7 +33,7 @@
         Ok(Self { port })
     }
 
-    /// The address of the endpoint with this number.
+    /// Returns the address of the endpoint with this number.
     pub fn address(&self, number: usize) -> SocketAddr {
         let second = 1 + number / (ENDPOINTS_PER_OCTET * ENDPOINTS_PER_OCTET);
         let third = number / ENDPOINTS_PER_OCTET % ENDPOINTS_PER_OCTET;
@@ -51,7 +51,7 @@
 }
 
 fn serve(mut socket: &TcpStream) {
-    // Without this, a response waits until the client has acknowledged the one before.
+    // Without this option, a response is held back until the client has acknowledged the previous one.
     if socket.set_nodelay(true).is_err() {
         return;
     }
