--- a/lab/tests/demo.rs
+++ b/lab/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The decisions of the policy under the configuration of the demonstration.
+//! Tests the decisions of the policy with the configuration of the `demo` command.
 
 use oliverack::{Action, Endpoint, Event, Gateway, Lifecycle, ListKind, Options, Request, Status};
 use oliverack_lab::{
@@ -7,7 +7,7 @@
 };
 
 fn addresses() -> Addresses {
-    let unused_address = "127.0.0.1:0".parse().expect("an address");
+    let unused_address = "127.0.0.1:0".parse().expect("a valid address");
     Addresses {
         listen: unused_address,
         operator: unused_address,
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn fourth_request_at_once_is_rejected_with_retry_after() {
-    let entry = ListEntry::new(0, "127.0.0.1:9".parse().expect("an address"), EntryState::Serving);
+fn request_beyond_burst_is_rejected_with_retry_after() {
+    let entry = ListEntry::new(0, "127.0.0.1:9".parse().expect("a valid address"), EntryState::Serving);
     let configuration = configuration(addresses(), &[entry]);
-    let options = Options::read(&configuration["settings"]).expect("readable");
-    let mut gateway = Gateway::new(options.settings, 7).expect("usable");
+    let options = Options::read(&configuration["settings"]).expect("readable settings");
+    let mut gateway = Gateway::new(options.settings, 7).expect("accepted settings");
     let (mut now, mut actions) = (100.0, Vec::new());
     let endpoint = Endpoint { id: "w".into(), zone: 0, cell: 0, started: 0.0, lifecycle: Lifecycle::Running };
     gateway.handle(
@@ -58,5 +58,8 @@
         now += 0.01;
     }
     assert_eq!((sent, retry_afters.len()), (3, 1));
-    assert!(retry_afters[0] > 1.0 && retry_afters[0] <= 2.0, "at one in two seconds: {retry_afters:?}");
+    assert!(
+        retry_afters[0] > 1.0 && retry_afters[0] <= 2.0,
+        "a quota of one request in two seconds: {retry_afters:?}"
+    );
 }
--- a/lab/tests/process_bounds.rs
+++ b/lab/tests/process_bounds.rs
@@ -1,4 +1,4 @@
-//! The bounds of a checked run, and when a rate is steady.
+//! Tests of the bounds of a checked run, and of the detection of a steady rate.
 
 use oliverack_lab::process::{
     Error,
@@ -9,7 +9,7 @@
 
 const GATEWAYS: u32 = 680;
 
-/// A report in which all values of the bounded row are at their bounds.
+/// Returns a report in which all values of the bounded row are as high as their bounds allow.
 fn report_at_bounds() -> Report {
     let row_key = bounds::bounded_row_key(GATEWAYS);
     let mut report = Report::default();
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn values_at_the_bounds_pass_the_check() {
+fn values_at_bounds_pass_check() {
     assert_eq!(check_program(&report_at_bounds()), []);
     assert_eq!(check_policy(&report_at_bounds()), []);
 }
 
 #[test]
-fn each_value_over_its_bound_fails_the_check() {
+fn value_over_bound_fails_check() {
     let row_key = bounds::bounded_row_key(GATEWAYS);
     let report_with = |metric, value| {
         let mut report = report_at_bounds();
-        // Two values move the median of the three.
+        // Two of three values determine the median.
         for _ in 0..2 {
             report.record(row_key, metric, value);
         }
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn memory_over_its_bound_in_one_round_fails_the_check() {
+fn memory_over_bound_in_one_round_fails_check() {
     let metric = Metric::PeakIndentedKibibytes;
     let mut report = report_at_bounds();
     for _ in 0..4 {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn missing_values_fail_the_check() {
+fn missing_values_fail_check() {
     let failures = check_program(&Report::default());
     assert_eq!(violated_metrics(&failures), bounds::PROGRAM.map(|bound| bound.metric));
     assert_eq!(
@@ -88,14 +88,14 @@
 }
 
 #[test]
-fn ratio_without_its_base_row_fails_the_check() {
+fn ratio_without_base_row_fails_check() {
     let mut report = Report::default();
     report.record(bounds::bounded_row_key(GATEWAYS), Metric::RequestProcessorMicros, 100.0);
     assert!(violated_metrics(&check_program(&report)).contains(&Metric::RequestProcessorMicros));
 }
 
 #[test]
-fn failed_row_fails_the_check_with_its_reason() {
+fn failed_row_fails_check_with_reason() {
     let mut report = report_at_bounds();
     let row = RowKey { size: 10, ..bounds::bounded_row_key(GATEWAYS) };
     report.record_failure(
@@ -112,14 +112,14 @@
 }
 
 #[test]
-fn rate_is_steady_once_three_batches_agree() {
+fn rate_is_steady_after_three_similar_batches() {
     let mut steady_state = SteadyState::default();
     let is_steady = [0.1, 0.2, 0.4, 0.42, 0.43, 0.42].map(|value| steady_state.add(value, 0.01));
     assert_eq!(is_steady, [false, false, false, false, true, true]);
 }
 
 #[test]
-fn rate_below_the_least_value_is_never_steady() {
+fn rate_below_minimum_is_never_steady() {
     let mut steady_state = SteadyState::default();
     assert!([0.0; 6].into_iter().all(|value| !steady_state.add(value, 0.01)));
     assert!([0.009; 6].into_iter().all(|value| !steady_state.add(value, 0.01)));
--- a/lab/tests/process_command.rs
+++ b/lab/tests/process_command.rs
@@ -1,11 +1,11 @@
-//! The `process` command: small runs, and invalid arguments.
+//! Tests of the `process` command: small runs, failing runs, and invalid arguments.
 
 use serde_json::Value;
 use std::process::{Command, Output};
 
 fn run_process(arguments: &str) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_oliverack-lab"));
-    command.arg("process").args(arguments.split_whitespace()).output().expect("the lab starts")
+    command.arg("process").args(arguments.split_whitespace()).output().expect("the lab should start")
 }
 
 fn assert_rejected(arguments: &str, reason: &str) {
@@ -16,14 +16,15 @@
 
 #[test]
 fn small_policy_run_measures_times_and_state() {
-    let json = tempfile::NamedTempFile::new().expect("a writable folder for temporary files");
+    let json = tempfile::NamedTempFile::new().expect("the folder for temporary files should be writable");
     let path = json.path().display();
     let output = run_process(&format!(
         "policy --workers 10,100 --tenants 20 --gateways 1,100 --rounds 2 --requests 40 --changes 4 --json {path}"
     ));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let text = std::fs::read_to_string(json.path()).expect("the report");
-    let lines: Vec<Value> = text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
+    let text = std::fs::read_to_string(json.path()).expect("the report should be readable");
+    let lines: Vec<Value> =
+        text.lines().map(|line| serde_json::from_str(line).expect("the line should be JSON")).collect();
     let line_of = |axis: &str, size: u64, gateways: u64, metric: &str| {
         let is_requested = |line: &&Value| {
             line["axis"] == axis
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn program_that_ends_at_once_fails_its_rows_but_not_the_run() {
+fn program_that_ends_at_start_fails_rows_but_not_run() {
     let output = run_process("program --program /bin/false --workers 10 --tenants 20 --rounds 1");
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn checked_program_run_fails_on_failed_rows_and_missing_values() {
+fn checked_run_fails_on_failed_rows_and_missing_values() {
     let output =
         run_process("program --check --program /bin/false --workers 100,9200 --tenants 20 --rounds 1");
     let text = String::from_utf8_lossy(&output.stderr);
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn invalid_arguments_are_rejected_with_a_reason() {
+fn invalid_arguments_are_rejected_with_reason() {
     assert_rejected("policy --rounds 0", "rounds, requests and changes must be above 0");
     assert_rejected("policy --workers 10,0", "must be from 1 to 1000000");
     assert_rejected("program --program /bin/false --tenants 1000001", "must be from 1 to 1000000");
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn help_lists_both_benchmarks() {
+fn help_lists_program_and_policy_benchmarks() {
     let output = run_process("--help");
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success() && text.contains("program") && text.contains("policy"), "{text}");
