--- a/tests/fleet_ceilings.rs
+++ b/tests/fleet_ceilings.rs
@@ -115,8 +115,8 @@
         .build()
 }
 
-/// Simulates a fleet in which the share `restarted_share` of the gateways restarts when the fault begins. Returns the
-/// customers with the units sent for them.
+/// Simulates a fleet with a counter fault; the first `restarted_share` of the gateways restarts when the fault begins.
+/// Returns the customers with the units sent for them.
 fn simulate_fleet(
     fleet_size: u32,
     settings: &Settings,
@@ -202,7 +202,7 @@
         for restarted_share in [0.0, 0.7, 1.0] {
             for customer in simulate_fleet(fleet_size, &settings, *fault, restarted_share) {
                 let context = format!(
-                    "{fleet_size} gateways, counter: {has_counter}, fault: {fault:?}, restarted: {restarted_share}, {:?} at {}",
+                    "{fleet_size} gateways, counter: {has_counter}, fault: {fault:?}, restarted share: {restarted_share}, {:?} at {}",
                     customer.pattern, customer.gateway_count
                 );
                 assert!(
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Invalid settings and unexpected events.
+//! Invalid settings, unexpected events, and the idempotency scopes that options name.
 
 mod common;
 use common::{GatewayHarness, rejected_count, request, settings};
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -30,12 +30,17 @@
     for path in policy_files(root) {
         let text = fs::read_to_string(&path).expect("readable file");
         let count = text.lines().count();
-        assert!(count <= MAX_POLICY_FILE_LINES, "{}: {count} lines", path.display());
+        assert!(
+            count <= MAX_POLICY_FILE_LINES,
+            "{}: {count} lines, {MAX_POLICY_FILE_LINES} allowed",
+            path.display()
+        );
         let wide = text.lines().find(|line| line.chars().count() > MAX_POLICY_LINE_WIDTH);
-        assert_eq!(wide, None, "{}", path.display());
+        assert_eq!(wide, None, "{}: more than {MAX_POLICY_LINE_WIDTH} characters", path.display());
     }
     let policy_module =
         fs::read_to_string(root.join("src/policy/mod.rs")).expect("readable src/policy/mod.rs");
+    // The first line of the module docs must name the folder that defines the policy's events and actions.
     assert!(policy_module.lines().next().is_some_and(|line| line.contains("src/interface/")));
 }
 
@@ -73,7 +78,7 @@
     for path in policy_files(root) {
         let text = fs::read_to_string(&path).expect("readable file");
         let glob = text.lines().find(|line| line.contains("::*"));
-        assert_eq!(glob, None, "{}", path.display());
+        assert_eq!(glob, None, "{}: glob import", path.display());
     }
 }
 
@@ -224,7 +229,7 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for path in [root.join("src"), root.join("lab/src")].iter().flat_map(|folder| rust_files(folder)) {
         let count = fs::read_to_string(&path).expect("readable file").lines().count();
-        assert!(count <= MAX_LINES, "{}: {count} lines", path.display());
+        assert!(count <= MAX_LINES, "{}: {count} lines, {MAX_LINES} allowed", path.display());
     }
 }
 
@@ -262,7 +267,11 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for path in [root.join("src"), root.join("lab/src")].iter().flat_map(|folder| rust_files(folder)) {
         for (first_line, length) in function_lengths(&fs::read_to_string(&path).expect("readable file")) {
-            assert!(length <= MAX_LINES, "{}: {length} lines in {first_line}", path.display());
+            assert!(
+                length <= MAX_LINES,
+                "{}: {length} lines in {first_line}, {MAX_LINES} allowed",
+                path.display()
+            );
         }
     }
 }
