--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -99,14 +99,14 @@
         discovery: discovery.address,
         counter: counter.address,
     };
-    let mut file = NamedTempFile::new().map_err(Error::system("writing the configuration of the program"))?;
+    let mut file = NamedTempFile::new().map_err(Error::io("writing the configuration of the program"))?;
     let text = configuration(addresses, &entries).to_string();
-    file.write_all(text.as_bytes()).map_err(Error::system("writing the configuration of the program"))?;
+    file.write_all(text.as_bytes()).map_err(Error::io("writing the configuration of the program"))?;
     let program =
-        start_program(&arguments.program, file.path()).map_err(Error::system("starting the program"))?;
+        start_program(&arguments.program, file.path()).map_err(Error::io("starting the program"))?;
     println!("configuration: {}", file.path().display());
     wait_for_exit(KillOnDrop(program), arguments.seconds.map(Duration::from_secs))
-        .map_err(Error::system("waiting for the program"))
+        .map_err(Error::io("waiting for the program"))
 }
 
 fn start_program(program: &Path, configuration: &Path) -> io::Result<Child> {
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -107,7 +107,7 @@
     /// The program cannot be started, ends before it listens, or does not listen in time.
     pub fn start(program: &Path, configuration: &Configuration) -> Result<Self, Error> {
         let file = write_configuration(configuration)
-            .map_err(Error::system("writing the configuration of the program"))?;
+            .map_err(Error::io("writing the configuration of the program"))?;
         let mut command = Command::new(program);
         command
             .env("NODE_CONFIG", file.path())
@@ -115,7 +115,7 @@
             .env_remove("NODE_ACCEPT_FD")
             .env_remove("OLIVERACK_LOG");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let child = command.spawn().map_err(Error::system("starting the program"))?;
+        let child = command.spawn().map_err(Error::io("starting the program"))?;
         let mut child = KillOnDrop(child);
         let stderr = child.0.stderr.take().ok_or(Error::ProcessFieldUnreadable("stderr"))?;
         let log = Log::default();
--- a/lab/src/process/error.rs
+++ b/lab/src/process/error.rs
@@ -18,7 +18,7 @@
     ProgramMissing(PathBuf),
     /// An I/O operation failed.
     #[error("{operation}: {source}")]
-    System {
+    Io {
         /// Operation, as a phrase such as "reading /proc".
         operation: &'static str,
         /// Cause of the failure.
@@ -91,8 +91,8 @@
 
 impl Error {
     /// Returns a function for `map_err` that adds the name of the failed operation to an I/O error.
-    pub fn system(operation: &'static str) -> impl Fn(io::Error) -> Self {
-        move |source| Self::System { operation, source }
+    pub fn io(operation: &'static str) -> impl Fn(io::Error) -> Self {
+        move |source| Self::Io { operation, source }
     }
 }
 
--- a/lab/src/process/load.rs
+++ b/lab/src/process/load.rs
@@ -65,7 +65,7 @@
         let mut total = LoadResult::default();
         for client in clients {
             let result = client.join().unwrap_or_else(|panic| resume_unwind(panic));
-            let result = result.map_err(Error::system("sending requests"))?;
+            let result = result.map_err(Error::io("sending requests"))?;
             total.sent += result.sent;
             total.served += result.served;
         }
--- a/lab/src/process/policy.rs
+++ b/lab/src/process/policy.rs
@@ -60,12 +60,12 @@
         if self.gateways.is_empty() || self.gateways.contains(&0) {
             return Err(Error::InvalidArgument("counts of gateways must be above 0"));
         }
-        if self.check { self.check_bounded() } else { Ok(()) }
+        if self.check { self.check_covers_bounds() } else { Ok(()) }
     }
 
     /// Checks that the run measures everything that has a bound.
-    fn check_bounded(&self) -> Result<(), Error> {
-        self.round_arguments.check_has_bounded_rows()?;
+    fn check_covers_bounds(&self) -> Result<(), Error> {
+        self.round_arguments.check_includes_bounded_rows()?;
         // A single gateway has all endpoints in its subset, so none is outside it.
         if self.gateways.iter().all(|gateways| *gateways == 1) {
             return Err(Error::InvalidArgument("a checked run needs a count of gateways above 1"));
--- a/lab/src/process/proc_fs.rs
+++ b/lab/src/process/proc_fs.rs
@@ -19,7 +19,7 @@
 /// # Errors
 /// There is no such process, or the kernel keeps no scheduler statistics.
 pub fn processor_time(process: u32) -> Result<Duration, Error> {
-    let unreadable = Error::system("reading /proc");
+    let unreadable = Error::io("reading /proc");
     let threads = fs::read_dir(format!("/proc/{process}/task")).map_err(&unreadable)?;
     let mut total = Duration::ZERO;
     for thread in threads {
@@ -38,7 +38,7 @@
 /// There is no such process.
 pub fn memory(process: u32) -> Result<Memory, Error> {
     let text = fs::read_to_string(format!("/proc/{process}/status"));
-    parse_status(&text.map_err(Error::system("reading /proc"))?)
+    parse_status(&text.map_err(Error::io("reading /proc"))?)
 }
 
 /// Returns the processor time in the text of `/proc/PID/task/TID/schedstat`.
--- a/lab/src/process/program.rs
+++ b/lab/src/process/program.rs
@@ -20,8 +20,8 @@
     /// Number of gateways in the program's settings, in the rows of endpoints.
     #[arg(long, default_value_t = 680)]
     gateways: u32,
-    /// Number of gateways in the program's settings, in the rows of tenants. Low, because all
-    /// gateways share the counter calls, which leaves few calls to each of many gateways.
+    /// Number of gateways in the program's settings, in the rows of tenants. Low, because all gateways share
+    /// the counter calls, which leaves few calls to each of many gateways.
     #[arg(long, default_value_t = 4)]
     tenant_gateways: u32,
     /// Number of rounds. Each round measures every row once, with a new process.
@@ -63,12 +63,12 @@
             ));
         }
         self.round_arguments.check_sizes()?;
-        if self.check { self.check_bounded() } else { Ok(()) }
+        if self.check { self.check_covers_bounds() } else { Ok(()) }
     }
 
     /// Checks that the run measures everything that has a bound, within the bounded memory.
-    fn check_bounded(&self) -> Result<(), Error> {
-        self.round_arguments.check_has_bounded_rows()?;
+    fn check_covers_bounds(&self) -> Result<(), Error> {
+        self.round_arguments.check_includes_bounded_rows()?;
         if self.memory_mb > BOUND_MEMORY_MB {
             return Err(Error::InvalidArgument("a checked run needs a memory limit of 32 MB at most"));
         }
--- a/lab/src/process/report.rs
+++ b/lab/src/process/report.rs
@@ -174,7 +174,7 @@
     failures: BTreeMap<RowKey, BTreeMap<String, usize>>,
 }
 
-/// Line of the JSON file.
+/// Line of the JSON file. `part` is the name of the benchmark, `failed` the reason of a failure.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 enum Line<'a> {
@@ -210,8 +210,9 @@
     pub fn summary(&self, row_key: RowKey, metric: Metric) -> Option<Summary> {
         let values = self.values.get(&(row_key.axis, metric))?.get(&row_key)?;
         let mut summary = summarize(values)?;
-        let base = RowKey { size: BASE_SIZE, ..row_key };
-        let base = self.values.get(&(row_key.axis, metric))?.get(&base).and_then(|values| summarize(values));
+        let base_key = RowKey { size: BASE_SIZE, ..row_key };
+        let base =
+            self.values.get(&(row_key.axis, metric))?.get(&base_key).and_then(|values| summarize(values));
         summary.ratio = base.filter(|base| base.median != 0.0).map(|base| summary.median / base.median);
         Some(summary)
     }
@@ -233,14 +234,14 @@
         })
     }
 
-    /// Prints the table, and writes the JSON lines if a file is given.
+    /// Prints the table, and writes the JSON lines if a file is given. `part` is the name of the benchmark.
     ///
     /// # Errors
     /// The file cannot be written.
     pub fn publish(&self, part: &str, json: Option<&Path>) -> Result<(), Error> {
         print!("{}", self.table());
         let Some(path) = json else { return Ok(()) };
-        fs::write(path, self.json_lines(part)).map_err(Error::system("writing the JSON lines"))
+        fs::write(path, self.json_lines(part)).map_err(Error::io("writing the JSON lines"))
     }
 
     /// Returns the report as a table with a block for each quantity and a line for each row, followed by the failures.
@@ -281,6 +282,7 @@
     }
 
     /// Returns the report as JSON lines: one for each quantity of each row, and one for each failure.
+    /// `part` is the name of the benchmark, which each line contains.
     pub fn json_lines(&self, part: &str) -> String {
         let mut lines = Vec::new();
         for (axis, metric) in self.values.keys() {
@@ -295,9 +297,9 @@
                 lines.push(Line::Failed { part, row_key: *row_key, failed, rounds: *rounds });
             }
         }
-        let write =
+        let to_json =
             |line| serde_json::to_string(line).expect("a line has only named fields and finite numbers");
-        lines.iter().map(write).fold(String::new(), |text, line| text + &line + "\n")
+        lines.iter().map(to_json).fold(String::new(), |text, line| text + &line + "\n")
     }
 }
 
--- a/lab/src/process/rounds.rs
+++ b/lab/src/process/rounds.rs
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// One of the two rows is missing.
-    pub fn check_has_bounded_rows(&self) -> Result<(), Error> {
+    pub fn check_includes_bounded_rows(&self) -> Result<(), Error> {
         if [BASE_SIZE, BOUND_SIZE].iter().all(|size| self.endpoints.contains(size)) {
             Ok(())
         } else {
--- a/lab/src/process/stand_in_counter.rs
+++ b/lab/src/process/stand_in_counter.rs
@@ -32,9 +32,9 @@
     /// # Errors
     /// No socket can be opened.
     pub fn start() -> Result<Self, Error> {
-        let system = Error::system("listening as the counter");
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&system)?;
-        let address = listener.local_addr().map_err(&system)?;
+        let listen_error = Error::io("listening as the counter");
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&listen_error)?;
+        let address = listener.local_addr().map_err(&listen_error)?;
         let totals = Totals::default();
         let calls = Arc::new(AtomicU64::new(0));
         let thread_calls = calls.clone();
--- a/lab/src/process/stand_in_discovery.rs
+++ b/lab/src/process/stand_in_discovery.rs
@@ -173,9 +173,9 @@
     /// # Errors
     /// No socket can be opened.
     pub fn start(entries: Vec<ListEntry>) -> Result<Self, Error> {
-        let system = Error::system("listening as discovery");
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&system)?;
-        let address = listener.local_addr().map_err(&system)?;
+        let listen_error = Error::io("listening as discovery");
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&listen_error)?;
+        let address = listener.local_addr().map_err(&listen_error)?;
         let history = ListHistory {
             version: 1,
             oldest_watchable_version: 1,
--- a/lab/src/process/stand_in_endpoints.rs
+++ b/lab/src/process/stand_in_endpoints.rs
@@ -25,10 +25,10 @@
     /// # Errors
     /// No socket can be opened.
     pub fn start() -> Result<Self, Error> {
-        let system = Error::system("listening as the endpoints");
+        let listen_error = Error::io("listening as the endpoints");
         // Only the wildcard address accepts connections to every loopback address.
-        let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).map_err(&system)?;
-        let port = listener.local_addr().map_err(&system)?.port();
+        let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0)).map_err(&listen_error)?;
+        let port = listener.local_addr().map_err(&listen_error)?.port();
         thread::spawn(move || accept(&listener));
         Ok(Self { port })
     }
--- a/lab/tests/process_stand_ins.rs
+++ b/lab/tests/process_stand_ins.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn discovery_sends_the_complete_list_then_changes() {
+fn discovery_sends_complete_list_then_changes() {
     let discovery = StandInDiscovery::start(entries(3)).expect("a free port");
     let mut client = Client::connect(discovery.address);
     let list = client.get_list("/discovery/hosts");
