--- a/lab/src/fleet/configuration.rs
+++ b/lab/src/fleet/configuration.rs
@@ -198,8 +198,8 @@
     /// Number of gateways that serve a tenant; drawn for each tenant.
     #[serde(rename = "spread")]
     pub gateways_per_tenant: Range<u32>,
-    /// Exponent of the uneven spread over a tenant's gateways, drawn for each tenant: the n-th gateway has the weight
-    /// `n.powf(-skew)`, so that 0 is an even spread.
+    /// Exponent of the uneven spread over a tenant's gateways, drawn for each tenant: the n-th gateway, counted from a
+    /// random one, has the weight `n.powf(-skew)`, so that 0 is an even spread.
     pub skew: Range<f64>,
     /// Maximum units of a request; the minimum is 1.
     pub max_units: u32,
--- a/lab/src/fleet/counter.rs
+++ b/lab/src/fleet/counter.rs
@@ -86,10 +86,10 @@
 
     /// Adds to an entry and returns the new total. The call that creates the entry sets its time to live.
     pub fn add(&mut self, now: Time, name: u64, amount: f64, ttl: Seconds) -> f64 {
-        let new = CounterEntry { total: 0.0, expires_at: now + ttl };
-        let entry = self.entries.entry(name).or_insert(new);
+        let new_entry = CounterEntry { total: 0.0, expires_at: now + ttl };
+        let entry = self.entries.entry(name).or_insert(new_entry);
         if entry.expires_at <= now {
-            *entry = new;
+            *entry = new_entry;
         }
         entry.total += amount;
         entry.total
@@ -112,9 +112,9 @@
 
     /// Removes a random share of the entries and returns their number.
     pub fn lose_entries(&mut self, share: f64, generator: &mut ChaCha8Rng) -> usize {
-        let before = self.entries.len();
+        let count_before = self.entries.len();
         self.entries.retain(|_, _| generator.random::<f64>() >= share);
-        before - self.entries.len()
+        count_before - self.entries.len()
     }
 
     /// Returns the number of entries, including expired ones that no later call has replaced.
--- a/lab/src/fleet/endpoints.rs
+++ b/lab/src/fleet/endpoints.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns whether the endpoint reads requests, even if it never responds.
-    pub fn reads_messages(&self) -> bool {
+    pub fn reads_requests(&self) -> bool {
         matches!(self.state, EndpointState::Serving | EndpointState::Draining | EndpointState::Hung)
     }
 
--- a/lab/src/fleet/incident_plan.rs
+++ b/lab/src/fleet/incident_plan.rs
@@ -67,8 +67,8 @@
     }
 
     /// Plans the start and the end of a fault.
-    fn add_span(&mut self, at: Seconds, begin: Incident, until: Seconds, end: Incident) {
-        self.add(at, begin);
+    fn add_span(&mut self, at: Seconds, start: Incident, until: Seconds, end: Incident) {
+        self.add(at, start);
         self.add(until, end);
     }
 
@@ -105,9 +105,9 @@
                 self.add_span(at, Incident::LoseZone(zone), until, Incident::RestoreZone(zone));
             }
             Fault::CutCounter { at, until, zone } => {
-                let begin = Incident::SetCounterCut { zone, is_cut: true };
+                let start = Incident::SetCounterCut { zone, is_cut: true };
                 let end = Incident::SetCounterCut { zone, is_cut: false };
-                self.add_span(at, begin, until, end);
+                self.add_span(at, start, until, end);
             }
             Fault::SlowCounter { at, until, factor } => {
                 self.add_span(at, Incident::SlowCounter(factor), until, Incident::SlowCounter(1.0));
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -108,15 +108,15 @@
 /// Total weight of the demands that were within their quota, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct InQuotaWeight {
-    /// Weight of all of them.
+    /// Weight of all these demands.
     #[serde(rename = "asked")]
     pub submitted: f64,
-    /// Weight of those served within the latency objective.
+    /// Weight of the demands served within the latency objective.
     pub served: f64,
-    /// Weight of those rejected and not retried any more.
+    /// Weight of the demands rejected and not retried any more.
     #[serde(rename = "refused")]
     pub rejected: f64,
-    /// Weight of those with any other outcome.
+    /// Weight of the demands with any other outcome.
     pub otherwise: f64,
 }
 
@@ -133,7 +133,7 @@
 
 /// Submission whose first attempt is sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Forwarded {
+pub struct ForwardedSubmission {
     /// Units of the request.
     pub units: f64,
     /// Weight of these units.
@@ -161,7 +161,7 @@
 }
 
 impl QuotaCounts {
-    fn count(&mut self, forwarded: Forwarded) {
+    fn count(&mut self, forwarded: ForwardedSubmission) {
         if forwarded.is_within_quota {
             self.units_within_quota += forwarded.units;
         } else {
@@ -338,7 +338,7 @@
     }
 
     /// Counts a submission when its first attempt is sent.
-    pub fn count_forwarded(&mut self, now: Time, forwarded: Forwarded) {
+    pub fn count_forwarded(&mut self, now: Time, forwarded: ForwardedSubmission) {
         self.quotas.count(forwarded);
         self.second(now).quotas.count(forwarded);
     }
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -216,7 +216,8 @@
 }
 
 fn quota_record(counts: QuotaCounts, tenants: &[Tenant]) -> QuotaRecord {
-    let levels: Vec<f64> = tenants.iter().filter(|t| t.ceiling.is_some()).map(|t| t.lowest_ceiling).collect();
+    let levels: Vec<f64> =
+        tenants.iter().filter(|t| t.ceiling.is_some()).map(|t| t.lowest_ceiling_level).collect();
     QuotaRecord {
         counts,
         ceilings: levels.len(),
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -4,7 +4,7 @@
 use super::event::ScheduledEvent;
 use super::gateway_fleet::GatewayFleet;
 use crate::fleet::event_queue::RUN_START;
-use crate::fleet::measures::{DemandOutcome, Forwarded};
+use crate::fleet::measures::{DemandOutcome, ForwardedSubmission};
 use crate::fleet::randomness::{Stream, exponential, stream, weighted_index};
 use crate::fleet::requests::{Demand, RequestTable, policy_request_id};
 use crate::fleet::tenants::{self, Tenant};
@@ -54,16 +54,16 @@
     }
 
     fn schedule_arrival(&mut self, context: &mut Context, tenant: usize) {
-        let last = RUN_START + context.configuration.seconds;
+        let arrivals_end_at = RUN_START + context.configuration.seconds;
         let next = self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrival_generator);
-        if let Some(at) = next.filter(|at| *at < last) {
+        if let Some(at) = next.filter(|at| *at < arrivals_end_at) {
             context.schedule_at(at, ScheduledEvent::ArrivalCandidate(tenant));
         }
     }
 
     /// Handles an arrival candidate of a tenant: schedules the next one, and returns the demand if this one is
     /// accepted.
-    pub fn arrival_candidate(&mut self, context: &mut Context, tenant: usize) -> Option<Demand> {
+    pub fn handle_arrival_candidate(&mut self, context: &mut Context, tenant: usize) -> Option<Demand> {
         self.schedule_arrival(context, tenant);
         if !self.tenants[tenant].accepts_candidate(context.now(), &mut self.arrival_generator) {
             return None;
@@ -81,8 +81,8 @@
         let class_index = weighted_index(generator, &class_shares);
         let units = f64::from(generator.random_range(1..=configuration.tenants.max_units));
         let endpoints = &configuration.endpoints;
-        let mean = endpoints.service_seconds + endpoints.service_seconds_per_unit * units;
-        let varying_seconds = exponential(generator, mean * endpoints.service_variation);
+        let mean_seconds = endpoints.service_seconds + endpoints.service_seconds_per_unit * units;
+        let varying_seconds = exponential(generator, mean_seconds * endpoints.service_variation);
         let class = &configuration.classes[class_index];
         let plan = &configuration.plans[self.tenants[tenant].plan];
         Demand {
@@ -91,7 +91,7 @@
             units,
             submitted_at: now,
             deadline: now + class.deadline,
-            service_seconds: mean * (1.0 - endpoints.service_variation) + varying_seconds,
+            service_seconds: mean_seconds * (1.0 - endpoints.service_variation) + varying_seconds,
             weight: class.unit_weight * plan.priority_weight * units,
             is_within_quota: self.tenants[tenant].submitted_quota.try_take(now, units),
             retries: 0,
@@ -102,10 +102,10 @@
     fn route(&mut self, context: &Context, gateways: &GatewayFleet, tenant: usize) -> Route {
         let detection_delay = context.configuration.clients.failure_detection_delay;
         let tenant = &self.tenants[tenant];
-        let start = weighted_index(&mut self.choice_generator, &tenant.gateway_weights);
+        let first_offset = weighted_index(&mut self.choice_generator, &tenant.gateway_weights);
         let gateway_count = tenant.gateway_count as usize;
         for step in 0..gateway_count {
-            let offset = (start + step) % gateway_count;
+            let offset = (first_offset + step) % gateway_count;
             let gateway = (tenant.first_gateway as usize + offset) % gateways.len();
             let Some(down_since) = gateways.down_since(gateway) else { return Route::Gateway(gateway) };
             if context.now() - down_since < detection_delay {
@@ -169,16 +169,21 @@
         let tenant = &mut self.tenants[demand.tenant];
         let is_within_quota = tenant.forwarded_quota.try_take(now, demand.units);
         if let Some(ceiling) = &mut tenant.ceiling {
-            tenant.lowest_ceiling = tenant.lowest_ceiling.min(ceiling.overdraw(now, demand.units));
+            tenant.lowest_ceiling_level =
+                tenant.lowest_ceiling_level.min(ceiling.overdraw(now, demand.units));
         }
         let over_quota_cost_share = context.configuration.plans[tenant.plan].over_quota_cost_share;
-        let forwarded =
-            Forwarded { units: demand.units, weight: demand.weight, over_quota_cost_share, is_within_quota };
+        let forwarded = ForwardedSubmission {
+            units: demand.units,
+            weight: demand.weight,
+            over_quota_cost_share,
+            is_within_quota,
+        };
         context.measures.count_forwarded(now, forwarded);
     }
 
     /// Handles a rejection at the client, which schedules a retry or gives up.
-    pub fn rejected(&mut self, context: &mut Context, demand: Demand, retry_after: Seconds) {
+    pub fn handle_rejection(&mut self, context: &mut Context, demand: Demand, retry_after: Seconds) {
         let clients = &context.configuration.clients;
         let backoff = if retry_after > 0.0 { retry_after } else { clients.default_backoff };
         let will_retry = demand.retries < clients.max_retries
--- a/lab/src/fleet/simulation/discovery_service.rs
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -157,7 +157,7 @@
     }
 
     /// Counts the idle watches of all gateways at the end of a run.
-    pub fn finish(&mut self, context: &mut Context) {
+    pub fn count_all_idle_watches(&mut self, context: &mut Context) {
         for gateway in 0..self.watches.len() {
             self.count_idle_watches(context, gateway);
         }
--- a/lab/src/fleet/simulation/endpoint_fleet.rs
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -84,7 +84,7 @@
     ) {
         let Some(demand) = requests.demand_of_attempt_in_flight(attempt) else { return };
         let admission = self.endpoints[endpoint].receive(attempt);
-        if self.endpoints[endpoint].reads_messages() {
+        if self.endpoints[endpoint].reads_requests() {
             let bytes = wire_size::attempt(&context.request_head(&demand));
             context.measures.traffic.endpoints.count(bytes);
         }
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -109,11 +109,11 @@
         while let Some(event) = self.context.next_event(end) {
             self.dispatch(event)?;
         }
-        Ok(self.finish())
+        Ok(self.into_result())
     }
 
-    fn finish(mut self) -> RunResult {
-        self.discovery.finish(&mut self.context);
+    fn into_result(mut self) -> RunResult {
+        self.discovery.count_all_idle_watches(&mut self.context);
         let end = self.context.now();
         let (gateways, processor_times) = self.gateways.into_parts();
         RunResult {
@@ -130,12 +130,12 @@
     fn dispatch(&mut self, event: ScheduledEvent) -> Result<(), SettingsError> {
         match event {
             ScheduledEvent::ArrivalCandidate(tenant) => {
-                if let Some(demand) = self.clients.arrival_candidate(&mut self.context, tenant) {
+                if let Some(demand) = self.clients.handle_arrival_candidate(&mut self.context, tenant) {
                     self.submit(demand);
                 }
             }
             ScheduledEvent::ClientRetry(demand) => self.submit(*demand),
-            ScheduledEvent::ClientDeadline(number) => self.client_deadline(number),
+            ScheduledEvent::ClientDeadline(number) => self.handle_client_deadline(number),
             ScheduledEvent::AttemptArrived { attempt, endpoint } => {
                 self.endpoints.attempt_arrived(&mut self.context, &self.requests, attempt, endpoint);
             }
@@ -278,7 +278,7 @@
     fn reject(&mut self, number: u64, retry_after: Seconds) {
         if let Some(demand) = self.answer(number, wire_size::rejected(retry_after)) {
             self.close_if_finished(number);
-            self.clients.rejected(&mut self.context, demand, retry_after);
+            self.clients.handle_rejection(&mut self.context, demand, retry_after);
         }
     }
 
@@ -290,7 +290,7 @@
     }
 
     /// Abandons a request whose client has no response by its deadline.
-    fn client_deadline(&mut self, number: u64) {
+    fn handle_client_deadline(&mut self, number: u64) {
         let Some(answered) = self.requests.answer(number) else { return };
         count_outcome(&mut self.context, &answered.demand, DemandOutcome::Abandoned);
         let to = self.gateways.address(answered.gateway);
--- a/lab/src/fleet/tenants.rs
+++ b/lab/src/fleet/tenants.rs
@@ -57,6 +57,7 @@
     duration: Seconds,
     /// Time from the start of one spike to the start of the next; 0 if there are no spikes.
     period: Seconds,
+    /// Random position in the period at the start of the run, so that the spikes of different tenants do not coincide.
     offset: Seconds,
 }
 
@@ -100,7 +101,7 @@
     /// Ceiling, charged with each submission when its first attempt is sent; `None` if the plan has no ceiling.
     pub ceiling: Option<TokenBucket>,
     /// Lowest level of the ceiling so far, as a share of its burst; 1 if there is no ceiling.
-    pub lowest_ceiling: f64,
+    pub lowest_ceiling_level: f64,
 }
 
 impl Tenant {
@@ -173,7 +174,7 @@
         submitted_quota: quota,
         forwarded_quota: quota,
         ceiling: (plan.ceiling_rate > 0.0).then_some(ceiling),
-        lowest_ceiling: 1.0,
+        lowest_ceiling_level: 1.0,
     }
 }
 
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -36,7 +36,6 @@
     pub expected: &'static str,
 }
 
-/// Result of a check.
 type Check = Result<(), InvalidValue>;
 
 fn require(holds: bool, key: &'static str, value: f64, expected: &'static str) -> Check {
@@ -214,9 +213,9 @@
 
 /// Returns the weighted mean of pairs of a weight and a value.
 fn weighted_mean(values: impl Iterator<Item = (f64, f64)>) -> f64 {
-    let (sum, weight) =
-        values.fold((0.0, 0.0), |(sum, all), (share, value)| (sum + share * value, all + share));
-    sum / weight
+    let (weighted_sum, total_weight) =
+        values.fold((0.0, 0.0), |(sum, total), (weight, value)| (sum + weight * value, total + weight));
+    weighted_sum / total_weight
 }
 
 fn check_load(configuration: &Configuration) -> Check {
--- a/lab/src/fleet/wire_size.rs
+++ b/lab/src/fleet/wire_size.rs
@@ -44,9 +44,10 @@
 }
 
 impl RequestHead<'_> {
-    fn common(&self) -> u64 {
+    /// Returns the size of the parts that a client's request and an attempt have in common.
+    fn common_bytes(&self) -> u64 {
         let method = if self.repeat_effect == RepeatEffect::Idempotent { "GET" } else { "POST" };
-        let key = if self.repeat_effect == RepeatEffect::IdempotencyKey {
+        let idempotency_key = if self.repeat_effect == RepeatEffect::IdempotencyKey {
             length(format_args!("Idempotency-Key: {:IDEMPOTENCY_KEY_BYTES$}\r\n", ""))
         } else {
             0
@@ -56,10 +57,11 @@
         } else {
             length(format_args!("Content-Length: {}\r\n", self.body_bytes)) + self.body_bytes
         };
-        let start = length(format_args!("{method} /{} HTTP/1.1\r\nHost: backend.local\r\n", self.class));
-        let names = length(format_args!("X-Txn: {:TRANSACTION_ID_BYTES$}\r\n", ""));
+        let request_line_and_host =
+            length(format_args!("{method} /{} HTTP/1.1\r\nHost: backend.local\r\n", self.class));
+        let transaction_id = length(format_args!("X-Txn: {:TRANSACTION_ID_BYTES$}\r\n", ""));
         let remaining = length(format_args!("X-Remaining: {:.3}\r\n\r\n", self.remaining));
-        start + names + key + body + remaining
+        request_line_and_host + transaction_id + idempotency_key + body + remaining
     }
 }
 
@@ -80,7 +82,7 @@
 
 /// Returns the size of a client's request to a gateway.
 pub fn client_request(head: &RequestHead<'_>, quota: &QuotaHeaders<'_>) -> u64 {
-    let names = length(format_args!(
+    let identity_headers = length(format_args!(
         "X-Lane: {}\r\nX-Plan: {}\r\nX-Customer: 0123456789abcdef\r\n",
         head.class, quota.plan
     ));
@@ -88,13 +90,13 @@
         "X-Quota: units={},spread={},first={}\r\n",
         quota.units, quota.gateway_count, quota.first_gateway
     ));
-    let retry = if quota.is_retry { length(format_args!("X-Resent: 1\r\n")) } else { 0 };
-    head.common() + names + quota_header + retry
+    let retry_header = if quota.is_retry { length(format_args!("X-Resent: 1\r\n")) } else { 0 };
+    head.common_bytes() + identity_headers + quota_header + retry_header
 }
 
 /// Returns the size of an attempt from a gateway to an endpoint.
 pub fn attempt(head: &RequestHead<'_>) -> u64 {
-    head.common()
+    head.common_bytes()
 }
 
 /// Returns the size of a response that serves a request or an attempt.
@@ -104,9 +106,9 @@
 
 /// Returns the size of a gateway's rejection; `retry_after` is 0 if it has no `Retry-After`.
 pub fn rejected(retry_after: Seconds) -> u64 {
-    let header =
+    let retry_after_header =
         if retry_after > 0.0 { length(format_args!("Retry-After: {retry_after:.3}\r\n")) } else { 0 };
-    length(format_args!("HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n")) + header
+    length(format_args!("HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n")) + retry_after_header
 }
 
 /// Returns the size of a gateway's response that fails a request.
