--- a/lab/src/fleet/endpoints.rs
+++ b/lab/src/fleet/endpoints.rs
@@ -24,7 +24,7 @@
 
 /// Decision of an endpoint on an attempt that has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AttemptAdmission {
+pub enum Admission {
     /// The service starts at once.
     Started,
     /// The attempt waits for a slot.
@@ -77,20 +77,20 @@
     }
 
     /// Decides on an attempt that has arrived, and puts it into a slot or the queue if it is accepted.
-    pub fn receive(&mut self, attempt: AttemptKey) -> AttemptAdmission {
+    pub fn receive(&mut self, attempt: AttemptKey) -> Admission {
         match self.state {
-            EndpointState::Draining => AttemptAdmission::Rejected(Status::Rejected),
-            EndpointState::Down | EndpointState::Gone => AttemptAdmission::Rejected(Status::ConnectFailed),
-            EndpointState::Hung | EndpointState::Unreachable => AttemptAdmission::NoResponse,
+            EndpointState::Draining => Admission::Rejected(Status::Rejected),
+            EndpointState::Down | EndpointState::Gone => Admission::Rejected(Status::ConnectFailed),
+            EndpointState::Hung | EndpointState::Unreachable => Admission::NoResponse,
             EndpointState::Serving if self.in_service.len() < self.slots => {
                 self.in_service.push(attempt);
-                AttemptAdmission::Started
+                Admission::Started
             }
             EndpointState::Serving if self.queue.len() < self.max_queued => {
                 self.queue.push_back(attempt);
-                AttemptAdmission::Queued
+                Admission::Queued
             }
-            EndpointState::Serving => AttemptAdmission::Rejected(Status::Rejected),
+            EndpointState::Serving => Admission::Rejected(Status::Rejected),
         }
     }
 
--- a/lab/src/fleet/simulation/endpoint_fleet.rs
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -3,7 +3,7 @@
 use super::context::Context;
 use super::event::ScheduledEvent;
 use crate::fleet::configuration::Configuration;
-use crate::fleet::endpoints::{AttemptAdmission, EndpointState, SimulatedEndpoint};
+use crate::fleet::endpoints::{Admission, EndpointState, SimulatedEndpoint};
 use crate::fleet::requests::{AttemptKey, RequestTable};
 use crate::fleet::wire_size;
 use oliverack::{Endpoint, EndpointId, Lifecycle, Status};
@@ -89,11 +89,9 @@
             context.measures.traffic.endpoints.count(bytes);
         }
         match admission {
-            AttemptAdmission::Started => {
-                self.start_service(context, attempt, endpoint, demand.service_seconds)
-            }
-            AttemptAdmission::Rejected(status) => self.respond(context, requests, attempt, endpoint, status),
-            AttemptAdmission::Queued | AttemptAdmission::NoResponse => {}
+            Admission::Started => self.start_service(context, attempt, endpoint, demand.service_seconds),
+            Admission::Rejected(status) => self.respond(context, requests, attempt, endpoint, status),
+            Admission::Queued | Admission::NoResponse => {}
         }
     }
 
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -8,7 +8,7 @@
 use oliverack_lab::fleet::counter::{CallAdmission, Counter};
 use oliverack_lab::fleet::counter_calls::{CallResult, CounterCalls};
 use oliverack_lab::fleet::discovery::{Discovery, PollResult};
-use oliverack_lab::fleet::endpoints::{AttemptAdmission, EndpointState, SimulatedEndpoint};
+use oliverack_lab::fleet::endpoints::{Admission, EndpointState, SimulatedEndpoint};
 use oliverack_lab::fleet::event_queue::{EventQueue, RUN_START};
 use oliverack_lab::fleet::randomness::{Stream, stream};
 use oliverack_lab::fleet::requests::AttemptKey;
@@ -152,11 +152,8 @@
 #[test]
 fn endpoint_serves_then_queues_then_rejects() {
     let mut endpoint = SimulatedEndpoint::new(&endpoints_configuration(), 0, 0.0);
-    let admissions: Vec<AttemptAdmission> = (0..3).map(|number| endpoint.receive(attempt(number))).collect();
-    assert_eq!(
-        admissions,
-        [AttemptAdmission::Started, AttemptAdmission::Queued, AttemptAdmission::Rejected(Status::Rejected)]
-    );
+    let admissions: Vec<Admission> = (0..3).map(|number| endpoint.receive(attempt(number))).collect();
+    assert_eq!(admissions, [Admission::Started, Admission::Queued, Admission::Rejected(Status::Rejected)]);
     assert_eq!(endpoint.start_next(|_| true), None);
     endpoint.finish(attempt(0));
     assert_eq!(endpoint.start_next(|_| true), Some(attempt(1)));
@@ -169,22 +166,22 @@
     endpoint.receive(attempt(1));
     endpoint.finish(attempt(0));
     assert_eq!(endpoint.start_next(|_| false), None);
-    assert_eq!(endpoint.receive(attempt(2)), AttemptAdmission::Started);
+    assert_eq!(endpoint.receive(attempt(2)), Admission::Started);
 }
 
 #[test]
 fn admission_depends_on_endpoint_state() {
     let mut endpoint = SimulatedEndpoint::new(&endpoints_configuration(), 0, 0.0);
     endpoint.state = EndpointState::Draining;
-    assert_eq!(endpoint.receive(attempt(0)), AttemptAdmission::Rejected(Status::Rejected));
+    assert_eq!(endpoint.receive(attempt(0)), Admission::Rejected(Status::Rejected));
     endpoint.stop(EndpointState::Hung);
-    assert_eq!(endpoint.receive(attempt(0)), AttemptAdmission::NoResponse);
+    assert_eq!(endpoint.receive(attempt(0)), Admission::NoResponse);
     endpoint.stop(EndpointState::Unreachable);
-    assert_eq!(endpoint.receive(attempt(0)), AttemptAdmission::NoResponse);
+    assert_eq!(endpoint.receive(attempt(0)), Admission::NoResponse);
     endpoint.resume(None);
     endpoint.receive(attempt(1));
     assert_eq!(endpoint.stop(EndpointState::Down), [attempt(1)]);
-    assert_eq!(endpoint.receive(attempt(2)), AttemptAdmission::Rejected(Status::ConnectFailed));
+    assert_eq!(endpoint.receive(attempt(2)), Admission::Rejected(Status::ConnectFailed));
 }
 
 #[test]
