--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -99,9 +99,9 @@
         discovery: discovery.address,
         counter: counter.address,
     };
-    let mut file = NamedTempFile::new().map_err(Error::io("writing the configuration of the program"))?;
+    let mut file = NamedTempFile::new().map_err(Error::io("writing the program's configuration"))?;
     let text = configuration(addresses, &entries).to_string();
-    file.write_all(text.as_bytes()).map_err(Error::io("writing the configuration of the program"))?;
+    file.write_all(text.as_bytes()).map_err(Error::io("writing the program's configuration"))?;
     let program =
         start_program(&arguments.program, file.path()).map_err(Error::io("starting the program"))?;
     println!("configuration: {}", file.path().display());
--- a/lab/src/process/child.rs
+++ b/lab/src/process/child.rs
@@ -106,8 +106,8 @@
     /// # Errors
     /// The program cannot be started, ends before it listens, or does not listen in time.
     pub fn start(program: &Path, configuration: &Configuration) -> Result<Self, Error> {
-        let file = write_configuration(configuration)
-            .map_err(Error::io("writing the configuration of the program"))?;
+        let file =
+            write_configuration(configuration).map_err(Error::io("writing the program's configuration"))?;
         let mut command = Command::new(program);
         command
             .env("NODE_CONFIG", file.path())
