--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn duplicate_id_of_request_in_flight_is_rejected_until_it_is_answered() {
+fn duplicate_id_is_rejected_while_first_request_is_in_flight() {
     let gate = Arc::new(Gate::default());
     let endpoint = FakeEndpoint::start(EndpointBehaviour::RespondAfter(gate.clone()));
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-/// Time after a change when every gateway counts as notified, even if a call has failed.
+/// Time after a change at which every gateway counts as notified, even if a call has failed.
 const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
 /// Allowance for a slow connect of the next call.
 const CONNECT_DELAY_ALLOWANCE: Duration = Duration::from_millis(1500);
@@ -49,13 +49,13 @@
     (socket, message.start_line)
 }
 
-/// Returns the time from a change at discovery to the next call of one of `gateways` gateways if the watch that would
-/// deliver the change fails at `stage`.
-fn time_until_next_call(mode: &str, gateways: u32, stage: Stage) -> Duration {
+/// Returns the time from a change at discovery to the next call of a gateway in a fleet of `gateway_count` if the watch
+/// that would deliver the change fails at `stage`.
+fn time_until_next_call(mode: &str, gateway_count: u32, stage: Stage) -> Duration {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (mut builder, _unused_discovery) = NodeBuilder::new(&[&endpoint]);
     builder.settings["Discovery"] = json!(mode);
-    builder.settings["PeersTotal"] = json!(gateways);
+    builder.settings["PeersTotal"] = json!(gateway_count);
     if stage == Stage::Refused {
         let closed_port = ReservedPort::new();
         builder.discovery(closed_port.addr);
@@ -108,14 +108,15 @@
     while read_message(&mut BufReader::new(&socket)).is_some() {}
 }
 
-fn assert_next_call_in_time(mode: &str, gateways: u32) {
+fn assert_next_call_in_time(mode: &str, gateway_count: u32) {
     thread::scope(|scope| {
-        let spawn_stage = |stage| (stage, scope.spawn(move || time_until_next_call(mode, gateways, stage)));
+        let spawn_stage =
+            |stage| (stage, scope.spawn(move || time_until_next_call(mode, gateway_count, stage)));
         for (stage, thread) in ALL_STAGES.map(spawn_stage) {
             let elapsed = thread.join().expect("the thread did not panic");
             assert!(
                 elapsed + CONNECT_DELAY_ALLOWANCE < NOTIFICATION_LIMIT,
-                "{mode}, {gateways} gateways, {stage:?}: next call after {elapsed:?}"
+                "{mode}, {gateway_count} gateways, {stage:?}: next call after {elapsed:?}"
             );
         }
     });
--- a/tests/fakes/endpoint.rs
+++ b/tests/fakes/endpoint.rs
@@ -125,7 +125,7 @@
         while !matches(&self.events.recv_timeout(WAIT_LIMIT).expect("the event")) {}
     }
 
-    /// Returns the requests received since the last call of a method above or of this one; discards other events.
+    /// Returns the received requests that no earlier call has taken; discards other events.
     pub fn drain_requests(&self) -> Vec<Message> {
         let message = |event| if let EndpointEvent::Request(_, m) = event { Some(m) } else { None };
         self.events.try_iter().filter_map(message).collect()
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn nine_in_ten_of_350_processes_are_ready_in_time_without_discovery_and_counter() {
+fn nine_tenths_of_fleet_start_in_time_without_discovery_and_counter() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (mut builder, _unused_discovery) = NodeBuilder::new(&[&endpoint]);
     let closed_port = ReservedPort::new();
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn response_broken_before_first_body_byte_is_answered_as_failed() {
+fn response_broken_before_first_body_byte_fails_request() {
     let gate = Arc::new(Gate::default());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let endpoint = FakeEndpoint::start(EndpointBehaviour::WriteRawInTwoParts(head, gate.clone(), ""));
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn truncated_request_body_is_truncated_at_endpoint() {
+fn truncated_request_body_is_not_completed_at_endpoint() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
