--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -1,10 +1,10 @@
-//! The clients, and the load balancer in front of the gateways that forwards their requests.
+//! Clients of all tenants, and the load balancer that forwards their requests to the gateways.
 
 use super::context::Context;
 use super::event::ScheduledEvent;
 use super::gateway_fleet::GatewayFleet;
 use crate::fleet::event_queue::RUN_START;
-use crate::fleet::measures::{DemandOutcome, Forwarded};
+use crate::fleet::measures::{DemandOutcome, ForwardedSubmission};
 use crate::fleet::randomness::{Stream, exponential, stream, weighted_index};
 use crate::fleet::requests::{Demand, RequestTable, policy_request_id};
 use crate::fleet::tenants::{self, Tenant};
@@ -13,35 +13,36 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// How long after its deadline a client still accepts a response: the last attempt may time out at the deadline
-/// itself, and its outcome has to come first.
+/// Time after the deadline for which a client still accepts a response. The last attempt may time out at the deadline
+/// itself, and its result must be handled before the client leaves.
 const CLIENT_DEADLINE_GRACE: Seconds = 0.01;
 
-/// Where the load balancer sends a request.
+/// Decision of the load balancer on a request.
 enum Route {
-    /// To this gateway, which is up.
+    /// Forward to this gateway, which is running.
     Gateway(usize),
-    /// To a gateway that is down without the load balancer knowing yet; or all of the tenant's gateways are down.
+    /// The request is lost: its gateway is down and the load balancer has not detected this yet, or all gateways of
+    /// the tenant are down.
     Unavailable,
 }
 
-/// The tenants with their demands and true quotas.
+/// Tenants with their clients and true quotas.
 #[derive(Debug)]
 pub struct ClientModel {
     tenants: Vec<Tenant>,
-    /// Draws when demands arise and what they are.
-    arrivals: ChaCha8Rng,
-    /// Draws routes and the decisions of clients.
-    choices: ChaCha8Rng,
+    /// Draws the arrivals and properties of demands.
+    arrival_generator: ChaCha8Rng,
+    /// Draws the routes of requests and the decisions of clients.
+    choice_generator: ChaCha8Rng,
 }
 
 impl ClientModel {
-    /// The tenants of a run.
+    /// Draws the tenants of a run.
     pub fn new(context: &Context, seed: u64) -> Self {
         Self {
             tenants: tenants::draw(&context.configuration, &mut stream(seed, Stream::Tenants)),
-            arrivals: stream(seed, Stream::Arrivals),
-            choices: stream(seed, Stream::Clients),
+            arrival_generator: stream(seed, Stream::Arrivals),
+            choice_generator: stream(seed, Stream::Clients),
         }
     }
 
@@ -53,17 +54,18 @@
     }
 
     fn schedule_arrival(&mut self, context: &mut Context, tenant: usize) {
-        let last = RUN_START + context.configuration.seconds;
-        let next = self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrivals);
-        if let Some(at) = next.filter(|at| *at < last) {
+        let arrivals_end_at = RUN_START + context.configuration.seconds;
+        let next = self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrival_generator);
+        if let Some(at) = next.filter(|at| *at < arrivals_end_at) {
             context.schedule_at(at, ScheduledEvent::ArrivalCandidate(tenant));
         }
     }
 
-    /// The arrival process of a tenant fires. Returns the demand that arises, if one does.
-    pub fn arrival_candidate(&mut self, context: &mut Context, tenant: usize) -> Option<Demand> {
+    /// Handles an arrival candidate of a tenant: schedules the next one, and returns the demand if this one is
+    /// accepted.
+    pub fn handle_arrival_candidate(&mut self, context: &mut Context, tenant: usize) -> Option<Demand> {
         self.schedule_arrival(context, tenant);
-        if !self.tenants[tenant].accepts_candidate(context.now(), &mut self.arrivals) {
+        if !self.tenants[tenant].accepts_candidate(context.now(), &mut self.arrival_generator) {
             return None;
         }
         let demand = self.draw_demand(context, tenant);
@@ -74,13 +76,13 @@
     fn draw_demand(&mut self, context: &Context, tenant: usize) -> Demand {
         let configuration = &context.configuration;
         let now = context.now();
-        let generator = &mut self.arrivals;
+        let generator = &mut self.arrival_generator;
         let class_shares: Vec<f64> = configuration.classes.iter().map(|class| class.share).collect();
         let class_index = weighted_index(generator, &class_shares);
         let units = f64::from(generator.random_range(1..=configuration.tenants.max_units));
         let endpoints = &configuration.endpoints;
-        let mean = endpoints.service_seconds + endpoints.service_seconds_per_unit * units;
-        let varying_seconds = exponential(generator, mean * endpoints.service_variation);
+        let mean_seconds = endpoints.service_seconds + endpoints.service_seconds_per_unit * units;
+        let varying_seconds = exponential(generator, mean_seconds * endpoints.service_variation);
         let class = &configuration.classes[class_index];
         let plan = &configuration.plans[self.tenants[tenant].plan];
         Demand {
@@ -89,21 +91,21 @@
             units,
             submitted_at: now,
             deadline: now + class.deadline,
-            service_seconds: mean * (1.0 - endpoints.service_variation) + varying_seconds,
+            service_seconds: mean_seconds * (1.0 - endpoints.service_variation) + varying_seconds,
             weight: class.unit_weight * plan.priority_weight * units,
             is_within_quota: self.tenants[tenant].submitted_quota.try_take(now, units),
             retries: 0,
         }
     }
 
-    /// Chooses one of the tenant's gateways, by weight; the load balancer skips those that it knows to be down.
+    /// Chooses one of the tenant's gateways by weight, and skips those that the load balancer has detected as down.
     fn route(&mut self, context: &Context, gateways: &GatewayFleet, tenant: usize) -> Route {
         let detection_delay = context.configuration.clients.failure_detection_delay;
         let tenant = &self.tenants[tenant];
-        let start = weighted_index(&mut self.choices, &tenant.gateway_weights);
+        let first_offset = weighted_index(&mut self.choice_generator, &tenant.gateway_weights);
         let gateway_count = tenant.gateway_count as usize;
         for step in 0..gateway_count {
-            let offset = (start + step) % gateway_count;
+            let offset = (first_offset + step) % gateway_count;
             let gateway = (tenant.first_gateway as usize + offset) % gateways.len();
             let Some(down_since) = gateways.down_since(gateway) else { return Route::Gateway(gateway) };
             if context.now() - down_since < detection_delay {
@@ -113,8 +115,8 @@
         Route::Unavailable
     }
 
-    /// A client submits a demand, for the first time or as a retry. Returns the gateway that receives the request, and
-    /// the request.
+    /// Submits a demand for the first time or as a retry, and opens a request for it. Returns `None` if the demand is
+    /// lost because its gateway is down.
     pub fn submit(
         &mut self,
         context: &mut Context,
@@ -128,7 +130,7 @@
         };
         let number = requests.open(demand, gateway);
         context.measures.submissions += 1;
-        context.measures.max_open = context.measures.max_open.max(requests.len());
+        context.measures.max_open_requests = context.measures.max_open_requests.max(requests.len());
         let bytes = self.request_bytes(context, &demand);
         context.measures.traffic.gateways[gateway].count(bytes);
         gateways.request_opened(gateway, demand.tenant);
@@ -161,27 +163,32 @@
         wire_size::client_request(&context.request_head(demand), &quota)
     }
 
-    /// Draws on the true quota and the true ceiling when the first attempt for a submission is forwarded.
-    pub fn draw_on_quota(&mut self, context: &mut Context, demand: &Demand) {
+    /// Charges the tenant's true quota and ceiling for a submission whose first attempt is being sent.
+    pub fn charge_quota(&mut self, context: &mut Context, demand: &Demand) {
         let now = context.now();
         let tenant = &mut self.tenants[demand.tenant];
         let is_within_quota = tenant.forwarded_quota.try_take(now, demand.units);
         if let Some(ceiling) = &mut tenant.ceiling {
-            tenant.lowest_ceiling = tenant.lowest_ceiling.min(ceiling.overdraw(now, demand.units));
+            tenant.lowest_ceiling_level =
+                tenant.lowest_ceiling_level.min(ceiling.overdraw(now, demand.units));
         }
         let over_quota_cost_share = context.configuration.plans[tenant.plan].over_quota_cost_share;
-        let forwarded =
-            Forwarded { units: demand.units, weight: demand.weight, over_quota_cost_share, is_within_quota };
+        let forwarded = ForwardedSubmission {
+            units: demand.units,
+            weight: demand.weight,
+            over_quota_cost_share,
+            is_within_quota,
+        };
         context.measures.count_forwarded(now, forwarded);
     }
 
-    /// A client gets a rejection, and comes back later or gives up.
-    pub fn rejected(&mut self, context: &mut Context, demand: Demand, retry_after: Seconds) {
+    /// Handles a rejection at the client, which schedules a retry or gives up.
+    pub fn handle_rejection(&mut self, context: &mut Context, demand: Demand, retry_after: Seconds) {
         let clients = &context.configuration.clients;
-        let backoff = if retry_after > 0.0 { retry_after } else { clients.retry_seconds };
+        let backoff = if retry_after > 0.0 { retry_after } else { clients.default_backoff };
         let will_retry = demand.retries < clients.max_retries
             && context.now() + backoff < demand.deadline
-            && self.choices.random::<f64>() < clients.retry_share;
+            && self.choice_generator.random::<f64>() < clients.retry_share;
         if will_retry {
             let retry = Box::new(Demand { retries: demand.retries + 1, ..demand });
             context.schedule_after(backoff, ScheduledEvent::ClientRetry(retry));
@@ -190,21 +197,21 @@
         }
     }
 
-    /// The tenants, at the end of a run.
+    /// Returns the tenants at the end of a run.
     pub fn into_tenants(self) -> Vec<Tenant> {
         self.tenants
     }
 }
 
-/// A request on its way to the policy of a gateway.
+/// Request that a gateway has received.
 pub struct Submission {
     /// Index of the gateway.
     pub gateway: usize,
-    /// What its policy is notified of.
+    /// Request of which the policy of the gateway is notified.
     pub request: Request,
 }
 
-/// A client gets the response of an endpoint.
+/// Records that a client has got the response of an endpoint.
 pub fn record_served(context: &mut Context, demand: &Demand) {
     let latency = context.now() - demand.submitted_at;
     let is_late = latency > context.configuration.classes[demand.class].latency_objective;
@@ -213,7 +220,7 @@
     count_outcome(context, demand, outcome);
 }
 
-/// Counts the end of a demand.
+/// Counts the outcome of a demand.
 pub fn count_outcome(context: &mut Context, demand: &Demand, outcome: DemandOutcome) {
     let now = context.now();
     context.measures.count_outcome(now, outcome, demand.in_quota_weight());
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -1,14 +1,14 @@
-//! The results of a run as a table for people. The names of the rows are older than those of the fields and stay as
-//! they are.
+//! Results of a run as a human-readable table. The names of the rows follow the JSON keys, such as `gatekeepers` for
+//! gateways, `workers` for endpoints and `tries` for submissions.
 
 use super::measures::{AttemptCounts, CounterCallCounts, DemandCounts, InQuotaWeight};
 use super::report::{LatencyRecord, ProcessorRecord, QuotaRecord, Record, RunRecord, StateRecord};
 use std::fmt::{self, Display};
 
-/// Width of the column of names, in characters.
+/// Width of the column of row names, in characters.
 const NAME_WIDTH: usize = 34;
 
-/// The table of a run, without the records of single seconds.
+/// Table of the records of a run, except for those of single seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Table<'a>(pub &'a [Record]);
 
@@ -22,7 +22,7 @@
     writeln!(f, "  {name:<NAME_WIDTH$} {value}")
 }
 
-fn number(value: f64) -> String {
+fn three_decimals(value: f64) -> String {
     format!("{value:.3}")
 }
 
@@ -45,10 +45,10 @@
         Record::Attempts(attempts) => write_attempts(f, attempts),
         Record::CounterCalls(calls) => write_counter_calls(f, calls),
         Record::PerSubmission(per_submission) => {
-            writeln!(f, "per try at a gatekeeper")?;
+            writeln!(f, "per submission at a gateway")?;
             row(f, "tries", per_submission.submissions)?;
-            row(f, "attempts a try", number(per_submission.attempts))?;
-            row(f, "counter calls a try", number(per_submission.counter_calls))
+            row(f, "attempts a try", three_decimals(per_submission.attempts))?;
+            row(f, "counter calls a try", three_decimals(per_submission.counter_calls))
         }
         Record::Fleet(fleet) => {
             writeln!(f, "fleet")?;
@@ -72,7 +72,7 @@
 }
 
 fn write_demands(f: &mut fmt::Formatter<'_>, demands: &DemandCounts) -> fmt::Result {
-    writeln!(f, "requests of clients, retries included in them")?;
+    writeln!(f, "demands of clients, each counted once with its retries")?;
     row(f, "asked", demands.submitted)?;
     row(f, "served in time", count_with_percent(demands.served, demands.submitted))?;
     row(f, "served late", count_with_percent(demands.served_late, demands.submitted))?;
@@ -83,15 +83,15 @@
 }
 
 fn write_latency(f: &mut fmt::Formatter<'_>, latency: &LatencyRecord) -> fmt::Result {
-    writeln!(f, "latency of served requests from their first try on, ms")?;
-    row(f, "mean", number(latency.mean))?;
+    writeln!(f, "latency of served demands from their first submission, ms")?;
+    row(f, "mean", three_decimals(latency.mean))?;
     row(f, "p50 / p90", format!("{:.3} / {:.3}", latency.p50, latency.p90))?;
     row(f, "p99 / p99.9", format!("{:.3} / {:.3}", latency.p99, latency.p999))?;
-    row(f, "max", number(latency.max))
+    row(f, "max", three_decimals(latency.max))
 }
 
 fn write_in_quota_weight(f: &mut fmt::Formatter<'_>, weight: &InQuotaWeight) -> fmt::Result {
-    writeln!(f, "worth asked for inside quotas")?;
+    writeln!(f, "weight of demands within quotas")?;
     row(f, "asked", format!("{:.1}", weight.submitted))?;
     row(f, "served in time", sum_with_percent(weight.served, weight.submitted))?;
     row(f, "refused", sum_with_percent(weight.rejected, weight.submitted))?;
@@ -99,7 +99,7 @@
 }
 
 fn write_attempts(f: &mut fmt::Formatter<'_>, attempts: &AttemptCounts) -> fmt::Result {
-    writeln!(f, "attempts at workers")?;
+    writeln!(f, "attempts at endpoints")?;
     row(f, "sent", attempts.sent)?;
     row(f, "ok", count_with_percent(attempts.ok, attempts.sent))?;
     row(f, "full", count_with_percent(attempts.rejected, attempts.sent))?;
@@ -128,7 +128,7 @@
 fn write_quotas(f: &mut fmt::Formatter<'_>, quotas: &QuotaRecord) -> fmt::Result {
     let counts = &quotas.counts;
     let units = counts.units_within_quota + counts.units_over_quota;
-    writeln!(f, "units sent to workers, against the true quotas")?;
+    writeln!(f, "units forwarded to endpoints, against the true quotas")?;
     row(f, "inside", sum_with_percent(counts.units_within_quota, units))?;
     row(f, "beyond", sum_with_percent(counts.units_over_quota, units))?;
     row(
@@ -137,7 +137,7 @@
         format!("{:.1} / {:.1}", counts.weight_over_quota, counts.overrun_cost),
     )?;
     row(f, "ceilings / broken", format!("{} / {}", quotas.ceilings, quotas.ceilings_exceeded))?;
-    row(f, "lowest ceiling, share of its burst", number(quotas.lowest_ceiling))
+    row(f, "lowest ceiling, share of its burst", three_decimals(quotas.lowest_ceiling))
 }
 
 fn write_state(f: &mut fmt::Formatter<'_>, state: &StateRecord) -> fmt::Result {
@@ -154,7 +154,7 @@
 fn write_processor(f: &mut fmt::Formatter<'_>, processor: &ProcessorRecord) -> fmt::Result {
     let policy = &processor.policy;
     writeln!(f, "processor time of the policy, differs from run to run")?;
-    row(f, "a request and its outcomes, us", number(policy.microseconds_per_request))?;
+    row(f, "a request and its outcomes, us", three_decimals(policy.microseconds_per_request))?;
     for times in &policy.by_event {
         let value = format!(
             "{:>10} x  mean {:.2}  p99 {:.2}  max {:.2} us",
--- a/lab/src/process/bounds.rs
+++ b/lab/src/process/bounds.rs
@@ -1,21 +1,21 @@
-//! The bounds that a checked run compares its report with.
+//! Bounds with which a checked run compares its report.
 
-use super::report::{Axis, Metric, Report, RowFailure, Subject, Summary};
+use super::report::{Axis, Metric, Report, RowFailure, RowKey, Summary};
 use std::fmt;
 
-/// The count of endpoints at which the bounds hold.
+/// Number of endpoints in the row that the bounds apply to.
 pub const BOUND_SIZE: usize = 9200;
-/// The memory limit of the program with which it has to apply the indented list, in MiB.
+/// Memory limit, in MiB, with which the program has to be able to apply the indented list.
 pub const BOUND_MEMORY_MB: usize = 32;
 const KIBIBYTES_PER_MEBIBYTE: usize = 1024;
 
-/// Processor time of a one-entry change, of the program and of the policy alone: 0.2 ms.
+/// Bound on the processor time of a one-entry change, for the program and for the policy alone: 200 µs.
 pub const CHANGE: Bound = Bound {
     metric: Metric::ChangeProcessorMicros,
     statistic: Statistic::Median,
     limit: Limit::AtMost(200.0),
 };
-/// The bounds of the program.
+/// Bounds of the `process program` benchmark.
 pub const PROGRAM: [Bound; 3] = [
     Bound { metric: Metric::RequestProcessorMicros, statistic: Statistic::Ratio, limit: Limit::AtMost(1.25) },
     CHANGE,
@@ -25,23 +25,23 @@
         limit: Limit::AtMost((BOUND_MEMORY_MB * KIBIBYTES_PER_MEBIBYTE) as f64),
     },
 ];
-/// State of an endpoint outside the subset of the gateway.
+/// Bound on the bytes of state of an endpoint outside the subset of the gateway.
 pub const OUTSIDE_STATE: Bound =
     Bound { metric: Metric::EndpointOutsideBytes, statistic: Statistic::Median, limit: Limit::Below(150.0) };
 
-/// Which value of a summary is compared with the limit.
+/// Value of a summary that is compared with a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Statistic {
-    /// The median of the rounds.
+    /// Median of the rounds.
     Median,
-    /// The highest of the rounds.
+    /// Highest value of the rounds.
     Highest,
-    /// The median divided by that of the base row.
+    /// Median divided by that of the base row.
     Ratio,
 }
 
 impl Statistic {
-    fn of(self, summary: Summary) -> Option<f64> {
+    fn select(self, summary: Summary) -> Option<f64> {
         match self {
             Self::Median => Some(summary.median),
             Self::Highest => Some(summary.highest),
@@ -60,17 +60,17 @@
     }
 }
 
-/// The limit of a value.
+/// Limit of a value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Limit {
-    /// The value may be equal to it.
+    /// The value may be equal to the limit.
     AtMost(f64),
-    /// The value has to be below it.
+    /// The value has to be below the limit.
     Below(f64),
 }
 
 impl Limit {
-    fn holds(self, value: f64) -> bool {
+    fn is_kept_by(self, value: f64) -> bool {
         match self {
             Self::AtMost(limit) => value <= limit,
             Self::Below(limit) => value < limit,
@@ -87,23 +87,23 @@
     }
 }
 
-/// A limit on one quantity of a row.
+/// Limit on one quantity of a row.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// The quantity.
+    /// Quantity that is bounded.
     pub metric: Metric,
-    /// Which of its values.
+    /// Value of the summary that is compared with the limit.
     pub statistic: Statistic,
-    /// What the value is compared with.
+    /// Limit of the value.
     pub limit: Limit,
 }
 
-/// Why a checked run fails.
+/// Reason why a checked run fails.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CheckFailure {
     /// The value of a row violates a bound, or was not measured.
     #[error(
-        "{subject}: {}, {}: {}, bound {}",
+        "{row_key}: {}, {}: {}, bound {}",
         .bound.metric.title(),
         .bound.statistic,
         value_text(*.value),
@@ -111,35 +111,35 @@
     )]
     Violated {
         /// The row.
-        subject: Subject,
-        /// The bound.
+        row_key: RowKey,
+        /// Violated bound.
         bound: Bound,
-        /// The value; `None` if it was not measured.
+        /// Value of the row; `None` if it was not measured.
         value: Option<f64>,
     },
-    /// A row could not be measured.
+    /// A row could not be measured completely.
     #[error(transparent)]
     Row(RowFailure),
 }
 
-/// The value of a violated bound as text.
+/// Returns the value of a violated bound as text.
 fn value_text(value: Option<f64>) -> String {
     value.map_or_else(|| "not measured".to_owned(), |value| format!("{value:.2}"))
 }
 
-/// The row that the bounds are for, in a run with this count of gateways.
-pub fn bounded_subject(gateways: u32) -> Subject {
-    Subject { axis: Axis::Endpoints, gateways, size: BOUND_SIZE }
+/// Returns the key of the row that the bounds apply to, in a run with this number of gateways.
+pub fn bounded_row_key(gateways: u32) -> RowKey {
+    RowKey { axis: Axis::Endpoints, gateways, size: BOUND_SIZE }
 }
 
-/// Compares the values of rows with their bounds. Each failed row of the report is a failure of the check, too.
-pub fn check(report: &Report, bounds: impl IntoIterator<Item = (Subject, Bound)>) -> Vec<CheckFailure> {
-    let violated = bounds.into_iter().filter_map(|(subject, bound)| violation(report, subject, bound));
-    violated.chain(report.failures().map(CheckFailure::Row)).collect()
+/// Compares the values of rows with their bounds. Returns the violations and all failed rows of the report.
+pub fn check(report: &Report, bounds: impl IntoIterator<Item = (RowKey, Bound)>) -> Vec<CheckFailure> {
+    let violations = bounds.into_iter().filter_map(|(row_key, bound)| violation(report, row_key, bound));
+    violations.chain(report.failures().map(CheckFailure::Row)).collect()
 }
 
-fn violation(report: &Report, subject: Subject, bound: Bound) -> Option<CheckFailure> {
-    let value = report.summary(subject, bound.metric).and_then(|summary| bound.statistic.of(summary));
-    let holds = value.is_some_and(|value| bound.limit.holds(value));
-    (!holds).then_some(CheckFailure::Violated { subject, bound, value })
+fn violation(report: &Report, row_key: RowKey, bound: Bound) -> Option<CheckFailure> {
+    let value = report.summary(row_key, bound.metric).and_then(|summary| bound.statistic.select(summary));
+    let is_kept = value.is_some_and(|value| bound.limit.is_kept_by(value));
+    (!is_kept).then_some(CheckFailure::Violated { row_key, bound, value })
 }
--- a/lab/src/process/http.rs
+++ b/lab/src/process/http.rs
@@ -1,26 +1,27 @@
-//! The part of HTTP/1.1 that the stand-ins and the load need: messages with a `Content-Length` on persistent connections.
+//! Reads and writes the subset of HTTP/1.1 that the stand-ins and the load need: messages with a `Content-Length` on
+//! persistent connections.
 
 use std::io::{self, BufRead};
 
-/// Longest body that is read.
+/// Longest accepted body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// One request or response.
+/// Request or response, without its headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Message {
-    /// The request line or status line.
+    /// Request line or status line, without the line break.
     pub start_line: String,
-    /// The body.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The status code; `None` if the start line is no status line.
+    /// Returns the status code; `None` if the start line is not a status line.
     pub fn status(&self) -> Option<u16> {
         self.start_line.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
     }
 
-    /// The value of a parameter in the request's query.
+    /// Returns the value of a query parameter of a request; `None` if the parameter is absent.
     pub fn query(&self, name: &str) -> Option<&str> {
         let target = self.start_line.split(' ').nth(1)?;
         let (_, query) = target.split_once('?')?;
@@ -28,49 +29,49 @@
     }
 }
 
-/// Reads one message; `None` at the end of the stream.
+/// Reads one message. Returns `None` at the end of the stream.
 ///
 /// # Errors
-/// The stream fails, or the message is malformed.
-pub fn read_message(from: &mut impl BufRead) -> io::Result<Option<Message>> {
+/// The stream fails or ends within the message, or the message is malformed.
+pub fn read_message(reader: &mut impl BufRead) -> io::Result<Option<Message>> {
     let mut message = Message::default();
-    if from.read_line(&mut message.start_line)? == 0 {
+    if reader.read_line(&mut message.start_line)? == 0 {
         return Ok(None);
     }
     message.start_line.truncate(message.start_line.trim_end().len());
-    let length = read_headers(from)?;
+    let length = read_headers(reader)?;
     message.body.resize(length, 0);
-    from.read_exact(&mut message.body)?;
+    reader.read_exact(&mut message.body)?;
     Ok(Some(message))
 }
 
-/// Reads the headers and returns the length of the body.
-fn read_headers(from: &mut impl BufRead) -> io::Result<usize> {
+/// Reads the headers. Returns the length of the body, 0 without a `Content-Length`.
+fn read_headers(reader: &mut impl BufRead) -> io::Result<usize> {
     let malformed = |text| io::Error::new(io::ErrorKind::InvalidData, text);
     let mut length = 0;
     let mut line = String::new();
     loop {
         line.clear();
-        if from.read_line(&mut line)? == 0 {
+        if reader.read_line(&mut line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let text = line.trim_end();
         if text.is_empty() {
             return Ok(length);
         }
-        let (name, value) = text.split_once(':').ok_or_else(|| malformed("a header without a colon"))?;
+        let (name, value) = text.split_once(':').ok_or_else(|| malformed("a header has no colon"))?;
         if name.eq_ignore_ascii_case("content-length") {
-            length = value.trim().parse().map_err(|_| malformed("an unreadable content length"))?;
+            length = value.trim().parse().map_err(|_| malformed("the Content-Length is not a number"))?;
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(malformed("a transfer encoding"));
+            return Err(malformed("Transfer-Encoding is not supported"));
         }
         if length > MAX_BODY_BYTES {
-            return Err(malformed("a body that is too long"));
+            return Err(malformed("the Content-Length is above 16 MiB"));
         }
     }
 }
 
-/// A 200 response with this body.
+/// Returns a response with status 200 and this body.
 pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/lab/src/process/load.rs
+++ b/lab/src/process/load.rs
@@ -1,4 +1,4 @@
-//! The load: clients that each send one request after another on a persistent connection.
+//! Sends requests from clients that each use one persistent connection and wait for each response.
 
 use super::{
     Error,
@@ -17,33 +17,33 @@
 
 /// Longest wait for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Gateways that serve a tenant, unless there are fewer.
+/// Number of gateways that serve a tenant, unless there are fewer.
 const GATEWAYS_PER_TENANT: u32 = 3;
 
-/// Number of the next request; unique in this process.
+/// Number of the next request. Numbers are unique in this process, so that no two requests share a transaction id.
 static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
 
-/// Requests to be sent.
+/// Requests to send.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// How many requests are sent.
+    /// Number of requests to send.
     pub requests: u64,
-    /// How many were sent before; the tenants take turns after them.
-    pub before: u64,
-    /// Connections on which they are sent.
+    /// Number of requests sent by earlier loads; the turn of the tenants continues after them.
+    pub sent_before: u64,
+    /// Number of connections, which share the requests evenly.
     pub connections: u64,
-    /// Tenants with a quota, which take turns; `None` for one tenant without a quota.
+    /// Number of tenants with a quota, which take turns; `None` for one tenant without a quota.
     pub metered_tenants: Option<u64>,
-    /// Gateways in the program's settings.
+    /// Number of gateways in the program's settings.
     pub gateways: u32,
 }
 
-/// How the requests ended.
+/// Counts of sent and served requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadResult {
     /// Requests sent.
     pub sent: u64,
-    /// Requests answered 200.
+    /// Requests that received status 200.
     pub served: u64,
 }
 
@@ -51,21 +51,21 @@
     /// Sends the requests and waits for all responses.
     ///
     /// # Errors
-    /// A connection fails.
+    /// A connection fails, or a response does not arrive in time.
     pub fn run(&self, address: SocketAddr) -> Result<LoadResult, Error> {
-        let share = self.requests.div_ceil(self.connections);
+        let requests_per_client = self.requests.div_ceil(self.connections);
         let clients: Vec<_> = (0..self.connections)
             .map(|client| {
                 let load = *self;
-                let first = (client * share).min(load.requests);
-                let last = (first + share).min(load.requests);
-                thread::spawn(move || load.run_client(address, first..last))
+                let start = (client * requests_per_client).min(load.requests);
+                let end = (start + requests_per_client).min(load.requests);
+                thread::spawn(move || load.run_client(address, start..end))
             })
             .collect();
         let mut total = LoadResult::default();
         for client in clients {
             let result = client.join().unwrap_or_else(|panic| resume_unwind(panic));
-            let result = result.map_err(Error::system("sending requests"))?;
+            let result = result.map_err(Error::io("sending requests"))?;
             total.sent += result.sent;
             total.served += result.served;
         }
@@ -80,22 +80,22 @@
         let mut result = LoadResult::default();
         for number in requests {
             socket.write_all(self.request(number).as_bytes())?;
-            let answer = http::read_message(&mut reader)?.ok_or(io::ErrorKind::UnexpectedEof)?;
+            let response = http::read_message(&mut reader)?.ok_or(io::ErrorKind::UnexpectedEof)?;
             result.sent += 1;
-            result.served += u64::from(answer.status() == Some(200));
+            result.served += u64::from(response.status() == Some(200));
         }
         Ok(result)
     }
 
     fn request(&self, number: u64) -> String {
-        let transaction = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
+        let transaction_id = NEXT_REQUEST.fetch_add(1, Ordering::Relaxed);
         let plan = if self.metered_tenants.is_some() { PLAN_METERED } else { PLAN_FREE };
-        let tenant = (self.before + number) % self.metered_tenants.unwrap_or(1).max(1);
-        let customer_gateway_count = GATEWAYS_PER_TENANT.min(self.gateways);
+        let tenant = (self.sent_before + number) % self.metered_tenants.unwrap_or(1).max(1);
+        let tenant_gateway_count = GATEWAYS_PER_TENANT.min(self.gateways);
         format!(
-            "GET /{CLASS} HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {transaction:016x}\r\nX-Lane: {CLASS}\r\n\
+            "GET /{CLASS} HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {transaction_id:016x}\r\nX-Lane: {CLASS}\r\n\
              X-Plan: {plan}\r\nX-Customer: {tenant:016x}\r\nX-Remaining: 4.0\r\n\
-             X-Quota: units=1,spread={customer_gateway_count},first=0\r\n\r\n"
+             X-Quota: units=1,spread={tenant_gateway_count},first=0\r\n\r\n"
         )
     }
 }
--- a/lab/src/process/report.rs
+++ b/lab/src/process/report.rs
@@ -1,4 +1,4 @@
-//! Collects measured values over rounds and reports their medians as a table and as JSON lines.
+//! Collects measured values over several rounds, and reports their medians as a table and as JSON lines.
 
 use super::Error;
 use serde::Serialize;
@@ -9,10 +9,10 @@
     path::Path,
 };
 
-/// Size of the row that ratios are relative to.
+/// Size of the base row, by whose medians ratios are computed.
 pub const BASE_SIZE: usize = 100;
 
-/// The largest size of a row.
+/// Largest accepted size of a row.
 const MAX_SIZE: usize = 1_000_000;
 
 /// Checks that rows of these sizes can be measured.
@@ -27,14 +27,14 @@
     }
 }
 
-/// What differs in size from row to row.
+/// Quantity that grows from row to row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Axis {
-    /// Listed endpoints.
+    /// Number of listed endpoints.
     #[serde(rename = "workers")]
     Endpoints,
-    /// Tenants with a quota.
+    /// Number of tenants with a quota.
     Tenants,
 }
 
@@ -47,48 +47,48 @@
     }
 }
 
-/// A row of the report.
+/// Identifies a row of the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Subject {
-    /// What the size is of.
+pub struct RowKey {
+    /// Quantity that `size` is the value of.
     pub axis: Axis,
-    /// Gateways in the settings.
+    /// Number of gateways in the settings.
     pub gateways: u32,
-    /// How many endpoints or tenants there are.
+    /// Number of endpoints or tenants.
     pub size: usize,
 }
 
-impl fmt::Display for Subject {
+impl fmt::Display for RowKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}, {} gateways", self.size, self.axis.title(), self.gateways)
     }
 }
 
-/// A measured quantity.
+/// Measured quantity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Metric {
-    /// Processor time a request, in microseconds.
+    /// Processor time per request, in microseconds.
     RequestProcessorMicros,
-    /// Share of the requests that were served.
+    /// Share of the requests that were served, from 0 to 1.
     ServedShare,
-    /// Counter calls a request, on which the processor time of a row of tenants depends.
+    /// Counter calls per request, on which the processor time of a row of tenants depends.
     CounterCallsPerRequest,
-    /// Processor time of a change of one entry, in microseconds.
+    /// Processor time per change of one entry, in microseconds.
     ChangeProcessorMicros,
-    /// Time from the write of such a change to the next watch, in microseconds.
+    /// Time from the write of a change of one entry to the next watch, in microseconds.
     ChangeElapsedMicros,
-    /// Processor time of a timer, in microseconds.
+    /// Processor time per delivered timer, in microseconds.
     TimerProcessorMicros,
-    /// Processor time of a sweep over the tenants, in microseconds.
+    /// Processor time per sweep over the tenants, in microseconds.
     SweepProcessorMicros,
-    /// Processor time to apply the complete list, compact, in milliseconds.
+    /// Processor time to apply the complete compact list, in milliseconds.
     CompactListProcessorMillis,
-    /// Time from the write of the complete list, compact, to the next watch, in milliseconds.
+    /// Time from the write of the complete compact list to the next watch, in milliseconds.
     CompactListElapsedMillis,
-    /// Processor time to apply the complete list, indented, in milliseconds.
+    /// Processor time to apply the complete indented list, in milliseconds.
     IndentedListProcessorMillis,
-    /// Time from the write of the complete list, indented, to the next watch, in milliseconds.
+    /// Time from the write of the complete indented list to the next watch, in milliseconds.
     IndentedListElapsedMillis,
     /// Resident memory after the requests, in KiB.
     ResidentKibibytes,
@@ -96,23 +96,23 @@
     PeakResidentKibibytes,
     /// Peak of the resident memory after the indented list, in KiB.
     PeakIndentedKibibytes,
-    /// Bytes of state for a listed endpoint outside the subset of the gateway.
+    /// Bytes of state per listed endpoint outside the subset of the gateway.
     #[serde(rename = "worker_outside_bytes")]
     EndpointOutsideBytes,
-    /// Bytes of state for an endpoint of the subset that has not received requests.
+    /// Bytes of state per endpoint of the subset that has not received requests.
     #[serde(rename = "worker_inside_bytes")]
     EndpointInsideBytes,
-    /// Bytes of state for an endpoint of the subset that has responded.
+    /// Bytes of state per endpoint of the subset that has responded.
     #[serde(rename = "worker_answered_bytes")]
-    EndpointAnsweredBytes,
-    /// Bytes of state for a tenant.
+    EndpointRespondedBytes,
+    /// Bytes of state per tenant.
     TenantBytes,
-    /// Bytes of state for an open request with its timer.
+    /// Bytes of state per open request, with its timer.
     OpenRequestBytes,
 }
 
 impl Metric {
-    /// Its name in the table, with its unit.
+    /// Returns the title in the table, with the unit.
     pub fn title(self) -> &'static str {
         match self {
             Self::RequestProcessorMicros => "processor time a request [us]",
@@ -131,56 +131,57 @@
             Self::PeakIndentedKibibytes => "peak resident memory after the indented list [KiB]",
             Self::EndpointOutsideBytes => "state a worker outside the subset [bytes]",
             Self::EndpointInsideBytes => "state a worker inside the subset [bytes]",
-            Self::EndpointAnsweredBytes => "state a worker inside the subset that has answered [bytes]",
+            Self::EndpointRespondedBytes => "state a worker inside the subset that has answered [bytes]",
             Self::TenantBytes => "state a tenant [bytes]",
             Self::OpenRequestBytes => "state an open request [bytes]",
         }
     }
 }
 
-/// The values of one quantity over the rounds.
+/// Summary of the values of one quantity of a row over the rounds, in the unit of the [`Metric`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Summary {
-    /// The median.
+    /// Median of the values.
     pub median: f64,
-    /// The lowest.
+    /// Lowest value.
     pub lowest: f64,
-    /// The highest.
+    /// Highest value.
     pub highest: f64,
-    /// How many values there are.
+    /// Number of values, one for each round in which the quantity was measured.
     pub rounds: usize,
-    /// The median divided by that of the row of [`BASE_SIZE`] in the same run.
+    /// Median divided by that of the row with [`BASE_SIZE`] and the same number of gateways; `None` if the latter was
+    /// not measured or is 0.
     pub ratio: Option<f64>,
 }
 
-/// Why a row could not be measured completely.
+/// Reason why a row could not be measured completely.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{subject}, in {rounds} rounds: {reason}")]
+#[error("{row_key}, in {rounds} rounds: {reason}")]
 pub struct RowFailure {
-    /// The row.
-    pub subject: Subject,
-    /// What the error said.
+    /// Row that failed.
+    pub row_key: RowKey,
+    /// Text of the error.
     pub reason: String,
-    /// In how many rounds.
+    /// Number of rounds in which the row failed for this reason.
     pub rounds: usize,
 }
 
-/// Measured values, by quantity and row, and the rows that failed.
+/// Measured values by quantity and row, and the failures of rows.
 #[derive(Debug, Default)]
 pub struct Report {
-    values: BTreeMap<(Axis, Metric), BTreeMap<Subject, Vec<f64>>>,
-    /// By row and reason, in how many rounds it failed.
-    failures: BTreeMap<Subject, BTreeMap<String, usize>>,
+    values: BTreeMap<(Axis, Metric), BTreeMap<RowKey, Vec<f64>>>,
+    /// Number of failed rounds by row and reason.
+    failures: BTreeMap<RowKey, BTreeMap<String, usize>>,
 }
 
-/// One line of the JSON file.
+/// Line of the JSON file. `part` is the name of the benchmark, `failed` the reason of a failure.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 enum Line<'a> {
     Measured {
         part: &'a str,
         #[serde(flatten)]
-        subject: Subject,
+        row_key: RowKey,
         metric: Metric,
         #[serde(flatten)]
         summary: Summary,
@@ -188,43 +189,44 @@
     Failed {
         part: &'a str,
         #[serde(flatten)]
-        subject: Subject,
+        row_key: RowKey,
         failed: &'a str,
         rounds: usize,
     },
 }
 
 impl Report {
-    /// Adds a value.
-    pub fn record(&mut self, subject: Subject, metric: Metric, value: f64) {
-        self.values.entry((subject.axis, metric)).or_default().entry(subject).or_default().push(value);
+    /// Adds the value of one round.
+    pub fn record(&mut self, row_key: RowKey, metric: Metric, value: f64) {
+        self.values.entry((row_key.axis, metric)).or_default().entry(row_key).or_default().push(value);
     }
 
-    /// Adds a failure of a row.
-    pub fn fail(&mut self, subject: Subject, error: &Error) {
-        *self.failures.entry(subject).or_default().entry(error.to_string()).or_default() += 1;
+    /// Adds the failure of a row in one round.
+    pub fn record_failure(&mut self, row_key: RowKey, error: &Error) {
+        *self.failures.entry(row_key).or_default().entry(error.to_string()).or_default() += 1;
     }
 
-    /// The summary of one quantity of one row; `None` if it was not measured.
-    pub fn summary(&self, subject: Subject, metric: Metric) -> Option<Summary> {
-        let values = self.values.get(&(subject.axis, metric))?.get(&subject)?;
+    /// Returns the summary of one quantity of a row; `None` if the quantity was not measured.
+    pub fn summary(&self, row_key: RowKey, metric: Metric) -> Option<Summary> {
+        let values = self.values.get(&(row_key.axis, metric))?.get(&row_key)?;
         let mut summary = summarize(values)?;
-        let base = Subject { size: BASE_SIZE, ..subject };
-        let base = self.values.get(&(subject.axis, metric))?.get(&base).and_then(|values| summarize(values));
+        let base_key = RowKey { size: BASE_SIZE, ..row_key };
+        let base =
+            self.values.get(&(row_key.axis, metric))?.get(&base_key).and_then(|values| summarize(values));
         summary.ratio = base.filter(|base| base.median != 0.0).map(|base| summary.median / base.median);
         Some(summary)
     }
 
-    /// The rows of which a quantity was measured.
-    pub fn subjects(&self, axis: Axis, metric: Metric) -> impl Iterator<Item = Subject> + '_ {
+    /// Returns the keys of the rows for which a quantity was measured.
+    pub fn row_keys(&self, axis: Axis, metric: Metric) -> impl Iterator<Item = RowKey> + '_ {
         self.values.get(&(axis, metric)).into_iter().flat_map(|rows| rows.keys().copied())
     }
 
-    /// The failures of rows.
+    /// Returns the failures of rows, one for each row and reason.
     pub fn failures(&self) -> impl Iterator<Item = RowFailure> + '_ {
-        self.failures.iter().flat_map(|(subject, reasons)| {
+        self.failures.iter().flat_map(|(row_key, reasons)| {
             let failure = |(reason, rounds): (&String, &usize)| RowFailure {
-                subject: *subject,
+                row_key: *row_key,
                 reason: reason.clone(),
                 rounds: *rounds,
             };
@@ -232,17 +234,17 @@
         })
     }
 
-    /// Prints the table, and writes the JSON lines if a file is given.
+    /// Prints the table, and writes the JSON lines if a file is given. `part` is the name of the benchmark.
     ///
     /// # Errors
     /// The file cannot be written.
     pub fn publish(&self, part: &str, json: Option<&Path>) -> Result<(), Error> {
         print!("{}", self.table());
         let Some(path) = json else { return Ok(()) };
-        fs::write(path, self.json_lines(part)).map_err(Error::system("writing the JSON lines"))
+        fs::write(path, self.json_lines(part)).map_err(Error::io("writing the JSON lines"))
     }
 
-    /// The table: a block for each quantity, a line for each row.
+    /// Returns the report as a table with a block for each quantity and a line for each row, followed by the failures.
     pub fn table(&self) -> String {
         let mut text = String::new();
         for (axis, metric) in self.values.keys() {
@@ -258,14 +260,14 @@
                 "ratio",
                 "rounds"
             );
-            for subject in self.subjects(*axis, *metric) {
-                let Some(summary) = self.summary(subject, *metric) else { continue };
+            for row_key in self.row_keys(*axis, *metric) {
+                let Some(summary) = self.summary(row_key, *metric) else { continue };
                 let ratio = summary.ratio.map_or("-".to_owned(), |ratio| format!("{ratio:.2}"));
                 let _ = writeln!(
                     text,
                     "{:>10} {:>9} {:>12.2} {:>12.2} {:>12.2} {ratio:>7} {:>6}",
-                    subject.size,
-                    subject.gateways,
+                    row_key.size,
+                    row_key.gateways,
                     summary.median,
                     summary.lowest,
                     summary.highest,
@@ -279,24 +281,25 @@
         text
     }
 
-    /// The report as JSON lines: one for each quantity of each row, and one for each failure.
+    /// Returns the report as JSON lines: one for each quantity of each row, and one for each failure.
+    /// `part` is the name of the benchmark, which each line contains.
     pub fn json_lines(&self, part: &str) -> String {
         let mut lines = Vec::new();
         for (axis, metric) in self.values.keys() {
-            for subject in self.subjects(*axis, *metric) {
-                if let Some(summary) = self.summary(subject, *metric) {
-                    lines.push(Line::Measured { part, subject, metric: *metric, summary });
+            for row_key in self.row_keys(*axis, *metric) {
+                if let Some(summary) = self.summary(row_key, *metric) {
+                    lines.push(Line::Measured { part, row_key, metric: *metric, summary });
                 }
             }
         }
-        for (subject, reasons) in &self.failures {
+        for (row_key, reasons) in &self.failures {
             for (failed, rounds) in reasons {
-                lines.push(Line::Failed { part, subject: *subject, failed, rounds: *rounds });
+                lines.push(Line::Failed { part, row_key: *row_key, failed, rounds: *rounds });
             }
         }
-        let write =
+        let to_json =
             |line| serde_json::to_string(line).expect("a line has only named fields and finite numbers");
-        lines.iter().map(write).fold(String::new(), |text, line| text + &line + "\n")
+        lines.iter().map(to_json).fold(String::new(), |text, line| text + &line + "\n")
     }
 }
 
--- a/lab/src/process/stand_in_counter.rs
+++ b/lab/src/process/stand_in_counter.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the counter service: adds at once and responds with the total.
+//! A stand-in for the counter service, which adds each amount at once and responds with the total.
 
 use super::Error;
 use std::{
@@ -12,73 +12,73 @@
     thread,
 };
 
-/// The call that checks whether the connection is alive.
+/// Call that checks whether the connection is alive.
 const PING: &str = "ping";
 
-/// Totals by name. They never expire, as no measurement takes that long.
+/// Totals by counter name. Totals never expire, as no measurement takes as long as their time to live.
 type Totals = Arc<Mutex<HashMap<String, f64>>>;
 
-/// A counter that listens on loopback.
+/// Counter service that listens on loopback.
 #[derive(Debug)]
 pub struct StandInCounter {
-    /// Where it listens.
+    /// Address on which the counter listens.
     pub address: SocketAddr,
     calls: Arc<AtomicU64>,
 }
 
 impl StandInCounter {
-    /// Starts to listen on a free port. Its threads end with the process.
+    /// Listens on a free port. The threads run until the process ends.
     ///
     /// # Errors
     /// No socket can be opened.
     pub fn start() -> Result<Self, Error> {
-        let system = Error::system("listening as counter");
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&system)?;
-        let address = listener.local_addr().map_err(&system)?;
+        let listen_error = Error::io("listening as the counter");
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&listen_error)?;
+        let address = listener.local_addr().map_err(&listen_error)?;
         let totals = Totals::default();
         let calls = Arc::new(AtomicU64::new(0));
-        let served = calls.clone();
+        let thread_calls = calls.clone();
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let (totals, calls) = (totals.clone(), served.clone());
+                let (totals, calls) = (totals.clone(), thread_calls.clone());
                 thread::spawn(move || serve(&socket, &totals, &calls));
             }
         });
         Ok(Self { address, calls })
     }
 
-    /// Calls so far, without pings.
+    /// Returns the number of calls so far, without pings.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 }
 
 fn serve(mut socket: &TcpStream, totals: &Totals, calls: &AtomicU64) {
-    // Without this, a response waits until the client has acknowledged the one before.
+    // Without this option, a response is held back until the client has acknowledged the previous one.
     if socket.set_nodelay(true).is_err() {
         return;
     }
     for line in BufReader::new(socket).lines().map_while(Result::ok) {
         calls.fetch_add(u64::from(line != PING), Ordering::Relaxed);
-        if socket.write_all(answer(&line, totals).as_bytes()).is_err() {
+        if socket.write_all(response(&line, totals).as_bytes()).is_err() {
             return;
         }
     }
 }
 
-fn answer(line: &str, totals: &Totals) -> String {
+fn response(line: &str, totals: &Totals) -> String {
     let words: Vec<&str> = line.split_whitespace().collect();
     match words[..] {
         [PING] => "pong\r\n".to_owned(),
         ["bump", name, amount, _time_to_live] => match amount.parse::<f64>() {
-            Ok(amount) if amount.is_finite() => format!("ok {}\r\n", add(totals, name, amount)),
+            Ok(amount) if amount.is_finite() => format!("ok {}\r\n", add_to_total(totals, name, amount)),
             _ => "error\r\n".to_owned(),
         },
         _ => "error\r\n".to_owned(),
     }
 }
 
-fn add(totals: &Totals, name: &str, amount: f64) -> f64 {
+fn add_to_total(totals: &Totals, name: &str, amount: f64) -> f64 {
     let mut totals = totals.lock().unwrap_or_else(PoisonError::into_inner);
     let total = totals.entry(name.to_owned()).or_default();
     *total += amount;
--- a/lab/src/process/stand_in_discovery.rs
+++ b/lab/src/process/stand_in_discovery.rs
@@ -1,4 +1,5 @@
-//! A stand-in for discovery: serves the complete list, compact or indented, and holds watches until a change.
+//! A stand-in for discovery, which serves the complete list, compact or indented, and holds each watch until the list
+//! changes.
 
 use super::{Error, http};
 use serde::Serialize;
@@ -13,23 +14,23 @@
     time::{Duration, Instant},
 };
 
-/// Longest hold of a watch, whatever hold it requests; the protocol allows a shorter one.
+/// Longest hold of a watch. The protocol allows a shorter hold than the watch requests.
 const MAX_HOLD: Duration = Duration::from_millis(1000);
 
-/// End of a line of an indented list, with the indent of the next.
+/// Line break of an indented list, with additional indentation of the next line.
 const INDENTED_LINE_BREAK: &str = "\r\n        ";
 
 /// State of an endpoint in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EntryState {
-    /// Accepts requests.
+    /// The endpoint accepts requests.
     Serving,
-    /// Finishes the requests that it has.
+    /// The endpoint finishes its open requests and accepts no new ones.
     Draining,
 }
 
-/// One entry of the list, in the order of the protocol's fields.
+/// Entry of the list, with its fields in the order of the protocol.
 #[derive(Debug, Clone, Serialize)]
 pub struct ListEntry {
     id: String,
@@ -43,36 +44,36 @@
 }
 
 impl ListEntry {
-    /// The entry of the endpoint with this number.
+    /// Creates the entry of the endpoint with this number.
     pub fn new(number: usize, addr: SocketAddr, state: EntryState) -> Self {
         let id = format!("s-{number:08x}");
         Self { id, addr, zone: "zone-a", kind: "m2", cell: 0, state, weight: 1.0, started_ms: 0 }
     }
 }
 
-/// Body of a response.
+/// Body of a response with the complete list or with changes.
 #[derive(Debug, Serialize)]
 pub struct ListResponse<'a> {
-    /// Version of the list after it.
+    /// Version of the list that the receiver has after applying the response.
     pub version: u64,
     /// True for the complete list, false for changes.
     pub full: bool,
-    /// The entries.
+    /// All entries of the list, or the changed ones.
     #[serde(rename = "servers")]
     pub endpoints: &'a [ListEntry],
 }
 
-/// How the JSON of a list is formatted.
+/// Layout of the JSON text of a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListFormat {
-    /// Without white space.
+    /// No white space.
     Compact,
-    /// Each field of an entry on a line of its own, far indented and ended by CRLF.
+    /// Each field of an entry on a separate line, deeply indented and ended by CRLF.
     Indented,
 }
 
 impl ListFormat {
-    fn write(self, list: &ListResponse<'_>) -> String {
+    fn to_json(self, list: &ListResponse<'_>) -> String {
         let text = match self {
             Self::Compact => serde_json::to_string(list),
             Self::Indented => {
@@ -83,54 +84,59 @@
     }
 }
 
-/// A call or a response of the stand-in.
+/// Call to the stand-in, or response of the stand-in.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DiscoveryEvent {
     /// A call was received.
     Call {
-        /// Version from which it watches; `None` if it asks for the complete list.
+        /// Version whose successors are watched for; `None` for a call for the complete list.
         from: Option<u64>,
-        /// When it was received.
+        /// Time at which the call was received.
         at: Instant,
     },
     /// A response is about to be written.
-    Answer {
-        /// Version of the list after it.
+    Response {
+        /// Version of the list after the response.
         version: u64,
-        /// When the write started.
+        /// Time just before the write.
         at: Instant,
     },
 }
 
-/// The change of one entry.
+/// Change of one entry.
 #[derive(Debug)]
 struct EntryChange {
-    /// Version of the list after it.
+    /// Version of the list after the change.
     version: u64,
+    /// New value of the entry.
     entry: ListEntry,
 }
 
-/// The list and its changes.
+/// Current list and its latest changes.
 #[derive(Debug)]
 struct ListHistory {
     version: u64,
-    /// Oldest version from which changes are known; watches from earlier ones get the complete list.
-    oldest_watchable: u64,
+    /// Oldest version whose later changes are known. A watch from an earlier version receives the complete list.
+    oldest_watchable_version: u64,
     format: ListFormat,
     entries: Vec<ListEntry>,
     changes: Vec<EntryChange>,
 }
 
 impl ListHistory {
-    /// Body of the response to a watch from a version, or to a call for the complete list.
-    fn body_for(&self, from: Option<u64>) -> String {
-        match from.filter(|from| *from >= self.oldest_watchable) {
+    /// Returns the body of the response to a watch from a version, or with `None` to a call for the complete list.
+    fn response_body(&self, from: Option<u64>) -> String {
+        match from.filter(|from| *from >= self.oldest_watchable_version) {
             Some(from) => {
                 let newer = self.changes.iter().filter(|change| change.version > from);
                 let endpoints: Vec<ListEntry> = newer.map(|change| change.entry.clone()).collect();
-                self.format.write(&ListResponse { version: self.version, full: false, endpoints: &endpoints })
+                self.format.to_json(&ListResponse {
+                    version: self.version,
+                    full: false,
+                    endpoints: &endpoints,
+                })
             }
-            None => self.format.write(&ListResponse {
+            None => self.format.to_json(&ListResponse {
                 version: self.version,
                 full: true,
                 endpoints: &self.entries,
@@ -140,60 +146,60 @@
 }
 
 #[derive(Debug)]
-struct Shared {
+struct SharedList {
     history: Mutex<ListHistory>,
     changed: Condvar,
 }
 
-impl Shared {
+impl SharedList {
     fn lock(&self) -> MutexGuard<'_, ListHistory> {
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A discovery service that listens on loopback.
+/// Discovery service that listens on loopback.
 #[derive(Debug)]
 pub struct StandInDiscovery {
-    /// Where it listens.
+    /// Address on which discovery listens.
     pub address: SocketAddr,
-    /// Calls and responses in their order.
+    /// Calls and responses, in the order in which they occur.
     pub events: Receiver<DiscoveryEvent>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedList>,
 }
 
 impl StandInDiscovery {
-    /// Starts to listen on a free port, with this list as version 1. Its threads end with the process.
+    /// Listens on a free port, with these entries as version 1 of the list. The threads run until the process ends.
     ///
     /// # Errors
     /// No socket can be opened.
     pub fn start(entries: Vec<ListEntry>) -> Result<Self, Error> {
-        let system = Error::system("listening as discovery");
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&system)?;
-        let address = listener.local_addr().map_err(&system)?;
+        let listen_error = Error::io("listening as discovery");
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(&listen_error)?;
+        let address = listener.local_addr().map_err(&listen_error)?;
         let history = ListHistory {
             version: 1,
-            oldest_watchable: 1,
+            oldest_watchable_version: 1,
             format: ListFormat::Compact,
             entries,
             changes: Vec::new(),
         };
-        let shared = Arc::new(Shared { history: Mutex::new(history), changed: Condvar::new() });
-        let (report, events) = channel();
-        let served = shared.clone();
+        let shared = Arc::new(SharedList { history: Mutex::new(history), changed: Condvar::new() });
+        let (event_sender, events) = channel();
+        let thread_shared = shared.clone();
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let (shared, report) = (served.clone(), report.clone());
-                thread::spawn(move || serve(&socket, &shared, &report));
+                let (shared, event_sender) = (thread_shared.clone(), event_sender.clone());
+                thread::spawn(move || serve(&socket, &shared, &event_sender));
             }
         });
         Ok(Self { address, events, shared })
     }
 
-    /// Replaces the list and sends it to each watch. Returns its version.
+    /// Replaces the list and sends the complete new list to each watch. Returns the new version.
     pub fn replace(&self, entries: Vec<ListEntry>, format: ListFormat) -> u64 {
         let mut history = self.shared.lock();
         history.version += 1;
-        history.oldest_watchable = history.version;
+        history.oldest_watchable_version = history.version;
         history.format = format;
         history.entries = entries;
         history.changes.clear();
@@ -203,7 +209,8 @@
         version
     }
 
-    /// Changes the entry with this number and sends only this entry to each watch. Returns the new version.
+    /// Changes the state of the entry with this number and sends only this entry to each watch. Returns the new
+    /// version.
     pub fn change(&self, number: usize, state: EntryState) -> u64 {
         let mut history = self.shared.lock();
         history.version += 1;
@@ -217,15 +224,15 @@
     }
 }
 
-fn serve(mut socket: &TcpStream, shared: &Shared, report: &Sender<DiscoveryEvent>) {
-    // Without this, a response waits until the client has acknowledged the one before.
+fn serve(mut socket: &TcpStream, shared: &SharedList, event_sender: &Sender<DiscoveryEvent>) {
+    // Without this option, a response is held back until the client has acknowledged the previous one.
     if socket.set_nodelay(true).is_err() {
         return;
     }
     let mut reader = BufReader::new(socket);
     while let Ok(Some(call)) = http::read_message(&mut reader) {
         let from = call.query("from").and_then(|version| version.parse().ok());
-        if report.send(DiscoveryEvent::Call { from, at: Instant::now() }).is_err() {
+        if event_sender.send(DiscoveryEvent::Call { from, at: Instant::now() }).is_err() {
             return;
         }
         let hold = call
@@ -233,25 +240,25 @@
             .and_then(|hold| hold.parse().ok())
             .map_or(Duration::ZERO, Duration::from_millis);
         let response = wait_for_response(shared, from, hold.min(MAX_HOLD));
-        let _ = report.send(DiscoveryEvent::Answer { version: response.version, at: Instant::now() });
+        let _ = event_sender.send(DiscoveryEvent::Response { version: response.version, at: Instant::now() });
         if socket.write_all(http::ok_response(&response.body).as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// The response to a call.
+/// Response to a call.
 struct Response {
-    /// Version of the list after it.
+    /// Version of the list after the response.
     version: u64,
     body: String,
 }
 
-/// Waits until there is a version other than `from`, or the hold has elapsed.
-fn wait_for_response(shared: &Shared, from: Option<u64>, hold: Duration) -> Response {
+/// Waits until the list has another version than `from`, or `hold` has passed. Returns the response.
+fn wait_for_response(shared: &SharedList, from: Option<u64>, hold: Duration) -> Response {
     let history = shared.lock();
     let is_unchanged = |history: &mut ListHistory| from == Some(history.version);
     let waited = shared.changed.wait_timeout_while(history, hold, is_unchanged);
     let (history, _) = waited.unwrap_or_else(PoisonError::into_inner);
-    Response { version: history.version, body: history.body_for(from) }
+    Response { version: history.version, body: history.response_body(from) }
 }
--- a/lab/tests/demo.rs
+++ b/lab/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The decisions of the policy under the configuration of the demonstration.
+//! Tests the decisions of the policy with the configuration of the `demo` command.
 
 use oliverack::{Action, Endpoint, Event, Gateway, Lifecycle, ListKind, Options, Request, Status};
 use oliverack_lab::{
@@ -7,16 +7,21 @@
 };
 
 fn addresses() -> Addresses {
-    let nowhere = "127.0.0.1:0".parse().expect("an address");
-    Addresses { listen: nowhere, operator: nowhere, discovery: nowhere, counter: nowhere }
+    let unused_address = "127.0.0.1:0".parse().expect("a valid address");
+    Addresses {
+        listen: unused_address,
+        operator: unused_address,
+        discovery: unused_address,
+        counter: unused_address,
+    }
 }
 
 #[test]
-fn fourth_request_at_once_is_rejected_with_retry_after() {
-    let entry = ListEntry::new(0, "127.0.0.1:9".parse().expect("an address"), EntryState::Serving);
+fn request_beyond_burst_is_rejected_with_retry_after() {
+    let entry = ListEntry::new(0, "127.0.0.1:9".parse().expect("a valid address"), EntryState::Serving);
     let configuration = configuration(addresses(), &[entry]);
-    let options = Options::read(&configuration["settings"]).expect("readable");
-    let mut gateway = Gateway::new(options.settings, 7).expect("usable");
+    let options = Options::read(&configuration["settings"]).expect("readable settings");
+    let mut gateway = Gateway::new(options.settings, 7).expect("accepted settings");
     let (mut now, mut actions) = (100.0, Vec::new());
     let endpoint = Endpoint { id: "w".into(), zone: 0, cell: 0, started: 0.0, lifecycle: Lifecycle::Running };
     gateway.handle(
@@ -24,7 +29,7 @@
         Event::EndpointsUpdated { kind: ListKind::Stale, endpoints: vec![endpoint] },
         &mut actions,
     );
-    let (mut sent, mut refused, mut total) = (0, Vec::new(), 0.0);
+    let (mut sent, mut retry_afters, mut total) = (0, Vec::new(), 0.0);
     for number in 0..4 {
         let request = Request {
             id: format!("j{number}").into(),
@@ -46,12 +51,15 @@
                     gateway.handle(now, event, &mut actions);
                 }
                 Action::StartAttempt { .. } => sent += 1,
-                Action::Reject { retry_after, .. } => refused.push(retry_after),
+                Action::Reject { retry_after, .. } => retry_afters.push(retry_after),
                 _ => {}
             }
         }
         now += 0.01;
     }
-    assert_eq!((sent, refused.len()), (3, 1));
-    assert!(refused[0] > 1.0 && refused[0] <= 2.0, "at one in two seconds: {refused:?}");
+    assert_eq!((sent, retry_afters.len()), (3, 1));
+    assert!(
+        retry_afters[0] > 1.0 && retry_afters[0] <= 2.0,
+        "a quota of one request in two seconds: {retry_afters:?}"
+    );
 }
--- a/tests/endpoint_attempts.rs
+++ b/tests/endpoint_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of the built program at endpoints that fail: what is retried, and what the client receives.
+//! Attempts of the built program at failing endpoints: retries, and responses to the client.
 
 mod fakes;
 use fakes::{EndpointBehaviour, EndpointEvent, FakeEndpoint, Gate, NodeBuilder, TestRequest, endpoint_entry};
@@ -22,15 +22,15 @@
         let (one, two) = (FakeEndpoint::start(behaviour.clone()), FakeEndpoint::start(behaviour));
         let (builder, _discovery) = NodeBuilder::new(&[&one, &two]);
         let node = builder.start();
-        // Failed, not rejected: a rejection would promise that the request has not run.
-        assert_eq!(node.send_request(&TestRequest::submit("once")).status(), 502);
+        // The status says failed, not rejected: a rejection would mean that the request has not run.
+        assert_eq!(node.send_request(&TestRequest::at_most_once("once")).status(), 502);
         assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "one attempt");
     }
 }
 
 #[test]
 fn retry_with_zone_scoped_idempotency_key_stays_in_unlisted_zone() {
-    for (other, status, sent) in [("hall-y", 502, 0), ("hall-x", 200, 1)] {
+    for (second_zone, expected_status, expected_requests) in [("hall-y", 502, 0), ("hall-x", 200, 1)] {
         let (first, second) = (
             FakeEndpoint::start(EndpointBehaviour::Close),
             FakeEndpoint::start(EndpointBehaviour::Respond("second")),
@@ -40,7 +40,7 @@
         class["Effect"] = json!("deduplicated");
         class["Group"] = json!("zone");
         class["Window"] = json!(30.0);
-        for (id, endpoint, zone) in [("w0", &first, "hall-x"), ("w1", &second, other)] {
+        for (id, endpoint, zone) in [("w0", &first, "hall-x"), ("w1", &second, second_zone)] {
             let mut entry =
                 endpoint_entry(id, endpoint.addr, if id == "w0" { "SERVING" } else { "DRAINING" });
             entry["zone"] = json!(zone);
@@ -56,8 +56,12 @@
         builder.known_endpoints[1]["state"] = json!("SERVING");
         discovery.wait_until_applied(discovery.update_entry(builder.known_endpoints[1].clone()));
         gate.open();
-        assert_eq!(client.read_response().expect("a complete response").status(), status, "{other}");
-        assert_eq!(second.drain_requests().len(), sent, "{other}");
+        assert_eq!(
+            client.read_response().expect("a complete response").status(),
+            expected_status,
+            "{second_zone}"
+        );
+        assert_eq!(second.drain_requests().len(), expected_requests, "{second_zone}");
     }
 }
 
@@ -68,15 +72,15 @@
         FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
     );
     let (mut builder, discovery) = NodeBuilder::new(&[&overloaded, &healthy]);
-    // A port that was free a moment ago and on which nobody listens.
-    let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
-    let unreachable = endpoint_entry("w2", nobody, "SERVING");
+    // A port that was free just before and on which nothing listens.
+    let closed_addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let unreachable = endpoint_entry("w2", closed_addr, "SERVING");
     discovery.update_entry(unreachable.clone());
     builder.known_endpoints.push(unreachable);
     let node = builder.start();
-    // The order is random and the retry budget limited: repeat until the overloaded endpoint was tried.
+    // The order is random and the retry budget limited, so the test repeats until the overloaded endpoint was tried.
     for i in 0.. {
-        assert_eq!(node.send_request(&TestRequest::submit(&format!("r{i}"))).status(), 200);
+        assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("r{i}"))).status(), 200);
         assert_eq!(healthy.drain_requests().len(), 1);
         if !overloaded.drain_requests().is_empty() {
             break;
@@ -112,16 +116,16 @@
     let endpoint = FakeEndpoint::start(EndpointBehaviour::HoldUntilClosed);
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let node = builder.start();
-    assert_eq!(node.send_request(&TestRequest::new("t").header("X-Remaining", "0.3")).status(), 429);
-    endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
+    assert_eq!(node.send_request(&TestRequest::new("t").with_header("X-Remaining", "0.3")).status(), 429);
+    endpoint.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
     assert_eq!(
-        node.send_request(&TestRequest::submit("u").header("X-Remaining", "0.3")).status(),
+        node.send_request(&TestRequest::at_most_once("u").with_header("X-Remaining", "0.3")).status(),
         502,
-        "it may have run"
+        "the request may have run"
     );
 }
 
-/// Malformed responses; after each the endpoint keeps the connection open.
+/// Malformed responses, after which the endpoint keeps the connection open.
 const MALFORMED_RESPONSES: [&str; 9] = [
     "\u{1}\u{2} noise \u{3}\r\n\r\n",
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Half",
@@ -140,10 +144,10 @@
         let endpoint = FakeEndpoint::start(EndpointBehaviour::WriteRaw(response));
         let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
         let node = builder.start();
-        assert_eq!(node.send_request(&TestRequest::submit("once")).status(), 502, "{response}");
+        assert_eq!(node.send_request(&TestRequest::at_most_once("once")).status(), 502, "{response}");
         endpoint.next_request();
         // The connection is closed, and the request is not sent again.
-        endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
+        endpoint.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
         assert!(endpoint.drain_requests().is_empty(), "{response}");
     }
 }
@@ -160,16 +164,16 @@
         let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
         let node = builder.start();
         let mut client = node.connect();
-        client.send(&TestRequest::submit("once").header("Connection", "close"));
+        client.send(&TestRequest::at_most_once("once").with_header("Connection", "close"));
         endpoint.next_request();
         endpoint.set_behaviour(EndpointBehaviour::Respond("ok"));
-        // An endless body is streamed until it is cut off, visibly to the client.
+        // An endless body is streamed until it is cut off, so that the client sees an incomplete response.
         let response = client.read_until_closed();
         assert!(
             response.starts_with("HTTP/1.1 502 ")
                 || (response.starts_with("HTTP/1.1 200 ") && !response.ends_with("0\r\n\r\n"))
         );
-        endpoint.wait_for(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
+        endpoint.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
     }
 }
 
@@ -201,7 +205,11 @@
         let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
         let node = builder.start();
         for i in 0..3 {
-            assert_eq!(node.send_request(&TestRequest::submit(&format!("b{i}"))).body, b"ok", "{response}");
+            assert_eq!(
+                node.send_request(&TestRequest::at_most_once(&format!("b{i}"))).body,
+                b"ok",
+                "{response}"
+            );
         }
         assert_eq!(endpoint.drain_requests().len(), 3);
     }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -17,7 +17,7 @@
     node.terminate();
     node.wait_for_log("stopping gateway=n0 waiting=1");
     gate.open();
-    let response = client.read_response().expect("an answer");
+    let response = client.read_response().expect("a response");
     assert_eq!((response.status(), response.header("connection")), (200, "close"));
     assert!(idle.read_response().is_none(), "idle connections are closed");
     assert!(node.wait_for_exit().success());
@@ -29,7 +29,7 @@
     let (builder, _discovery) = NodeBuilder::new(&[&endpoint]);
     let mut node = builder.start();
     let mut client = node.connect();
-    client.send(&TestRequest::submit("held"));
+    client.send(&TestRequest::at_most_once("held"));
     endpoint.next_request();
     node.terminate();
     assert_eq!(
