--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -40,16 +40,16 @@
 /// Failure to put an endpoint into maintenance or to take it out.
 #[derive(Debug, Error)]
 pub enum MaintenanceError {
-    #[error("no endpoint has this id")]
+    #[error("no worker has this id")]
     UnknownEndpoint,
     /// The change is in effect in this process, but would be lost in the next one.
-    #[error("in effect, but not stored for the next process: {0}")]
+    #[error("not kept: {0}")]
     NotStored(MaintenanceFileError),
 }
 
 /// Operations that the API offers, implemented by the node.
 pub trait Operations {
-    /// Checks whether the gateway accepts clients.
+    /// Returns whether the gateway accepts clients.
     fn is_accepting(&self) -> bool;
     /// Returns the current metrics in Prometheus' text format.
     fn render_metrics(&self) -> String;
@@ -133,7 +133,7 @@
 
     fn respond(&self, request: &Request<Incoming>) -> OperatorResponse {
         let Some(call) = OperatorCall::parse(request.uri().path()) else {
-            return text_response(StatusCode::NOT_FOUND, "unknown path\n");
+            return text_response(StatusCode::NOT_FOUND, "no such call\n");
         };
         if *request.method() != call.method() {
             return method_not_allowed(&call.method());
@@ -156,7 +156,7 @@
 
     fn set_maintenance(&self, encoded_id: &str, in_maintenance: bool) -> OperatorResponse {
         let Ok(id) = percent_decode_str(encoded_id).decode_utf8() else {
-            return text_response(StatusCode::BAD_REQUEST, "the endpoint id is not valid UTF-8\n");
+            return text_response(StatusCode::BAD_REQUEST, "the id is no text\n");
         };
         match self.operations.set_maintenance(&id, in_maintenance) {
             Ok(()) if in_maintenance => text_response(StatusCode::OK, "out\n"),
@@ -182,7 +182,7 @@
 }
 
 fn method_not_allowed(allowed: &Method) -> OperatorResponse {
-    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "no such method here\n");
     // A method's name is always a valid header value.
     if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
         response.headers_mut().insert(ALLOW, allowed);
--- a/src/node/hot_restart/maintenance_file.rs
+++ b/src/node/hot_restart/maintenance_file.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Error)]
 pub enum MaintenanceFileError {
     /// The file can't be accessed.
-    #[error("can't access the maintenance file: {0}")]
+    #[error("the maintenance file: {0}")]
     File(io::Error),
     /// The file is truncated, or has other contents.
     #[error("the maintenance file is malformed: {0}")]
