--- a/src/node/connection/counter/error.rs
+++ b/src/node/connection/counter/error.rs
@@ -3,29 +3,29 @@
 use std::io;
 use thiserror::Error;
 
-/// Reason for which a connection to the counter ended or could not be opened.
+/// Reason why a connection to the counter ended or could not be opened.
 #[derive(Debug, Error)]
 pub enum CounterError {
-    /// The connection was not open in time.
-    #[error("timed out")]
+    /// Opening the connection took longer than the connect timeout.
+    #[error("timed out while connecting")]
     ConnectTimeout,
-    /// The oldest call has had no reply for so long that the connection is taken for dead.
-    #[error("timed out")]
+    /// The oldest call has had no reply for longer than the reply timeout, so the connection is dead.
+    #[error("timed out waiting for a reply")]
     ReplyOverdue,
     /// A call could not be written.
-    #[error("broken pipe")]
+    #[error("can't write a call")]
     WriteFailed,
     /// The counter closed the connection.
-    #[error("unexpected end of file")]
+    #[error("the counter closed the connection")]
     Closed,
     /// The counter sent a line that is not a reply, or not one to the oldest call.
-    #[error("invalid data")]
+    #[error("the reply is invalid or does not match the oldest call")]
     UnexpectedReply,
     /// The counter sent a line that is longer than any reply.
-    #[error("invalid data")]
+    #[error("the reply is longer than any valid one")]
     ReplyTooLong,
     /// The client was retired, and either no call is awaited on the connection or the client was closed.
-    #[error("connection aborted")]
+    #[error("the client was retired")]
     Retired,
     /// The socket failed.
     #[error(transparent)]
