--- a/src/node/connection/clients/body_upload.rs
+++ b/src/node/connection/clients/body_upload.rs
@@ -8,7 +8,7 @@
     },
     wire::{
         request_body::BodyDecoder,
-        stream::{MAX_PIECE_BYTES, Piece},
+        stream::{BodyFrame, MAX_FRAME_BYTES},
     },
 };
 use bytes::BytesMut;
@@ -17,8 +17,8 @@
 
 /// A request body that is being streamed.
 pub struct BodyUpload {
-    /// Sender of the pieces to the attempt.
-    pub sender: mpsc::Sender<Piece>,
+    /// Sender of the frames to the attempt.
+    pub sender: mpsc::Sender<BodyFrame>,
     /// Bytes that were decoded but not sent to the attempt yet.
     pub pending: BytesMut,
     /// Decoder for the rest of the body.
@@ -27,7 +27,7 @@
 
 /// Outcome of an upload.
 pub enum UploadOutcome {
-    /// The complete body was read from the client. The attempt may have ended before it took all pieces.
+    /// The complete body was read from the client. The attempt may have ended before it took all frames.
     Complete,
     /// The final response arrived before the upload was complete.
     ResponseArrived {
@@ -37,7 +37,7 @@
     },
 }
 
-/// Outcome of sending one piece to the attempt.
+/// Outcome of sending one frame to the attempt.
 enum SendOutcome {
     Sent,
     /// The attempt has ended, so the final response is about to arrive.
@@ -64,11 +64,11 @@
             socket.send_continue().await;
         }
         loop {
-            let is_complete = self.decoder.decode(&mut socket.buffer, &mut self.pending, MAX_PIECE_BYTES)?;
-            let is_full_piece = self.pending.len() >= MAX_PIECE_BYTES;
+            let is_complete = self.decoder.decode(&mut socket.buffer, &mut self.pending, MAX_FRAME_BYTES)?;
+            let is_full_frame = self.pending.len() >= MAX_FRAME_BYTES;
             let buffered_bytes = socket.buffer.len();
-            for piece in self.take_ready_pieces(is_complete) {
-                match self.send(piece, socket, response_receiver).await? {
+            for frame in self.take_ready_frames(is_complete) {
+                match self.send(frame, socket, response_receiver).await? {
                     SendOutcome::Sent => {}
                     // The body needs no more reading, and the caller waits for the response.
                     SendOutcome::AttemptEnded if is_complete => {}
@@ -89,7 +89,7 @@
                 return Ok(UploadOutcome::Complete);
             }
             let has_read_ahead = socket.buffer.len() > buffered_bytes;
-            if has_read_ahead || is_full_piece && !socket.buffer.is_empty() {
+            if has_read_ahead || is_full_frame && !socket.buffer.is_empty() {
                 continue;
             }
             socket.state.set_stage(Stage::ReceivingBody);
@@ -102,35 +102,35 @@
                         unread_body_decoder: Some(self.decoder),
                     });
                 }
-                read = socket.read(MAX_PIECE_BYTES) => read?,
+                read = socket.read(MAX_FRAME_BYTES) => read?,
             }
         }
     }
 
-    /// Takes the pieces that are ready to be sent: the pending bytes, and the end of the body if it is complete.
-    fn take_ready_pieces(&mut self, is_complete: bool) -> impl Iterator<Item = Piece> + use<> {
-        let data = (!self.pending.is_empty()).then(|| Piece::Data(self.pending.split().freeze()));
-        let end = is_complete.then_some(Piece::End);
+    /// Takes the frames that are ready to be sent: the pending bytes, and the end of the body if it is complete.
+    fn take_ready_frames(&mut self, is_complete: bool) -> impl Iterator<Item = BodyFrame> + use<> {
+        let data = (!self.pending.is_empty()).then(|| BodyFrame::Data(self.pending.split().freeze()));
+        let end = is_complete.then_some(BodyFrame::End);
         data.into_iter().chain(end)
     }
 
-    /// Sends one piece as soon as the channel to the attempt has room.
+    /// Sends one frame as soon as the channel to the attempt has room.
     async fn send(
         &self,
-        piece: Piece,
+        frame: BodyFrame,
         socket: &mut ClientSocket<'_>,
         response_receiver: &mut oneshot::Receiver<FinalResponse>,
     ) -> Result<SendOutcome, ConnectionEnd> {
         socket.state.enter(Stage::Processing);
         let started_at = Instant::now();
-        // The first two branches end the upload, so the piece that the third branch drops is not needed.
+        // The first two branches end the upload, so the frame that the third branch drops is not needed.
         let sent = tokio::select! {
             biased;
             response = &mut *response_receiver => {
                 return Ok(SendOutcome::ResponseArrived(response.unwrap_or(FinalResponse::Failed)));
             }
             () = socket.wait_for_disconnect() => return Err(ConnectionEnd::WithoutResponse),
-            sent = self.sender.send(piece) => sent,
+            sent = self.sender.send(frame) => sent,
         };
         socket.state.exclude_gateway_wait(started_at);
         Ok(if sent.is_ok() { SendOutcome::Sent } else { SendOutcome::AttemptEnded })
--- a/src/node/connection/clients/exchange.rs
+++ b/src/node/connection/clients/exchange.rs
@@ -14,7 +14,7 @@
         client_request::ClientRequest,
         client_response::ClientResponse,
         request_body::BodyDecoder,
-        stream::{MAX_PIECE_BYTES, RequestBody},
+        stream::{MAX_FRAME_BYTES, RequestBody},
     },
 };
 use bytes::BytesMut;
@@ -154,7 +154,7 @@
         let mut discarded = BytesMut::new();
         while let Ok(false) = decoder.decode(&mut self.socket.buffer, &mut discarded, usize::MAX) {
             discarded.clear();
-            if self.socket.read(MAX_PIECE_BYTES).await.is_err() {
+            if self.socket.read(MAX_FRAME_BYTES).await.is_err() {
                 return;
             }
         }
--- a/src/node/connection/clients/handler.rs
+++ b/src/node/connection/clients/handler.rs
@@ -3,7 +3,7 @@
 use crate::node::wire::{
     client_request::ClientRequest,
     client_response::{ClientResponse, ResponseBody},
-    stream::PieceReceiver,
+    stream::BodyFrameReceiver,
 };
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -19,7 +19,7 @@
     Streamed {
         /// Length of the body in bytes; `None` if unknown.
         length: Option<u64>,
-        pieces: PieceReceiver,
+        frames: BodyFrameReceiver,
     },
     /// The request was rejected and no endpoint has worked on it, so the client may retry.
     Rejected {
@@ -46,8 +46,8 @@
     fn from(response: FinalResponse) -> Self {
         match response {
             FinalResponse::Served(body) => Self::with_body(StatusCode::OK, body),
-            FinalResponse::Streamed { length, pieces } => {
-                Self { body: ResponseBody::Streamed { length, pieces }, ..Self::without_body(StatusCode::OK) }
+            FinalResponse::Streamed { length, frames } => {
+                Self { body: ResponseBody::Streamed { length, frames }, ..Self::without_body(StatusCode::OK) }
             }
             FinalResponse::Rejected { retry_after } => {
                 Self { retry_after, ..Self::without_body(StatusCode::TOO_MANY_REQUESTS) }
--- a/src/node/connection/clients/request_reader.rs
+++ b/src/node/connection/clients/request_reader.rs
@@ -10,7 +10,7 @@
         limits::MAX_BUFFERED_BODY_BYTES,
         request_body::{BodyDecoder, Framing},
         request_head::{self, RequestHead},
-        stream::{MAX_PIECE_BYTES, STREAM_MEMORY_BYTES},
+        stream::{MAX_FRAME_BYTES, STREAM_MEMORY_BYTES},
     },
 };
 use bytes::{Bytes, BytesMut};
@@ -110,7 +110,7 @@
         if decoder.decode(&mut socket.buffer, &mut body, max_output)? {
             return Ok(ReceivedBody { content: ReceivedContent::Complete(body.freeze()), memory });
         }
-        let needed = body.len().next_multiple_of(MAX_PIECE_BYTES);
+        let needed = body.len().next_multiple_of(MAX_FRAME_BYTES);
         body_memory.extend_to(&mut memory, needed).ok_or(NO_MEMORY)?;
         if length.is_none() && body.len() > limit {
             if limit < MAX_BUFFER_BYTES_WITH_HEADROOM && body_memory.has_headroom_for(MAX_BUFFERED_BODY_BYTES)
@@ -123,6 +123,6 @@
             return Ok(ReceivedBody { content, memory });
         }
         let is_short = length.is_some_and(|length| length <= HEAD_READ_BYTES);
-        socket.read(if is_short { HEAD_READ_BYTES } else { MAX_PIECE_BYTES }).await?;
+        socket.read(if is_short { HEAD_READ_BYTES } else { MAX_FRAME_BYTES }).await?;
     }
 }
--- a/src/node/connection/clients/response_writer.rs
+++ b/src/node/connection/clients/response_writer.rs
@@ -5,7 +5,7 @@
     metrics,
     wire::{
         client_response::{ClientResponse, ResponseBody},
-        stream::{Piece, PieceReceiver, STREAM_MEMORY_BYTES},
+        stream::{BodyFrame, BodyFrameReceiver, STREAM_MEMORY_BYTES},
     },
 };
 use hyper::StatusCode;
@@ -64,12 +64,12 @@
     let outcome = response.outcome();
     socket.state.enter(Stage::WritingResponse);
     let head = response.render(keep_alive, minor_version);
-    let (length, pieces) = match response.body {
+    let (length, frames) = match response.body {
         ResponseBody::Buffered(_) => {
             socket.tcp.write_all(&head).await?;
             return Ok(Delivery::Complete(outcome));
         }
-        ResponseBody::Streamed { length, pieces } => (length, pieces),
+        ResponseBody::Streamed { length, frames } => (length, frames),
     };
     // Responses count towards the memory limit as well. Without free memory the rest of the response waits at the
     // endpoint.
@@ -77,7 +77,7 @@
     // A failure leaves the system's default, which is larger.
     let _ = SockRef::from(&socket.tcp).set_send_buffer_size(SEND_BUFFER_BYTES);
     let is_chunked = length.is_none() && minor_version > 0;
-    let end = ResponseStream { socket, is_chunked, unsent: head }.forward(pieces).await?;
+    let end = ResponseStream { socket, is_chunked, unsent: head }.forward(frames).await?;
     drop(stream_memory);
     match end {
         StreamOutcome::Complete => Ok(Delivery::Complete(outcome)),
@@ -116,20 +116,20 @@
 }
 
 impl ResponseStream<'_, '_> {
-    async fn forward(mut self, mut pieces: PieceReceiver) -> io::Result<StreamOutcome> {
+    async fn forward(mut self, mut frames: BodyFrameReceiver) -> io::Result<StreamOutcome> {
         let mut has_started = false;
         loop {
             self.socket.state.enter(Stage::Processing);
-            let piece = pieces.recv().await;
+            let frame = frames.recv().await;
             self.socket.state.enter(Stage::StreamingResponse);
-            match piece {
-                Some(Piece::Data(data)) if data.is_empty() => {}
-                Some(Piece::Data(data)) => {
+            match frame {
+                Some(BodyFrame::Data(data)) if data.is_empty() => {}
+                Some(BodyFrame::Data(data)) => {
                     has_started = true;
                     self.append(&data);
                     self.flush().await?;
                 }
-                Some(Piece::End) => {
+                Some(BodyFrame::End) => {
                     if self.is_chunked {
                         self.unsent.extend_from_slice(b"0\r\n\r\n");
                     }
--- a/src/node/connection/clients/socket.rs
+++ b/src/node/connection/clients/socket.rs
@@ -9,7 +9,7 @@
         },
         socket_input::has_input,
     },
-    wire::stream::MAX_PIECE_BYTES,
+    wire::stream::MAX_FRAME_BYTES,
 };
 use bytes::BytesMut;
 use hyper::StatusCode;
@@ -127,11 +127,11 @@
                 () = wait_for_peer_close(&self.tcp) => return,
                 ready = self.tcp.readable() => if ready.is_err() { return },
             }
-            let needed = self.buffer.len() + MAX_PIECE_BYTES;
+            let needed = self.buffer.len() + MAX_FRAME_BYTES;
             if self.context.memory.extend_to(&mut self.read_ahead_memory, needed).is_none() {
                 break;
             }
-            self.buffer.reserve(MAX_PIECE_BYTES);
+            self.buffer.reserve(MAX_FRAME_BYTES);
             match self.tcp.try_read_buf(&mut self.buffer) {
                 Ok(0) => return,
                 Ok(_) => {}
@@ -143,8 +143,8 @@
     }
 
     fn can_read_ahead(&self) -> bool {
-        self.buffer.len() + MAX_PIECE_BYTES <= MAX_BUFFER_BYTES_WITH_HEADROOM
-            && self.context.memory.has_headroom_for(MAX_PIECE_BYTES)
+        self.buffer.len() + MAX_FRAME_BYTES <= MAX_BUFFER_BYTES_WITH_HEADROOM
+            && self.context.memory.has_headroom_for(MAX_FRAME_BYTES)
     }
 
     /// Shuts down the sending side and discards input until the client closes, so that the last response arrives. The
--- a/src/node/connection/clients/state.rs
+++ b/src/node/connection/clients/state.rs
@@ -34,7 +34,7 @@
     Processing,
     /// Writing a buffered response.
     WritingResponse,
-    /// Writing a piece of a streamed response.
+    /// Writing a frame of a streamed response.
     StreamingResponse,
     /// No request is open.
     Idle,
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -11,7 +11,7 @@
         client_request::UpstreamRequest,
         limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES},
         load_report,
-        stream::{OutgoingBody, Piece},
+        stream::{BodyFrame, OutgoingBody},
     },
 };
 use bytes::Bytes;
@@ -81,7 +81,7 @@
         timeout_seconds: f64,
         progress: &WriteProgressHandle,
         may_send: impl Fn() -> bool,
-        open_stream: impl Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
+        open_stream: impl Fn(Option<u64>) -> Option<mpsc::Sender<BodyFrame>>,
     ) -> AttemptResult {
         if !upstream.body.is_available() {
             return AttemptResult::without_response(Status::NotSent);
@@ -105,7 +105,7 @@
 impl<S, O> EndpointAttempt<'_, S, O>
 where
     S: Fn() -> bool,
-    O: Fn(Option<u64>) -> Option<mpsc::Sender<Piece>>,
+    O: Fn(Option<u64>) -> Option<mpsc::Sender<BodyFrame>>,
 {
     /// Sends the request on an idle or new connection and reads the response. Never sends any byte of the request
     /// twice: tries another connection only if a reused one failed before the first byte was written.
@@ -161,7 +161,7 @@
     }
 
     /// Opens the stream for a successful response that is not too long. Bodies of other responses are not needed.
-    fn open_stream_if_wanted(&self, parts: &Parts, length: Option<u64>) -> Option<mpsc::Sender<Piece>> {
+    fn open_stream_if_wanted(&self, parts: &Parts, length: Option<u64>) -> Option<mpsc::Sender<BodyFrame>> {
         let fits = length.is_none_or(|length| length <= MAX_BODY_BYTES as u64);
         if parts.status == StatusCode::OK && fits { (self.open_stream)(length) } else { None }
     }
--- a/src/node/connection/response_body.rs
+++ b/src/node/connection/response_body.rs
@@ -1,6 +1,6 @@
 //! Reads response bodies: short ones into a buffer, long or slow ones as a stream.
 
-use crate::node::wire::stream::Piece;
+use crate::node::wire::stream::BodyFrame;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::{
@@ -58,7 +58,7 @@
 
 /// Opens the stream for a body that exceeds the limits, given the response's head and the body's length if it is
 /// known. Returns `None` if the body is not wanted.
-pub type OpenStream<'a> = dyn Fn(&Parts, Option<u64>) -> Option<mpsc::Sender<Piece>> + 'a;
+pub type OpenStream<'a> = dyn Fn(&Parts, Option<u64>) -> Option<mpsc::Sender<BodyFrame>> + 'a;
 
 /// Reads a body to its end. Returns the buffered body, or an empty one if it was streamed.
 ///
@@ -129,22 +129,22 @@
 async fn stream_body(
     body: &mut Incoming,
     buffered: Bytes,
-    sender: &mpsc::Sender<Piece>,
+    sender: &mpsc::Sender<BodyFrame>,
 ) -> Result<(), ResponseBodyError> {
     if !buffered.is_empty() {
-        send(sender, Piece::Data(buffered)).await?;
+        send(sender, BodyFrame::Data(buffered)).await?;
     }
     loop {
         let frame = timeout(STREAM_STALL_TIMEOUT, body.frame()).await;
         let Some(frame) = frame.map_err(|_| ResponseBodyError::Stalled(STREAM_STALL_TIMEOUT))? else {
-            return send(sender, Piece::End).await;
+            return send(sender, BodyFrame::End).await;
         };
         if let Ok(data) = frame?.into_data() {
-            send(sender, Piece::Data(data)).await?;
+            send(sender, BodyFrame::Data(data)).await?;
         }
     }
 }
 
-async fn send(sender: &mpsc::Sender<Piece>, piece: Piece) -> Result<(), ResponseBodyError> {
-    sender.send(piece).await.map_err(|_| ResponseBodyError::ReceiverGone)
+async fn send(sender: &mpsc::Sender<BodyFrame>, frame: BodyFrame) -> Result<(), ResponseBodyError> {
+    sender.send(frame).await.map_err(|_| ResponseBodyError::ReceiverGone)
 }
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -16,7 +16,7 @@
     },
     wire::{
         client_request::UpstreamRequest,
-        stream::{self, Piece, RequestBody},
+        stream::{self, BodyFrame, RequestBody},
     },
 };
 use oliverack::{EndpointId, Event, LoadReport, RequestId, Seconds, Status, Time};
@@ -133,18 +133,18 @@
         self.table.is_some_and(request_id, |request| request.may_send(self.clock.now()))
     }
 
-    /// Delivers a streamed response as the final one and returns the sender of its pieces. `None` if the client
+    /// Delivers a streamed response as the final one and returns the sender of its frames. `None` if the client
     /// already has another response, or has disconnected.
     fn response_started(
         &self,
         request_id: &RequestId,
         number: u32,
         length: Option<u64>,
-    ) -> Option<mpsc::Sender<Piece>> {
+    ) -> Option<mpsc::Sender<BodyFrame>> {
         let mut request = self.table.get_mut(request_id)?;
         request.attempt_mut(number)?;
-        let (sender, pieces) = stream::channel();
-        let outcome = request.deliver(FinalResponse::Streamed { length, pieces });
+        let (sender, frames) = stream::channel();
+        let outcome = request.deliver(FinalResponse::Streamed { length, frames });
         if outcome == DeliveryOutcome::NotWaiting {
             return None;
         }
--- a/src/node/wire/client_response.rs
+++ b/src/node/wire/client_response.rs
@@ -1,6 +1,6 @@
 //! Responses to clients and their HTTP/1.1 format.
 
-use crate::node::{metrics, wire::stream::PieceReceiver};
+use crate::node::{metrics, wire::stream::BodyFrameReceiver};
 use bytes::Bytes;
 use hyper::StatusCode;
 use std::io::Write;
@@ -13,11 +13,11 @@
 /// The body of a response to a client.
 pub enum ResponseBody {
     Buffered(Bytes),
-    /// Forwarded piece by piece as it arrives from the endpoint.
+    /// Forwarded frame by frame as it arrives from the endpoint.
     Streamed {
         /// Length of the body in bytes; `None` if unknown.
         length: Option<u64>,
-        pieces: PieceReceiver,
+        frames: BodyFrameReceiver,
     },
 }
 
--- a/src/node/wire/stream.rs
+++ b/src/node/wire/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed request and response bodies. The pieces of a body pass through a bounded channel, so that a slow reader
+//! Streamed request and response bodies. The frames of a body pass through a bounded channel, so that a slow reader
 //! holds up the writer.
 
 use bytes::Bytes;
@@ -12,24 +12,24 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Largest number of bytes read at once.
-pub const MAX_PIECE_BYTES: usize = 16 * 1024;
-/// Memory that a stream may use: a piece just read, one in the channel, one being written, and hyper's own buffer.
-pub const STREAM_MEMORY_BYTES: usize = 4 * MAX_PIECE_BYTES;
+/// Maximum length of a data frame of a request body, and of one read from a client's socket.
+pub const MAX_FRAME_BYTES: usize = 16 * 1024;
+/// Memory that a stream may use: a frame just read, one in the channel, one being written, and hyper's own buffer.
+pub const STREAM_MEMORY_BYTES: usize = 4 * MAX_FRAME_BYTES;
 
-/// A message on the channel of a streamed body.
+/// A frame of a streamed body, or the end of the body.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyFrame {
     Data(Bytes),
-    /// The body is complete. If the channel closes without this message, the body was truncated.
+    /// The body is complete. If the channel closes without an `End`, the body was truncated.
     End,
 }
 
 /// Receiving end of a streamed body.
-pub type PieceReceiver = mpsc::Receiver<Piece>;
+pub type BodyFrameReceiver = mpsc::Receiver<BodyFrame>;
 
-/// Creates the channel of a streamed body, which holds one piece.
-pub fn channel() -> (mpsc::Sender<Piece>, PieceReceiver) {
+/// Creates the channel of a streamed body, which holds one frame.
+pub fn channel() -> (mpsc::Sender<BodyFrame>, BodyFrameReceiver) {
     mpsc::channel(1)
 }
 
@@ -47,11 +47,11 @@
 }
 
 impl RequestBody {
-    /// Creates a streamed body and the sender of its pieces. `length` is in bytes, `None` if unknown.
-    pub fn streamed(length: Option<usize>) -> (mpsc::Sender<Piece>, Self) {
-        let (sender, pieces) = channel();
+    /// Creates a streamed body and the sender of its frames. `length` is in bytes, `None` if unknown.
+    pub fn streamed(length: Option<usize>) -> (mpsc::Sender<BodyFrame>, Self) {
+        let (sender, frames) = channel();
         let remaining = length.map(|length| length as u64);
-        let body = StreamedBody { pieces, remaining, is_finished: Rc::default() };
+        let body = StreamedBody { frames, remaining, is_finished: Rc::default() };
         (sender, Self::Streamed(RefCell::new(Some(body))))
     }
 
@@ -77,7 +77,7 @@
 /// A streamed request body on its way to the endpoint of one attempt.
 #[derive(Debug)]
 pub struct StreamedBody {
-    pieces: PieceReceiver,
+    frames: BodyFrameReceiver,
     /// Number of bytes still to come; `None` if the length is unknown.
     remaining: Option<u64>,
     /// Set once the last byte was handed to hyper.
@@ -118,17 +118,17 @@
         if body.is_finished.get() {
             return Poll::Ready(None);
         }
-        Poll::Ready(match ready!(body.pieces.poll_recv(cx)) {
-            Some(Piece::Data(bytes)) => {
+        Poll::Ready(match ready!(body.frames.poll_recv(cx)) {
+            Some(BodyFrame::Data(bytes)) => {
                 body.remaining = body.remaining.map(|remaining| remaining.saturating_sub(bytes.len() as u64));
                 body.is_finished.set(body.remaining == Some(0));
                 Some(Ok(Frame::data(bytes)))
             }
-            Some(Piece::End) if body.remaining.is_none_or(|remaining| remaining == 0) => {
+            Some(BodyFrame::End) if body.remaining.is_none_or(|remaining| remaining == 0) => {
                 body.is_finished.set(true);
                 None
             }
-            Some(Piece::End) | None => Some(Err(TruncatedBody)),
+            Some(BodyFrame::End) | None => Some(Err(TruncatedBody)),
         })
     }
 
