--- a/src/node/connection/clients/context.rs
+++ b/src/node/connection/clients/context.rs
@@ -21,7 +21,7 @@
     pub replica_counts: Rc<ReplicaCounts>,
     /// Memory budget for bodies and streams.
     pub memory: BodyMemory,
-    /// Whether a shutdown has begun; each response then closes its connection.
+    /// True if a shutdown has begun; each response then closes its connection.
     pub is_stopping: Cell<bool>,
 }
 
--- a/src/node/connection/clients/listener.rs
+++ b/src/node/connection/clients/listener.rs
@@ -35,7 +35,7 @@
     is_accepting: Cell<bool>,
     /// Socket that was accepted and waits for capacity to be served.
     pending_socket: RefCell<Option<TcpStream>>,
-    /// Whether a failure to accept was logged since the last accepted connection. Repeated failures are not logged.
+    /// True if a failure to accept was logged since the last accepted connection. Repeated failures are not logged.
     is_accept_failure_logged: Cell<bool>,
 }
 
--- a/src/node/connection/clients/state.rs
+++ b/src/node/connection/clients/state.rs
@@ -53,7 +53,7 @@
     request_deadline: Cell<Instant>,
     /// Value of `entered_at` when a close was last requested. The close request is void once `entered_at` has changed.
     close_requested_for: Cell<Option<Instant>>,
-    /// Whether the close was requested to free capacity for another connection.
+    /// True if the close was requested to free capacity for another connection.
     pub is_evicted: Cell<bool>,
     /// Wakes the connection's task to check for a close request.
     pub close_signal: Notify,
--- a/src/node/connection/counter/call.rs
+++ b/src/node/connection/counter/call.rs
@@ -66,22 +66,22 @@
         self.started_at
     }
 
-    /// Checks whether the call has the given id. Pings have none.
+    /// Returns whether the call has the given id. Pings have none.
     pub fn has_id(&self, wanted: CallId) -> bool {
         matches!(self.kind, CallKind::Add { id, .. } if id == wanted)
     }
 
-    /// Checks whether the call adds to the given counter.
+    /// Returns whether the call adds to the given counter.
     pub fn adds_to(&self, wanted: u64) -> bool {
         matches!(self.kind, CallKind::Add { counter, .. } if counter == wanted)
     }
 
-    /// Checks whether the policy awaits the reply.
+    /// Returns whether the policy awaits the reply.
     pub fn is_awaited(&self) -> bool {
         self.kind != CallKind::Ping && !matches!(self.stage, CallStage::TimedOut { .. })
     }
 
-    /// Checks whether no byte of the call was written.
+    /// Returns whether no byte of the call was written.
     pub fn is_unwritten(&self) -> bool {
         self.stage == CallStage::Unwritten
     }
--- a/src/node/connection/counter/call_queue.rs
+++ b/src/node/connection/counter/call_queue.rs
@@ -42,22 +42,22 @@
         results
     }
 
-    /// Checks whether the policy awaits the reply to any call.
+    /// Returns whether the policy awaits the reply to any call.
     pub fn has_awaited(&self) -> bool {
         self.calls.iter().any(Call::is_awaited)
     }
 
-    /// Checks whether the policy awaits the reply to a call that adds to this counter.
+    /// Returns whether the policy awaits the reply to a call that adds to this counter.
     pub fn awaits_counter(&self, counter: u64) -> bool {
         self.calls.iter().any(|call| call.is_awaited() && call.adds_to(counter))
     }
 
-    /// Checks whether the policy awaits the reply to this call.
+    /// Returns whether the policy awaits the reply to this call.
     pub fn awaits_call(&self, id: CallId) -> bool {
         self.calls.iter().any(|call| call.is_awaited() && call.has_id(id))
     }
 
-    /// Checks whether the oldest call has been without a reply for longer than `limit`.
+    /// Returns whether the oldest call has been without a reply for longer than `limit`.
     pub fn is_overdue(&self, limit: Duration) -> bool {
         self.calls.front().is_some_and(|call| call.started_at().elapsed() > limit)
     }
@@ -67,7 +67,7 @@
         self.calls.front().map(|call| call.started_at() + limit)
     }
 
-    /// Checks whether a part of a call is still to be written.
+    /// Returns whether a part of a call is still to be written.
     pub fn has_unwritten(&self) -> bool {
         self.calls.back().is_some_and(|call| !call.unwritten_part().is_empty())
     }
--- a/src/node/connection/counter/client.rs
+++ b/src/node/connection/counter/client.rs
@@ -64,17 +64,17 @@
         }
     }
 
-    /// Checks whether the policy awaits the reply to any call.
+    /// Returns whether the policy awaits the reply to any call.
     pub fn has_awaited_calls(&self) -> bool {
         self.connections.iter().any(|connection| connection.has_awaited_calls())
     }
 
-    /// Checks whether the policy awaits the reply to a call that adds to this counter.
+    /// Returns whether the policy awaits the reply to a call that adds to this counter.
     pub fn awaits_counter(&self, counter: u64) -> bool {
         self.connections.iter().any(|connection| connection.awaits_counter(counter))
     }
 
-    /// Checks whether the policy awaits the reply to this call.
+    /// Returns whether the policy awaits the reply to this call.
     pub fn awaits_call(&self, id: CallId) -> bool {
         self.connections.iter().any(|connection| connection.awaits_call(id))
     }
--- a/src/node/connection/counter/client_context.rs
+++ b/src/node/connection/counter/client_context.rs
@@ -34,7 +34,7 @@
         Rc::new(Self { address, call_timeout, is_retired, last_warning_at: Cell::new(None) })
     }
 
-    /// Checks whether the client is retired. Then each connection ends once no call is awaited on it, and no
+    /// Returns whether the client is retired. Then each connection ends once no call is awaited on it, and no
     /// connection is opened again.
     pub fn is_retired(&self) -> bool {
         self.is_retired.get()
--- a/src/node/connection/counter/connection.rs
+++ b/src/node/connection/counter/connection.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Checks whether the connection is open.
+    /// Returns whether the connection is open.
     pub fn is_connected(&self) -> bool {
         matches!(*self.state.borrow(), ConnectionState::Connected(_))
     }
@@ -123,22 +123,22 @@
         self.calls.borrow().len()
     }
 
-    /// Checks whether the oldest call has been without a reply for longer than `limit`.
+    /// Returns whether the oldest call has been without a reply for longer than `limit`.
     pub fn is_overdue(&self, limit: Duration) -> bool {
         self.calls.borrow().is_overdue(limit)
     }
 
-    /// Checks whether the policy awaits the reply to any call.
+    /// Returns whether the policy awaits the reply to any call.
     pub fn has_awaited_calls(&self) -> bool {
         self.calls.borrow().has_awaited()
     }
 
-    /// Checks whether the policy awaits the reply to a call that adds to this counter.
+    /// Returns whether the policy awaits the reply to a call that adds to this counter.
     pub fn awaits_counter(&self, counter: u64) -> bool {
         self.calls.borrow().awaits_counter(counter)
     }
 
-    /// Checks whether the policy awaits the reply to this call.
+    /// Returns whether the policy awaits the reply to this call.
     pub fn awaits_call(&self, id: CallId) -> bool {
         self.calls.borrow().awaits_call(id)
     }
--- a/src/node/connection/counter/error.rs
+++ b/src/node/connection/counter/error.rs
@@ -33,7 +33,7 @@
 }
 
 impl CounterError {
-    /// Checks whether the counter didn't respond in time.
+    /// Returns whether the counter didn't respond in time.
     pub fn is_timeout(&self) -> bool {
         match self {
             Self::ConnectTimeout | Self::ReplyOverdue => true,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Checks whether the counter sent something other than a reply to the oldest call.
+    /// Returns whether the counter sent something other than a reply to the oldest call.
     pub fn is_invalid_reply(&self) -> bool {
         matches!(self, Self::UnexpectedReply | Self::ReplyTooLong)
     }
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -183,7 +183,7 @@
         self.idle_limit.allows(connection.idle_since.elapsed()) && connection.http.is_ready()
     }
 
-    /// Checks whether a request may still be sent to the target: its endpoint is running in the same incarnation.
+    /// Returns whether a request may still be sent to the target: its endpoint is running in the same incarnation.
     pub(super) fn is_current(&self, target: &Target) -> bool {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.get(&target.id);
--- a/src/node/connection/http_connection.rs
+++ b/src/node/connection/http_connection.rs
@@ -86,7 +86,7 @@
         self.progress.clone()
     }
 
-    /// Checks whether the idle connection can carry a request. It can't if input has arrived without a request,
+    /// Returns whether the idle connection can carry a request. It can't if input has arrived without a request,
     /// because that would be taken for the next response.
     pub fn is_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
--- a/src/node/connection/idle_limit.rs
+++ b/src/node/connection/idle_limit.rs
@@ -22,7 +22,7 @@
         Self { current: Cell::new(max), max }
     }
 
-    /// Checks whether a connection that has been idle for this long may be reused.
+    /// Returns whether a connection that has been idle for this long may be reused.
     pub fn allows(&self, idle: Duration) -> bool {
         idle < self.current.get()
     }
--- a/src/node/connection/response_body.rs
+++ b/src/node/connection/response_body.rs
@@ -50,7 +50,7 @@
 }
 
 impl BufferLimits {
-    /// Checks whether a body of this length may be buffered. A body of unknown length may be, up to the limits.
+    /// Returns whether a body of this length may be buffered. A body of unknown length may be, up to the limits.
     fn can_buffer(&self, length: Option<u64>) -> bool {
         length.is_none_or(|length| length <= self.max_bytes as u64)
     }
@@ -83,7 +83,7 @@
     Ok(Bytes::new())
 }
 
-/// Checks whether the end of a body without a length can be told from a failure. A close of the connection marks the
+/// Returns whether the end of a body without a length can be told from a failure. A close of the connection marks the
 /// end only in HTTP/1.0 or if the head announces it.
 fn is_end_detectable(parts: &Parts) -> bool {
     let connection = parts.headers.get(CONNECTION);
--- a/src/node/connection/write_progress.rs
+++ b/src/node/connection/write_progress.rs
@@ -46,12 +46,12 @@
         self.sent_requests.replace(Some(sent_requests.clone()));
     }
 
-    /// Checks whether no byte of the request was written.
+    /// Returns whether no byte of the request was written.
     pub fn is_unwritten(&self) -> bool {
         self.written_bytes.get() == 0
     }
 
-    /// Checks whether the last byte of the request was written, so that the endpoint may have started to work on it.
+    /// Returns whether the last byte of the request was written, so that the endpoint may have started to work on it.
     pub fn is_completely_written(&self) -> bool {
         match self.request_length.get() {
             Some(length) => self.written_bytes.get() >= length,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Checks whether bytes of the final response have arrived.
+    /// Returns whether bytes of the final response have arrived.
     pub fn has_response_started(&self) -> bool {
         self.has_response_started.get()
     }
@@ -160,12 +160,12 @@
         self.0.replace(Some(progress));
     }
 
-    /// Checks whether the request was written completely, so that the endpoint may have started to work on it.
+    /// Returns whether the request was written completely, so that the endpoint may have started to work on it.
     pub fn may_have_run(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|progress| progress.is_completely_written())
     }
 
-    /// Checks whether bytes of the final response have arrived.
+    /// Returns whether bytes of the final response have arrived.
     pub fn has_response_started(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(|progress| progress.has_response_started())
     }
--- a/src/node/wire/client_request.rs
+++ b/src/node/wire/client_request.rs
@@ -90,7 +90,7 @@
     pub first_gateway: u32,
     /// Time in seconds that the client still waits for the response.
     pub remaining_seconds: f64,
-    /// Whether the client marked the request as a retry.
+    /// True if the client marked the request as a retry.
     pub is_retry: bool,
     /// The request to forward to an endpoint. The body is empty until the caller has read it from the client.
     pub upstream: UpstreamRequest,
--- a/src/node/wire/endpoint_list.rs
+++ b/src/node/wire/endpoint_list.rs
@@ -18,7 +18,7 @@
 pub struct EndpointList<'a> {
     /// Number that grows with each change of the list.
     pub version: u64,
-    /// Whether the list names all endpoints, not only the changed ones.
+    /// True if the list names all endpoints, not only the changed ones.
     #[serde(rename = "full")]
     pub is_full: bool,
     /// The listed endpoints.
--- a/src/node/wire/request_head.rs
+++ b/src/node/wire/request_head.rs
@@ -62,9 +62,9 @@
     pub framing: Framing,
     /// Minor version of HTTP/1.
     pub minor_version: u8,
-    /// Whether the client allows the connection to stay open after the response.
+    /// True if the client allows the connection to stay open after the response.
     pub allows_keep_alive: bool,
-    /// Whether the client waits for `100 Continue` before it sends the body.
+    /// True if the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
