--- a/src/bin/oliverack-sim/wire/writer.rs
+++ b/src/bin/oliverack-sim/wire/writer.rs
@@ -24,6 +24,6 @@
         Action::SetTimer { token, at } => json!(["DEFER", token, at]),
         Action::AddToCounter { counter, amount, ttl } => json!(["INCR", counter, amount, ttl]),
         Action::PollEndpoints => json!(["SUBSCRIBE", true]),
-        other => json!(["PANIC", format!("no wire form for {other:?}")]),
+        unknown_action => json!(["PANIC", format!("no wire form for {unknown_action:?}")]),
     }
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -53,7 +53,7 @@
                 "trace" => settings.level = LevelFilter::TRACE,
                 "text" => settings.format = Format::Text,
                 "json" => settings.format = Format::Json,
-                other => return Err(LogError(other.to_owned())),
+                unknown_part => return Err(LogError(unknown_part.to_owned())),
             }
         }
         Ok(settings)
--- a/src/node/connection/clients/body_upload.rs
+++ b/src/node/connection/clients/body_upload.rs
@@ -109,9 +109,9 @@
 
     /// Takes the frames that are ready to be sent: the pending bytes, and the end of the body if it is complete.
     fn take_ready_frames(&mut self, is_complete: bool) -> impl Iterator<Item = BodyFrame> + use<> {
-        let data = (!self.pending.is_empty()).then(|| BodyFrame::Data(self.pending.split().freeze()));
-        let end = is_complete.then_some(BodyFrame::End);
-        data.into_iter().chain(end)
+        let data_frame = (!self.pending.is_empty()).then(|| BodyFrame::Data(self.pending.split().freeze()));
+        let end_frame = is_complete.then_some(BodyFrame::End);
+        data_frame.into_iter().chain(end_frame)
     }
 
     /// Sends one frame as soon as the channel to the attempt has room.
--- a/src/node/connection/clients/connection.rs
+++ b/src/node/connection/clients/connection.rs
@@ -36,9 +36,9 @@
 
     /// Serves requests until the connection ends.
     pub async fn run(&mut self) {
-        let end = self.serve_requests().await;
+        let connection_end = self.serve_requests().await;
         self.socket.release_buffer();
-        if let ConnectionEnd::WithStatus(status) = end {
+        if let ConnectionEnd::WithStatus(status) = connection_end {
             self.socket.state.enter(Stage::WritingResponse);
             let response = ClientResponse::without_body(status).render(false, 1);
             // A client that this response does not reach still sees the close.
@@ -49,8 +49,8 @@
 
     async fn serve_requests(&mut self) -> ConnectionEnd {
         loop {
-            if let Err(end) = self.serve_next_request().await {
-                return end;
+            if let Err(connection_end) = self.serve_next_request().await {
+                return connection_end;
             }
             self.socket.release_empty_buffer();
             self.socket.state.enter(Stage::Idle);
@@ -66,11 +66,11 @@
         let request = self.parse_request(&head);
         let body = match request_reader::read_body(&mut self.socket, &head).await {
             Ok(body) => body,
-            Err(end) => {
+            Err(connection_end) => {
                 if let Ok(request) = &request {
-                    self.count_out_of_memory_rejection(request, &end);
+                    self.count_out_of_memory_rejection(request, &connection_end);
                 }
-                return Err(end);
+                return Err(connection_end);
             }
         };
         match request {
@@ -89,8 +89,8 @@
 
     /// Counts a valid request as rejected if there was no memory for its body. A request that the client failed to send
     /// completely is not counted.
-    fn count_out_of_memory_rejection(&self, request: &ClientRequest, end: &ConnectionEnd) {
-        if let ConnectionEnd::WithStatus(StatusCode::SERVICE_UNAVAILABLE) = end {
+    fn count_out_of_memory_rejection(&self, request: &ClientRequest, connection_end: &ConnectionEnd) {
+        if let ConnectionEnd::WithStatus(StatusCode::SERVICE_UNAVAILABLE) = connection_end {
             self.context.metrics.request_started(request.class).end(metrics::RequestOutcome::Rejected);
         }
     }
--- a/src/node/connection/clients/listener.rs
+++ b/src/node/connection/clients/listener.rs
@@ -160,7 +160,7 @@
             async move {
                 // With Nagle's algorithm a response might wait for the acknowledgement of the one before.
                 let _ = socket.set_nodelay(true);
-                ClientConnection::new(&registration.clients.context, socket, &state).run().await;
+                ClientConnection::new(&registration.listener.context, socket, &state).run().await;
             }
         });
         *state.task.borrow_mut() = Some(task.abort_handle());
@@ -170,20 +170,20 @@
         let id = self.next_connection_id.get();
         self.next_connection_id.set(id + 1);
         self.connections.borrow_mut().insert(id, state);
-        Registration { clients: self.clone(), id }
+        Registration { listener: self.clone(), id }
     }
 }
 
 /// Registration of a connection in the table, which counts towards the budget. Dropping it frees the capacity, even if
 /// the connection's task never ran.
 struct Registration {
-    clients: Rc<ClientListener>,
+    listener: Rc<ClientListener>,
     id: u64,
 }
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.clients.connections.borrow_mut().remove(&self.id);
-        self.clients.connection_ended.notify_one();
+        self.listener.connections.borrow_mut().remove(&self.id);
+        self.listener.connection_ended.notify_one();
     }
 }
--- a/src/node/connection/clients/response_writer.rs
+++ b/src/node/connection/clients/response_writer.rs
@@ -77,9 +77,9 @@
     // A failure leaves the system's default, which is larger.
     let _ = SockRef::from(&socket.tcp).set_send_buffer_size(SEND_BUFFER_BYTES);
     let is_chunked = length.is_none() && minor_version > 0;
-    let end = ResponseStream { socket, is_chunked, unsent: head }.forward(frames).await?;
+    let stream_outcome = ResponseStream { socket, is_chunked, unsent: head }.forward(frames).await?;
     drop(stream_memory);
-    match end {
+    match stream_outcome {
         StreamOutcome::Complete => Ok(Delivery::Complete(outcome)),
         StreamOutcome::Unstarted => {
             let failure = ClientResponse::without_body(StatusCode::BAD_GATEWAY);
@@ -97,9 +97,12 @@
 }
 
 /// Reserves the memory that a stream needs beyond the bytes that the exchange already holds. Waits until it is free.
-async fn reserve_stream_memory<'c>(socket: &ClientSocket<'c>, held: &MemoryPermit<'_>) -> MemoryPermit<'c> {
+async fn reserve_stream_memory<'c>(
+    socket: &ClientSocket<'c>,
+    held_memory: &MemoryPermit<'_>,
+) -> MemoryPermit<'c> {
     loop {
-        match socket.context.memory.reserve(STREAM_MEMORY_BYTES.saturating_sub(held.bytes())) {
+        match socket.context.memory.reserve(STREAM_MEMORY_BYTES.saturating_sub(held_memory.bytes())) {
             Some(permit) => return permit,
             None => sleep(MEMORY_BACKOFF).await,
         }
--- a/src/node/connection/clients/socket.rs
+++ b/src/node/connection/clients/socket.rs
@@ -78,7 +78,7 @@
                 () = self.state.close_signal.notified() => match self.evaluate_close_signal() {
                     CloseSignal::Outdated => continue,
                     CloseSignal::InputPending => {}
-                    CloseSignal::Close(end) => return Err(end),
+                    CloseSignal::Close(connection_end) => return Err(connection_end),
                 },
             }
             self.buffer.reserve(max_bytes);
--- a/src/node/connection/clients/state.rs
+++ b/src/node/connection/clients/state.rs
@@ -30,7 +30,7 @@
     ReadingRequest,
     /// Waiting for more of a request body that is streamed or discarded.
     ReceivingBody,
-    /// The client waits for the gateway.
+    /// The gateway or an endpoint works on the request, and the client waits.
     Processing,
     /// Writing a buffered response.
     WritingResponse,
--- a/src/node/connection/counter/call.rs
+++ b/src/node/connection/counter/call.rs
@@ -67,13 +67,13 @@
     }
 
     /// Returns whether the call has the given id. Pings have none.
-    pub fn has_id(&self, wanted: CallId) -> bool {
-        matches!(self.kind, CallKind::Add { id, .. } if id == wanted)
+    pub fn has_id(&self, wanted_id: CallId) -> bool {
+        matches!(self.kind, CallKind::Add { id, .. } if id == wanted_id)
     }
 
     /// Returns whether the call adds to the given counter.
-    pub fn adds_to(&self, wanted: u64) -> bool {
-        matches!(self.kind, CallKind::Add { counter, .. } if counter == wanted)
+    pub fn adds_to(&self, wanted_counter: u64) -> bool {
+        matches!(self.kind, CallKind::Add { counter, .. } if counter == wanted_counter)
     }
 
     /// Returns whether the policy awaits the reply.
--- a/src/node/connection/counter/client_context.rs
+++ b/src/node/connection/counter/client_context.rs
@@ -57,7 +57,7 @@
 
     /// Logs the failure of a connection, at most once in [`WARNING_INTERVAL`].
     pub fn warn(&self, error: &CounterError) {
-        if self.last_warning_at.get().is_none_or(|at| at.elapsed() > WARNING_INTERVAL) {
+        if self.last_warning_at.get().is_none_or(|warned_at| warned_at.elapsed() > WARNING_INTERVAL) {
             self.last_warning_at.set(Some(Instant::now()));
             warn!(address = %self.address, reason = %error, "counter connection failed");
         }
--- a/src/node/connection/discovery/call.rs
+++ b/src/node/connection/discovery/call.rs
@@ -46,11 +46,13 @@
         kept_connection: &mut Option<HttpConnection>,
         progress: &WriteProgressHandle,
     ) -> Result<Bytes, DiscoveryError> {
-        let usable = kept_connection.take().and_then(|mut kept| kept.is_ready().then_some(kept));
-        let hold = if usable.is_some() && self.version.is_some() { WATCH_HOLD } else { Duration::ZERO };
+        let usable_connection =
+            kept_connection.take().and_then(|mut connection| connection.is_ready().then_some(connection));
+        let hold =
+            if usable_connection.is_some() && self.version.is_some() { WATCH_HOLD } else { Duration::ZERO };
         let time_limit = if hold.is_zero() { FIRST_CALL_TIMEOUT } else { WATCH_HOLD + WATCH_GRACE };
         let deadline = Instant::now() + time_limit;
-        let mut connection = match usable {
+        let mut connection = match usable_connection {
             Some(connection) => connection,
             None => HttpConnection::connect(self.address, CONNECT_TIMEOUT)
                 .await
--- a/src/node/connection/discovery/error.rs
+++ b/src/node/connection/discovery/error.rs
@@ -3,7 +3,7 @@
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// Reason for which a call to discovery returned no list.
+/// Reason why a call to discovery returned no list.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum DiscoveryError {
     /// The connection could not be opened.
--- a/src/node/connection/endpoint_attempt.rs
+++ b/src/node/connection/endpoint_attempt.rs
@@ -110,8 +110,8 @@
     /// Sends the request on an idle or new connection and reads the response. Never sends any byte of the request
     /// twice: tries another connection only if a reused one failed before the first byte was written.
     async fn run(&self) -> Result<Response<Bytes>, Status> {
-        if let Some(wait) = self.pool.time_until_reuse(self.target) {
-            sleep(wait).await;
+        if let Some(reuse_delay) = self.pool.time_until_reuse(self.target) {
+            sleep(reuse_delay).await;
         }
         loop {
             let mut connection = match self.pool.check_out(self.target) {
@@ -120,14 +120,14 @@
             };
             self.progress.attach(connection.http.progress());
             connection.http.progress().count_request_in(&self.pool.dispatches);
-            let idle = connection.idle_since.elapsed();
+            let idle_time = connection.idle_since.elapsed();
             let request = self.build_request()?;
             let open_stream = |parts: &Parts, length| self.open_stream_if_wanted(parts, length);
             let exchange = connection.http.exchange(request, BUFFER_LIMITS, &open_stream);
             let error = match exchange.await {
                 Ok(response) => {
                     if connection.is_reused {
-                        self.pool.idle_limit.record_success(idle);
+                        self.pool.idle_limit.record_success(idle_time);
                     }
                     self.pool.check_in(self.target, connection);
                     return Ok(response);
@@ -142,7 +142,7 @@
                 ExchangeError::NoResponse => {
                     let has_response_started = connection.http.progress().has_response_started();
                     if connection.is_reused && !has_response_started {
-                        self.pool.idle_limit.record_reset(idle);
+                        self.pool.idle_limit.record_reset(idle_time);
                     }
                     return Err(Status::Reset);
                 }
@@ -162,7 +162,7 @@
 
     /// Opens the stream for a successful response that is not too long. Bodies of other responses are not needed.
     fn open_stream_if_wanted(&self, parts: &Parts, length: Option<u64>) -> Option<mpsc::Sender<BodyFrame>> {
-        let fits = length.is_none_or(|length| length <= MAX_BODY_BYTES as u64);
-        if parts.status == StatusCode::OK && fits { (self.open_stream)(length) } else { None }
+        let is_within_limit = length.is_none_or(|length| length <= MAX_BODY_BYTES as u64);
+        if parts.status == StatusCode::OK && is_within_limit { (self.open_stream)(length) } else { None }
     }
 }
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -21,7 +21,7 @@
 /// while the endpoint closes the connection is lost.
 const IDLE_LIMIT_MARGIN: Duration = Duration::from_secs(2);
 
-/// Connection's share of the budget, returned when the connection is dropped.
+/// One connection's share of the budget, returned when the connection is dropped.
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl Drop for ConnectionSlot {
@@ -113,17 +113,18 @@
         endpoints.reserve(list.len());
         for entry in list {
             let id = &entry.endpoint.id;
-            let known = endpoints.remove_entry(id).or_else(|| previous.remove_entry(id));
+            let known_entry = endpoints.remove_entry(id).or_else(|| previous.remove_entry(id));
             // The known id is kept, so that each id is in memory only once.
-            let (id, known) = match known {
-                Some((id, known)) => (id, Some(known)),
+            let (id, known_endpoint) = match known_entry {
+                Some((id, endpoint)) => (id, Some(endpoint)),
                 None => (id.clone(), None),
             };
-            let Some(endpoint) = self.apply_entry(entry, known.as_ref()) else {
+            let Some(endpoint) = self.apply_entry(entry, known_endpoint.as_ref()) else {
                 idle.remove(&id);
                 continue;
             };
-            let is_same_incarnation = known.is_some_and(|known| known.incarnation == endpoint.incarnation);
+            let is_same_incarnation =
+                known_endpoint.is_some_and(|known| known.incarnation == endpoint.incarnation);
             if !is_same_incarnation || !endpoint.is_running {
                 idle.remove(&id);
             }
@@ -135,13 +136,17 @@
     }
 
     /// Returns the endpoint according to its entry, or `None` if it is gone or has no address.
-    fn apply_entry(&self, entry: &ListedEndpoint, known: Option<&KnownEndpoint>) -> Option<KnownEndpoint> {
-        let address = entry.address.or(known.map(|known| known.address))?;
+    fn apply_entry(
+        &self,
+        entry: &ListedEndpoint,
+        known_endpoint: Option<&KnownEndpoint>,
+    ) -> Option<KnownEndpoint> {
+        let address = entry.address.or(known_endpoint.map(|known| known.address))?;
         if entry.endpoint.lifecycle == Lifecycle::Gone {
             return None;
         }
         let started = entry.endpoint.started;
-        let unchanged = known.filter(|known| known.address == address && known.started == started);
+        let unchanged = known_endpoint.filter(|known| known.address == address && known.started == started);
         Some(KnownEndpoint {
             address,
             started,
@@ -187,7 +192,7 @@
     pub(super) fn is_current(&self, target: &Target) -> bool {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.get(&target.id);
-        endpoint.is_some_and(|known| known.is_running && known.incarnation == target.incarnation)
+        endpoint.is_some_and(|endpoint| endpoint.is_running && endpoint.incarnation == target.incarnation)
     }
 
     /// Takes the most recently used idle connection to the target, so that surplus connections stay idle until they
@@ -225,8 +230,8 @@
     pub(super) fn check_in(&self, target: &Target, mut connection: PooledConnection) {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.get(&target.id);
-        let is_current =
-            endpoint.is_some_and(|known| known.is_running && known.incarnation == connection.incarnation);
+        let is_current = endpoint
+            .is_some_and(|endpoint| endpoint.is_running && endpoint.incarnation == connection.incarnation);
         if is_current && connection.http.is_ready() {
             connection.idle_since = Instant::now();
             connection.is_reused = true;
--- a/src/node/connection/http_connection.rs
+++ b/src/node/connection/http_connection.rs
@@ -31,7 +31,7 @@
     time::{Sleep, sleep, timeout},
 };
 
-/// Longest time from a response's first byte to the end of its head. Slow endpoints write the head in small pieces.
+/// Longest time from a response's first byte to the end of its head. Slow endpoints write the head in small parts.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Failure of an exchange, by whether the endpoint may have run the request.
--- a/src/node/connection/idle_limit.rs
+++ b/src/node/connection/idle_limit.rs
@@ -23,23 +23,23 @@
     }
 
     /// Returns whether a connection that has been idle for this long may be reused.
-    pub fn allows(&self, idle: Duration) -> bool {
-        idle < self.current.get()
+    pub fn allows(&self, idle_time: Duration) -> bool {
+        idle_time < self.current.get()
     }
 
     /// Records that a connection carried a request after being idle for this long. Raises the limit by a quarter if
     /// the idle time was at least half of it.
-    pub fn record_success(&self, idle: Duration) {
+    pub fn record_success(&self, idle_time: Duration) {
         let current = self.current.get();
-        if idle >= current / 2 {
+        if idle_time >= current / 2 {
             self.current.set((current * 5 / 4).min(self.max));
         }
     }
 
     /// Records that a connection was reset without a response after being idle for this long. Lowers the limit to
     /// half of that time, but not below the minimum.
-    pub fn record_reset(&self, idle: Duration) {
-        let lowered = (idle / 2).max(MIN_IDLE_LIMIT);
+    pub fn record_reset(&self, idle_time: Duration) {
+        let lowered = (idle_time / 2).max(MIN_IDLE_LIMIT);
         self.current.set(lowered.min(self.current.get()));
     }
 }
--- a/src/node/connection/socket_input.rs
+++ b/src/node/connection/socket_input.rs
@@ -1,4 +1,4 @@
-//! Checks for pending input on a socket.
+//! Detects pending input on a socket.
 
 use socket2::SockRef;
 use std::{io, mem::MaybeUninit};
--- a/src/node/connection/write_progress.rs
+++ b/src/node/connection/write_progress.rs
@@ -87,8 +87,8 @@
             return;
         }
         if let Some(body_length) = self.body_length.get() {
-            let head_end = bytes.windows(4).position(|window| window == b"\r\n\r\n");
-            let head_length = head_end.map_or(bytes.len(), |end| end + 4);
+            let empty_line = bytes.windows(4).position(|window| window == b"\r\n\r\n");
+            let head_length = empty_line.map_or(bytes.len(), |position| position + 4);
             self.request_length.set(Some(head_length + body_length));
         }
     }
--- a/src/node/hot_restart/peer_connection.rs
+++ b/src/node/hot_restart/peer_connection.rs
@@ -81,7 +81,7 @@
             Ok(Message::MaintenanceChanged { endpoint, in_maintenance }) => {
                 handler.set_maintenance(&endpoint, in_maintenance);
             }
-            Ok(other) => return ConnectionError::UnexpectedMessage(other.kind()),
+            Ok(message) => return ConnectionError::UnexpectedMessage(message.kind()),
             Err(error) => return error.into(),
         }
     }
--- a/src/node/hot_restart/predecessor.rs
+++ b/src/node/hot_restart/predecessor.rs
@@ -60,8 +60,9 @@
         let reply = reader.read().await?;
         Ok::<_, HandshakeError>((reply, reader, writer))
     };
-    let finished = timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| HandshakeError::Timeout)?;
-    let (reply, reader, writer) = finished?;
+    let handshake_result =
+        timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| HandshakeError::Timeout)?;
+    let (reply, reader, writer) = handshake_result?;
     let Message::Snapshot(snapshot) = reply else { return Err(HandshakeError::unexpected(&reply)) };
     handler.receive_snapshot(snapshot);
     add_peer(table, handler, PeerRole::Predecessor, reader, writer, None);
--- a/src/node/hot_restart/shared_folder.rs
+++ b/src/node/hot_restart/shared_folder.rs
@@ -72,8 +72,8 @@
         let is_match = |path: &PathBuf| {
             let name = path.file_name().and_then(|name| name.to_str());
             // The last character of the separator, a dot, is the first one of the suffix.
-            let suffix =
-                name.and_then(|name| name.rfind(&separator).map(|at| &name[at + separator.len() - 1..]));
+            let suffix = name
+                .and_then(|name| name.rfind(&separator).map(|start| &name[start + separator.len() - 1..]));
             suffix.is_some_and(&suffix_matches)
         };
         entries.flatten().map(|entry| entry.path()).filter(is_match).collect()
--- a/src/node/runtime/attempts.rs
+++ b/src/node/runtime/attempts.rs
@@ -120,11 +120,11 @@
         let task = tokio::task::spawn_local(async move {
             let may_send = || attempts.may_send(&request_id);
             let start_response = |length| attempts.response_started(&request_id, number, length);
-            let end = attempts
+            let result = attempts
                 .endpoints
                 .attempt(&target, &upstream, timeout, &write_progress, may_send, start_response)
                 .await;
-            attempts.end(&request_id, number, end);
+            attempts.end(&request_id, number, result);
         });
         task.abort_handle()
     }
@@ -160,16 +160,16 @@
         (outcome == DeliveryOutcome::Delivered).then_some(sender)
     }
 
-    fn end(&self, request_id: &RequestId, number: u32, end: AttemptResult) {
+    fn end(&self, request_id: &RequestId, number: u32, result: AttemptResult) {
         let Some(mut request) = self.table.get_mut(request_id) else { return };
         let Some(attempt) = request.take_attempt(number) else { return };
         let endpoint = attempt.endpoint;
-        debug!(request = ?request.upstream().transaction_id, attempt = number, %endpoint, reason = ?end.status, "attempt ended");
+        debug!(request = ?request.upstream().transaction_id, attempt = number, %endpoint, reason = ?result.status, "attempt ended");
         if let Some(timer) = attempt.timeout_timer {
             self.timers.cancel(timer);
         }
-        if end.status == Status::Ok {
-            request.deliver(FinalResponse::Served(end.body));
+        if result.status == Status::Ok {
+            request.deliver(FinalResponse::Served(result.body));
         }
         let is_finished = !request.is_waiting();
         drop(request);
@@ -180,11 +180,11 @@
             request_id: request_id.clone(),
             attempt: number,
             endpoint,
-            status: end.status,
+            status: result.status,
             elapsed: (ended_at - attempt.sent_at).max(0.0),
             is_finished,
             actual_units: None,
-            load: end.load,
+            load: result.load,
         });
     }
 
--- a/src/node/runtime/clock.rs
+++ b/src/node/runtime/clock.rs
@@ -28,8 +28,8 @@
     }
 
     /// Converts a Unix time to the monotonic clock. A time before the start of the clock becomes the start.
-    pub fn instant(&self, at: Time) -> Instant {
-        let seconds_ahead = (at - self.unix_time_at_start).clamp(0.0, MAX_SECONDS_AHEAD);
+    pub fn instant(&self, time: Time) -> Instant {
+        let seconds_ahead = (time - self.unix_time_at_start).clamp(0.0, MAX_SECONDS_AHEAD);
         self.start + Duration::from_secs_f64(seconds_ahead)
     }
 }
--- a/src/node/runtime/driver.rs
+++ b/src/node/runtime/driver.rs
@@ -203,7 +203,7 @@
                 self.counter_calls.add(now, counter, amount, ttl);
             }
             Action::PollEndpoints => self.poll_requested.notify_one(),
-            other => error!(action = ?other, "unknown action of the policy"),
+            unknown_action => error!(action = ?unknown_action, "unknown action of the policy"),
         }
     }
 }
--- a/src/node/runtime/timers.rs
+++ b/src/node/runtime/timers.rs
@@ -15,7 +15,7 @@
     Policy(u64),
     /// Timeout of the attempt with this number.
     Attempt(RequestId, u32),
-    /// Deadline of the request: its client no longer waits.
+    /// Shortly after the deadline of the request: its client no longer waits.
     Deadline(RequestId),
     /// Time from which endpoints may forget the request's idempotency key.
     DedupEnd(RequestId),
--- a/src/node/wire/request_body.rs
+++ b/src/node/wire/request_body.rs
@@ -197,7 +197,7 @@
 /// Removes one line of the trailers and returns it; returns `None` while the line is incomplete.
 fn take_trailer_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, BodyError> {
     match buffer.iter().position(|byte| *byte == b'\n') {
-        Some(end) => Ok(Some(buffer.split_to(end + 1))),
+        Some(position) => Ok(Some(buffer.split_to(position + 1))),
         None if buffer.len() > MAX_CHUNK_LINE_BYTES => Err(BodyError::TrailerLineTooLong),
         None => Ok(None),
     }
--- a/src/node/wire/stream.rs
+++ b/src/node/wire/stream.rs
@@ -1,5 +1,5 @@
-//! Streamed request and response bodies. The frames of a body pass through a bounded channel, so that a slow reader
-//! holds up the writer.
+//! Streamed request and response bodies. The frames of a body pass through a bounded channel with backpressure: a slow
+//! reader holds up the writer.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
--- a/tests/unit/config.rs
+++ b/tests/unit/config.rs
@@ -54,8 +54,8 @@
     assert_eq!(config.name, "n2");
     assert_eq!(config.listen.to_string(), "127.0.0.1:9000");
     assert_eq!(config.discovery.to_string(), "127.0.0.1:9001");
-    assert_eq!(config.counter.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9002"));
-    assert_eq!(config.operator.map(|addr| addr.to_string()).as_deref(), Some("127.0.0.1:9003"));
+    assert_eq!(config.counter.map(|address| address.to_string()).as_deref(), Some("127.0.0.1:9002"));
+    assert_eq!(config.operator.map(|address| address.to_string()).as_deref(), Some("127.0.0.1:9003"));
     assert_eq!(config.seed, 0x00ff_00ff_00ff_00ff);
     assert_eq!((config.max_descriptors, config.memory_bytes), (512, 32 << 20));
     assert_eq!(config.cached_version, 17);
--- a/tests/unit/counter_call.rs
+++ b/tests/unit/counter_call.rs
@@ -1,4 +1,4 @@
-//! Stages of a call to the counter, and its status after each kind of connection failure.
+//! Stages of a call to the counter, its status after each kind of connection failure, and the texts of the failures.
 
 use super::*;
 use std::io;
@@ -65,9 +65,9 @@
         (CounterError::WriteFailed, Status::Reset, Status::Reset),
         (CounterError::Retired, Status::Reset, Status::Reset),
     ];
-    for (error, oldest, other) in cases {
-        assert_eq!(written_call().status_after(&error, true), oldest, "{error:?}");
-        assert_eq!(written_call().status_after(&error, false), other, "{error:?}");
+    for (error, oldest_status, other_status) in cases {
+        assert_eq!(written_call().status_after(&error, true), oldest_status, "{error:?}");
+        assert_eq!(written_call().status_after(&error, false), other_status, "{error:?}");
         for written in [0, 3] {
             let call = call_with_written_bytes(written);
             assert_eq!(call.status_after(&error, true), Status::ConnectFailed, "{error:?}");
--- a/tests/unit/request_head.rs
+++ b/tests/unit/request_head.rs
@@ -17,15 +17,15 @@
             decoder_and_head = head.map(|head| (BodyDecoder::new(head.framing), head));
         }
         if let Some((decoder, _)) = &mut decoder_and_head {
-            // Decodes the body in pieces of at most nine bytes.
+            // Decodes the body in steps of at most nine bytes.
             loop {
-                let mut piece = BytesMut::new();
-                let is_complete = decoder.decode(&mut buffer, &mut piece, 9).map_err(BodyError::status)?;
-                body.extend_from_slice(&piece);
+                let mut output = BytesMut::new();
+                let is_complete = decoder.decode(&mut buffer, &mut output, 9).map_err(BodyError::status)?;
+                body.extend_from_slice(&output);
                 if is_complete {
                     return Ok(decoder_and_head.map(|(_, head)| (head, body)));
                 }
-                if piece.len() < 9 {
+                if output.len() < 9 {
                     break;
                 }
             }
