--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -55,14 +55,14 @@
 
     /// Decides about a request that has just arrived.
     pub fn admit(&mut self, request: &Request, backends: &Backends, context: &mut Context) -> Admission {
-        let overloaded = Admission::Reject { retry_after: context.settings.max_retry_after };
+        let overload_rejection = Admission::Reject { retry_after: context.settings.max_retry_after };
         if !self.customers.make_room(&request.customer, context) {
-            return overloaded;
+            return overload_rejection;
         }
         let plan = context.plan(request.plan);
         self.customers.record_arrival(request, &plan, context);
         if !backends.has_capacity(1.0, context) {
-            return overloaded;
+            return overload_rejection;
         }
         let mut candidate = Candidate { request, plan, backends, context };
         if plan.rate <= 0.0 {
--- a/src/policy/admission/leased_quota.rs
+++ b/src/policy/admission/leased_quota.rs
@@ -130,16 +130,16 @@
 
     /// Returns the units that a request lacks according to the counter's last reply.
     pub fn missing_units(&self, now: Time, plan: &Plan, units: f64) -> f64 {
-        let known =
-            self.last_known_remaining.map_or(0.0, |known| known.level + plan.rate * (now - known.updated_at));
-        let available = self.lease + known;
+        let remaining =
+            self.last_known_remaining.map_or(0.0, |last| last.level + plan.rate * (now - last.updated_at));
+        let available = self.lease + remaining;
         (units - available).max(0.0)
     }
 
     /// Returns the remaining units at `now`, or `None` if the counter has not replied within `max_age`.
     fn remaining_at(&self, now: Time, plan: &Plan, max_age: Seconds) -> Option<f64> {
-        let known = self.last_known_remaining.filter(|known| now - known.updated_at < max_age);
-        known.map(|mut known| known.refill(now, plan.rate, plan.burst))
+        let recent = self.last_known_remaining.filter(|remaining| now - remaining.updated_at < max_age);
+        recent.map(|mut remaining| remaining.refill(now, plan.rate, plan.burst))
     }
 
     /// Returns the units to lease so that they cover a request and recent demand.
@@ -203,8 +203,8 @@
     pub fn settle_previous(&mut self, total: f64, current: QuotaWindow, plan: &Plan) -> Option<f64> {
         let remaining = plan.burst + plan.rate * current.length - total;
         let missing = plan.burst - (remaining + plan.rate * current.age).min(plan.burst);
-        if let Some(known) = &mut self.last_known_remaining {
-            known.level -= missing;
+        if let Some(last_known_remaining) = &mut self.last_known_remaining {
+            last_known_remaining.level -= missing;
         }
         (missing > FIRST_CALL_TOLERANCE * plan.burst).then_some(missing)
     }
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -59,7 +59,7 @@
     let settings = &context.settings;
     let waits = 2.0 * LeaseManager::max_wait(settings);
     let has_time = request.deadline > context.now + waits + MIN_EVENT_INTERVALS * settings.event_interval;
-    let is_known = request.class < settings.classes.len() && request.plan < settings.plans.len();
+    let class_and_plan_exist = request.class < settings.classes.len() && request.plan < settings.plans.len();
     let has_units = request.units.is_finite() && request.units >= 0.0;
-    is_known && has_units && has_time
+    class_and_plan_exist && has_units && has_time
 }
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -122,13 +122,13 @@
     }
 
     fn schedule_idle_scan(&mut self) {
-        let at = self.context.now + IDLE_SCAN_INTERVAL;
-        self.context.set_timer(at, TimerPurpose::EvictIdleCustomers);
+        let scan_at = self.context.now + IDLE_SCAN_INTERVAL;
+        self.context.set_timer(scan_at, TimerPurpose::EvictIdleCustomers);
     }
 
     /// Checks whether an endpoint is in the endpoint list or in maintenance.
     pub fn is_known_endpoint(&self, endpoint: &EndpointId) -> bool {
-        self.backends.router.endpoints().knows(endpoint)
+        self.backends.router.endpoints().is_known(endpoint)
     }
 
     /// Counts the listed endpoints, and those of them that are avoided at `now`.
--- a/src/policy/handover.rs
+++ b/src/policy/handover.rs
@@ -33,12 +33,12 @@
     let now = context.now;
     let peak_units = snapshot.peak_units_per_second;
     backends.router.restore(&snapshot.endpoints, snapshot.in_maintenance, peak_units, context);
-    let bounded = |time: Seconds| time.clamp(0.0, MAX_LATENCY);
+    let clamp_latency = |time: Seconds| time.clamp(0.0, MAX_LATENCY);
     let times = snapshot.response_times;
     backends.load_shedder.restore_latency(LatencyEstimate {
-        mean: bounded(times.mean),
-        median: bounded(times.median),
-        idle: DecayingSum { level: bounded(times.idle), updated_at: now },
+        mean: clamp_latency(times.mean),
+        median: clamp_latency(times.median),
+        idle: DecayingSum { level: clamp_latency(times.idle), updated_at: now },
     });
     requests.admission().restore(now, snapshot.counter_calls_per_second);
 }
--- a/src/policy/load_shedder.rs
+++ b/src/policy/load_shedder.rs
@@ -53,10 +53,10 @@
         let objective = objectives.reduce(f64::min).unwrap_or(1.0).max(MIN_LATENCY);
         let gateway_count = f64::from(settings.gateway_count);
         let random_fraction = context.rng.f64();
-        let minimum = MIN_IN_FLIGHT_PER_ENDPOINT * endpoint_count as f64 / gateway_count;
+        let min_in_flight = MIN_IN_FLIGHT_PER_ENDPOINT * endpoint_count as f64 / gateway_count;
         let target_latency = self.latency.idle.level + QUEUEING_SHARE * objective;
         let growth = (target_latency / self.latency.median.max(MIN_LATENCY)).min(MAX_GROWTH);
-        let mean = (self.mean_in_flight + minimum) * growth;
+        let mean = (self.mean_in_flight + min_in_flight) * growth;
         let burst_share = (1.0 - 1.0 / growth + (1.0 + mean).powi(-2)).clamp(0.0, 1.0);
         let limit = mean + burst_share * (1.0 + BURST_DEVIATIONS * mean.sqrt());
         self.in_flight + random_fraction <= share * limit
--- a/src/policy/routing/endpoint_state.rs
+++ b/src/policy/routing/endpoint_state.rs
@@ -99,21 +99,22 @@
 
     /// Records the result of an attempt. An endpoint that responds after it was unreachable for long may have
     /// restarted without notice, so it counts as warming up from now on.
-    pub fn record_outcome(&mut self, now: Time, status: Status, fleet_times_out: bool) {
+    pub fn record_outcome(&mut self, now: Time, status: Status, is_fleet_timing_out: bool) {
         let health = self.health.get_or_insert_default();
         if status == Status::Ok && health.may_have_restarted {
             self.warming_up_since = now;
             health.may_have_restarted = false;
         }
-        health.record_outcome(now, status, fleet_times_out);
+        health.record_outcome(now, status, is_fleet_timing_out);
     }
 
     /// Moves the mean response time towards a sample. The sample has more weight the longer ago the previous
     /// one was, as the endpoint may have changed since.
     pub fn record_latency(&mut self, now: Time, sample: Seconds) {
-        let previous = std::mem::replace(&mut self.health_mut().last_response_at, now);
-        let remembered = (1.0 - SAMPLE_WEIGHT) * (-(now - previous) / LATENCY_TIME_CONSTANT).exp();
-        self.mean_latency = sample + (self.mean_latency - sample) * remembered;
+        let previous_response_at = std::mem::replace(&mut self.health_mut().last_response_at, now);
+        let previous_weight =
+            (1.0 - SAMPLE_WEIGHT) * (-(now - previous_response_at) / LATENCY_TIME_CONSTANT).exp();
+        self.mean_latency = sample + (self.mean_latency - sample) * previous_weight;
     }
 
     /// Returns the time at which the endpoint has its full capacity; 0 if it has been warm for long.
--- a/src/policy/routing/endpoint_table.rs
+++ b/src/policy/routing/endpoint_table.rs
@@ -165,8 +165,8 @@
         self.in_maintenance.iter()
     }
 
-    /// Checks whether an endpoint has an entry or is in maintenance.
-    pub fn knows(&self, id: &EndpointId) -> bool {
+    /// Returns whether an endpoint has an entry or is in maintenance.
+    pub fn is_known(&self, id: &EndpointId) -> bool {
         self.find(id).is_some() || self.in_maintenance.contains(id)
     }
 
--- a/src/policy/routing/health.rs
+++ b/src/policy/routing/health.rs
@@ -68,7 +68,7 @@
 
     /// Records the result of an attempt. While the whole fleet times out, a timeout is no fault of this
     /// endpoint and does not count.
-    pub fn record_outcome(&mut self, now: Time, status: Status, fleet_times_out: bool) {
+    pub fn record_outcome(&mut self, now: Time, status: Status, is_fleet_timing_out: bool) {
         if matches!(status, Status::Ok | Status::Error | Status::Rejected) {
             self.unreachable_since = 0.0;
         }
@@ -82,7 +82,7 @@
                 self.consecutive_failures += CONNECT_FAILURE_WEIGHT;
                 self.record_unreachable(now);
             }
-            Status::Timeout if fleet_times_out => {}
+            Status::Timeout if is_fleet_timing_out => {}
             _ => self.consecutive_failures += 1,
         }
     }
--- a/src/policy/routing/list_poller.rs
+++ b/src/policy/routing/list_poller.rs
@@ -53,8 +53,8 @@
             let max_backoff_spread = fleet_spread.clamp(MIN_BACKOFF_SPREAD, MAX_BACKOFF_SPREAD);
             (2.0 * self.spread).min(max_backoff_spread)
         };
-        let at = context.now + context.rng.f64() * self.spread;
-        context.set_timer(at, TimerPurpose::PollEndpoints);
+        let poll_at = context.now + context.rng.f64() * self.spread;
+        context.set_timer(poll_at, TimerPurpose::PollEndpoints);
     }
 }
 
--- a/src/policy/routing/load_balancer.rs
+++ b/src/policy/routing/load_balancer.rs
@@ -24,7 +24,7 @@
 /// fast endpoints count as equally fast.
 pub fn score(endpoint: &EndpointState, class: usize, mean_latency: Seconds, now: Time) -> f64 {
     let health = endpoint.health();
-    let decay = |at: Time, time_constant: Seconds| (-(now - at) / time_constant).exp();
+    let decay = |observed_at: Time, time_constant: Seconds| (-(now - observed_at) / time_constant).exp();
     let relative_latency = endpoint.mean_latency / mean_latency.max(MIN_MEAN_LATENCY);
     let excess = (relative_latency * LATENCY_WEIGHT - 1.0).max(0.0);
     let slowness =
--- a/src/policy/routing/slow_start.rs
+++ b/src/policy/routing/slow_start.rs
@@ -61,8 +61,8 @@
         if endpoint.warming_up_since <= 0.0 || age >= settings.slow_start_window {
             return f64::INFINITY;
         }
-        let initial = settings.slow_start_initial_share;
-        let capacity = initial + (1.0 - initial) * (age / settings.slow_start_window).max(0.0);
+        let initial_share = settings.slow_start_initial_share;
+        let capacity = initial_share + (1.0 - initial_share) * (age / settings.slow_start_window).max(0.0);
         let replica_count = f64::from(context.replicas.count);
         let share = (settings.overload_multiple * PLANNED_SHARE).min(1.0) / replica_count;
         let rate = capacity * share * self.peak_rate.level;
--- a/src/primitives/latency_estimate.rs
+++ b/src/primitives/latency_estimate.rs
@@ -30,10 +30,11 @@
     pub fn record_median(&mut self, now: Time, sample: Seconds, gain: f64, idle_time_constant: Seconds) {
         let median = if self.median == 0.0 { sample } else { self.median };
         self.median = median * (sample.max(MIN_SAMPLE) / median).powf(gain);
-        let remembered = (-(now - self.idle.updated_at) / idle_time_constant).exp();
+        let decay_factor = (-(now - self.idle.updated_at) / idle_time_constant).exp();
         let idle_is_lower = self.idle.level > 0.0 && self.idle.level < self.median;
         let lowest = if idle_is_lower { self.idle.level } else { self.median };
-        self.idle = DecayingSum { level: self.median + (lowest - self.median) * remembered, updated_at: now };
+        self.idle =
+            DecayingSum { level: self.median + (lowest - self.median) * decay_factor, updated_at: now };
     }
 }
 
--- a/src/primitives/staggered_share.rs
+++ b/src/primitives/staggered_share.rs
@@ -22,9 +22,9 @@
 }
 
 impl StaggeredShare {
-    /// Returns the units granted to this holder from the origin of the clock until `at`.
-    fn granted_until(&self, at: Time) -> f64 {
-        let grants = at * self.rate / self.quantum;
+    /// Returns the units granted to this holder from the origin of the clock until `time`.
+    fn granted_until(&self, time: Time) -> f64 {
+        let grants = time * self.rate / self.quantum;
         ((grants - self.position) / self.holder_count).floor() * self.quantum
     }
 
--- a/tests/unit/subset.rs
+++ b/tests/unit/subset.rs
@@ -79,26 +79,26 @@
     (0..subset_size(gateway, GATEWAYS)).map(|index| id_at(gateway, index)).collect()
 }
 
-fn swap_endpoints(one: &mut Gateway, other: &mut Gateway) {
-    std::mem::swap(&mut one.backends.router.endpoints, &mut other.backends.router.endpoints);
+fn swap_endpoints(first: &mut Gateway, second: &mut Gateway) {
+    std::mem::swap(&mut first.backends.router.endpoints, &mut second.backends.router.endpoints);
 }
 
-/// Returns the subsets of all gateways, given the endpoint list of `informed`.
-fn subsets(informed: &mut Gateway) -> Vec<BTreeSet<EndpointId>> {
+/// Returns the subsets of all gateways, given the endpoint list of `gateway_with_list`.
+fn subsets(gateway_with_list: &mut Gateway) -> Vec<BTreeSet<EndpointId>> {
     let subset_of = |gateway_index| {
         let mut gateway = gateway(gateway_index, GATEWAYS, u64::from(gateway_index));
-        swap_endpoints(&mut gateway, informed);
+        swap_endpoints(&mut gateway, gateway_with_list);
         let subset = subset(&gateway);
-        swap_endpoints(&mut gateway, informed);
+        swap_endpoints(&mut gateway, gateway_with_list);
         subset
     };
     (0..GATEWAYS).map(subset_of).collect()
 }
 
 /// Returns the fewest and the most gateways that use one endpoint.
-fn gateways_per_endpoint(subsets: &[BTreeSet<EndpointId>], informed: &Gateway) -> (usize, usize) {
+fn gateways_per_endpoint(subsets: &[BTreeSet<EndpointId>], gateway_with_list: &Gateway) -> (usize, usize) {
     let mut counts: BTreeMap<&EndpointId, usize> = BTreeMap::new();
-    let endpoints = &informed.backends.router.endpoints;
+    let endpoints = &gateway_with_list.backends.router.endpoints;
     counts.extend(endpoints.usable().iter().map(|handle| (endpoints.id(*handle), 0)));
     subsets.iter().flatten().for_each(|id| *counts.get_mut(id).expect("a usable endpoint") += 1);
     (*counts.values().min().expect("endpoints"), *counts.values().max().expect("endpoints"))
@@ -106,22 +106,22 @@
 
 #[test]
 fn endpoints_are_used_evenly_with_and_without_a_zone() {
-    let mut informed = gateway(0, GATEWAYS, 1);
-    update_list(&mut informed, ListKind::Stale, endpoints(ENDPOINTS));
-    let all_zones = subsets(&mut informed);
-    let (fewest, most) = gateways_per_endpoint(&all_zones, &informed);
+    let mut gateway_with_list = gateway(0, GATEWAYS, 1);
+    update_list(&mut gateway_with_list, ListKind::Stale, endpoints(ENDPOINTS));
+    let all_zones = subsets(&mut gateway_with_list);
+    let (fewest, most) = gateways_per_endpoint(&all_zones, &gateway_with_list);
     assert!(fewest >= 18 && most <= 22, "used by {fewest} to {most} gateways");
     // The list loses the second zone.
     update_list(
-        &mut informed,
+        &mut gateway_with_list,
         ListKind::Full,
         endpoints(ENDPOINTS).into_iter().filter(|entry| entry.zone != 1).collect(),
     );
-    let (fewest, most) = gateways_per_endpoint(&subsets(&mut informed), &informed);
+    let (fewest, most) = gateways_per_endpoint(&subsets(&mut gateway_with_list), &gateway_with_list);
     assert!(fewest >= 18 && most <= 22, "used by {fewest} to {most} gateways without a zone");
     // The zone returns, and each gateway uses the same subset as before.
-    update_list(&mut informed, ListKind::Full, endpoints(ENDPOINTS));
-    assert!(subsets(&mut informed) == all_zones, "the subsets have changed");
+    update_list(&mut gateway_with_list, ListKind::Full, endpoints(ENDPOINTS));
+    assert!(subsets(&mut gateway_with_list) == all_zones, "the subsets have changed");
 }
 
 #[test]
@@ -143,9 +143,9 @@
 
 #[test]
 fn change_of_one_endpoint_changes_subsets_little() {
-    let mut informed = gateway(0, GATEWAYS, 1);
-    update_list(&mut informed, ListKind::Stale, endpoints(ENDPOINTS));
-    let mut before = subsets(&mut informed);
+    let mut gateway_with_list = gateway(0, GATEWAYS, 1);
+    update_list(&mut gateway_with_list, ListKind::Stale, endpoints(ENDPOINTS));
+    let mut before = subsets(&mut gateway_with_list);
     for (number, lifecycle) in [
         (0, Lifecycle::Draining),
         (4600, Lifecycle::Gone),
@@ -153,8 +153,8 @@
         (4600, Lifecycle::Running),
         (9200, Lifecycle::Running),
     ] {
-        change_lifecycle(&mut informed, number, lifecycle);
-        let after = subsets(&mut informed);
+        change_lifecycle(&mut gateway_with_list, number, lifecycle);
+        let after = subsets(&mut gateway_with_list);
         let added: Vec<usize> =
             before.iter().zip(&after).map(|(before, after)| after.difference(before).count()).collect();
         let (total, most) = (added.iter().sum::<usize>(), added.iter().max().expect("gateways"));
@@ -172,8 +172,8 @@
         let mut gateway = gateway(7, GATEWAYS, 1);
         for kind in [ListKind::Stale, ListKind::Full] {
             update_list(&mut gateway, kind, endpoints(count));
-            let all = EndpointCounts { listed: count as usize, avoided: 0 };
-            assert_eq!(gateway.endpoint_counts(1.0), all, "{kind:?} of {count}");
+            let expected = EndpointCounts { listed: count as usize, avoided: 0 };
+            assert_eq!(gateway.endpoint_counts(1.0), expected, "{kind:?} of {count}");
         }
         assert!(subset(&gateway).len() <= count as usize);
         assert_eq!(serves(&mut gateway, "before"), count > 0, "of {count}");
