--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -3,7 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::{borrow::Borrow, fmt, ops::Deref, sync::Arc};
 
-/// Defines a string identifier as a type of its own. Clones share the text.
+/// Defines a string identifier as a type of its own, so that it can't be mistaken for one of another kind.
+/// Clones share the text, so they are cheap.
 macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -47,7 +47,7 @@
 }
 
 impl Status {
-    /// Checks whether an attempt with this result certainly did not run.
+    /// Returns whether an attempt with this result certainly did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
--- a/src/interface/snapshot.rs
+++ b/src/interface/snapshot.rs
@@ -16,13 +16,14 @@
     /// Endpoints that operators have put into maintenance.
     #[serde(rename = "left_out")]
     pub in_maintenance: Vec<EndpointId>,
-    /// Highest recent rate of units that the process sent to one endpoint.
+    /// Recent peak of the mean rate of units that the process sent to an endpoint of its subset, in units per
+    /// second.
     #[serde(rename = "carried")]
     pub peak_units_per_second: f64,
     /// Response times of all endpoints together.
     #[serde(rename = "times")]
     pub response_times: ResponseTimes,
-    /// Rate of calls that the counter sustained.
+    /// Rate of calls that the counter sustained, in calls a second.
     #[serde(rename = "call_rate")]
     pub counter_calls_per_second: f64,
 }
@@ -63,13 +64,14 @@
     /// Mean response time of the endpoint.
     #[serde(rename = "latency")]
     pub mean_latency: Seconds,
-    /// Time of the last response or timeout; 0 before the first one.
+    /// Time of the last successful response or timeout; 0 before the first one.
     #[serde(rename = "heard")]
     pub last_response_at: Time,
     /// End of the current or last ejection; 0 before the first one.
     #[serde(rename = "out_until")]
     pub ejected_until: Time,
-    /// Duration of the next ejection; 0 if the list has never named the endpoint.
+    /// Duration of the next ejection; 0 if the endpoint was neither listed nor restored. The successor
+    /// ignores such an entry.
     #[serde(rename = "out_for")]
     pub next_ejection_duration: Seconds,
 }
--- a/src/policy/admission/concurrency.rs
+++ b/src/policy/admission/concurrency.rs
@@ -43,7 +43,7 @@
 }
 
 impl ConcurrencyLimiter {
-    /// Counts a request that has arrived towards the request rate.
+    /// Adds an arriving request to the request rate.
     pub fn record_arrival(&mut self, now: Time) {
         self.arrivals.add(now, 1.0, ARRIVALS_TIME_CONSTANT);
     }
@@ -57,12 +57,12 @@
         even_slots(gateway_slots, replicas.index, replicas.count).max(1)
     }
 
-    /// Checks whether fewer attempts than `slots` are in flight.
+    /// Returns whether fewer attempts than `slots` are in flight.
     pub fn has_free_slot(&self, slots: u32) -> bool {
         self.attempts_in_flight < slots
     }
 
-    /// Checks whether any attempt is in flight.
+    /// Returns whether any attempt is in flight.
     pub fn has_attempts_in_flight(&self) -> bool {
         self.attempts_in_flight > 0
     }
@@ -77,7 +77,7 @@
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
     }
 
-    /// Decides whether to reject a request under a limit with far fewer slots than there are gateways.
+    /// Returns whether to reject a request under a limit with far fewer slots than there are gateways.
     ///
     /// The request rate at this gateway gives an estimate of the attempts that all gateways have in flight
     /// (Little's law). Requests are rejected at random, the more often the higher the estimate.
--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Rejects a request beyond the quota, unless the plan gives it more weight than it costs and the
-    /// endpoints have spare capacity. The ceiling applies in any case.
+    /// Rejects a request beyond the quota, unless its plan gives it more weight than it costs and does not
+    /// limit concurrent attempts, and the endpoints have spare capacity. The ceiling applies in any case.
     fn admit_over_quota(&mut self, candidate: &mut Candidate) -> Admission {
         let Candidate { request, plan, backends, .. } = *candidate;
         let context = &mut *candidate.context;
@@ -233,8 +233,8 @@
         Admission::AwaitSlot
     }
 
-    /// Rejects a request that the share of the ceiling does not cover. The client should wait about until the
-    /// next grant.
+    /// Rejects a request that the share of the ceiling does not cover. Asks the client to wait about until
+    /// the next grant.
     fn reject_above_ceiling(&mut self, candidate: &Candidate) -> Admission {
         let Candidate { request, plan, .. } = *candidate;
         let gateway_count = self.customers.expect_mut(&request.customer).gateway_count;
--- a/src/policy/admission/customer.rs
+++ b/src/policy/admission/customer.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Checks whether an attempt or a lease call of this customer is in flight.
+    /// Returns whether an attempt or a lease call of this customer is in flight.
     pub fn is_in_use(&self) -> bool {
         self.concurrency.has_attempts_in_flight() || self.quota.pending.is_some()
     }
@@ -61,18 +61,18 @@
         ConcurrencyLimiter::slots(plan, self.position, self.gateway_count, context.replicas)
     }
 
-    /// Checks whether a request of `units` fits into this gateway's even share of the burst when full.
+    /// Returns whether a request of `units` fits into this gateway's even share of the burst when full.
     pub fn even_share_can_hold(&self, units: f64, plan: &Plan) -> bool {
         plan.burst >= f64::from(self.gateway_count) * units
     }
 
-    /// Decides whether to reject a request because the limit on concurrent attempts has far fewer slots than
+    /// Returns whether to reject a request because the limit on concurrent attempts has far fewer slots than
     /// there are gateways.
     pub fn exceeds_scarce_limit(&self, plan: &Plan, mean_latency: Seconds, rng: &mut fastrand::Rng) -> bool {
         self.concurrency.exceeds_scarce_limit(plan, self.gateway_count, mean_latency, rng)
     }
 
-    /// Checks whether this process's even share of the quota covers `units`. A full share always covers one
+    /// Returns whether this process's even share of the quota covers `units`. A full share always covers one
     /// request.
     pub fn even_share_covers(&mut self, units: f64, plan: &Plan, context: &Context) -> bool {
         let holder_count = context.replicas.holder_count(self.gateway_count);
@@ -80,7 +80,7 @@
         self.even_share.refill(context.now, plan.rate / holder_count, burst) >= units
     }
 
-    /// Checks whether this process's share of the ceiling covers `units`. Grants since `unspent_since`, or
+    /// Returns whether this process's share of the ceiling covers `units`. Grants since `unspent_since`, or
     /// since the last refill if later, count as unspent.
     pub fn ceiling_covers(
         &mut self,
--- a/src/policy/admission/customer_table.rs
+++ b/src/policy/admission/customer_table.rs
@@ -13,14 +13,14 @@
 
 /// Time after which an idle customer is evicted. Its shares have been refilled by then.
 const IDLE_TIMEOUT: Seconds = 26.0;
-/// A full table evicts at least one customer in this many, so that it is not scanned again soon.
+/// A full table evicts at least one in this many customers, so that it is not scanned again soon.
 const EVICTION_DIVISOR: usize = 8;
 
-/// Customers by identifier, and the moments that decide which shares of theirs are unspent.
+/// Customers by identifier, and the times after which shares of theirs are certainly unspent.
 #[derive(Debug, Default)]
 pub struct CustomerTable {
     customers: BTreeMap<CustomerId, Customer>,
-    /// Customers whose last request arrived before this moment may have been evicted.
+    /// Customers whose last request arrived before this time may have been evicted.
     evicted_before: Time,
     /// Time when this process took over from a predecessor; 0 if it did not.
     restored_at: Time,
@@ -133,7 +133,7 @@
         customer.concurrency.record_arrival(now);
     }
 
-    /// Checks whether this process's share of the hard ceiling covers `units` of a request.
+    /// Returns whether this process's share of the hard ceiling covers `units` of a request.
     pub fn ceiling_covers(&mut self, request: &Request, units: f64, plan: &Plan, context: &Context) -> bool {
         let unspent_since = self.unspent_since();
         self.expect_mut(&request.customer).ceiling_covers(
--- a/src/policy/admission/leased_quota.rs
+++ b/src/policy/admission/leased_quota.rs
@@ -17,9 +17,9 @@
 const BLOCK_TIME: Seconds = 0.3;
 /// Time constant over which demand is averaged; a few times [`BLOCK_TIME`].
 const DEMAND_TIME_CONSTANT: Seconds = 1.0;
-/// Share of the burst by which the count may be wrong without a correction after a window's first call.
+/// Largest error of the count that is not corrected after a window's first call, as a share of the burst.
 const FIRST_CALL_TOLERANCE: f64 = 0.1;
-/// Share of the burst by which the count may be wrong without a correction after later calls.
+/// Largest error of the count that is not corrected after a later call, as a share of the burst.
 const LATER_CALL_TOLERANCE: f64 = 0.5;
 /// Units by which equal amounts may differ because of rounding.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
@@ -29,7 +29,7 @@
 pub struct PendingLease {
     /// Token of the timer that ends the requests' wait.
     pub timer: u64,
-    /// The timer was due before the reply, so requests no longer wait for this call.
+    /// True if the timer was due before the reply, so that requests no longer wait for this call.
     pub is_overdue: bool,
     /// Waiting requests, in order of arrival.
     pub waiting: Vec<RequestId>,
@@ -53,7 +53,7 @@
 pub struct Settlement {
     /// Units to add to the count that the lease call added to; `None` if it needs no correction.
     pub correction: Option<f64>,
-    /// The previous window's count must be read, as nothing is known of the units that remained in it.
+    /// True if the previous window's count must be read, as nothing is known of the units remaining in it.
     pub must_read_previous: bool,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Checks whether the lease covers `units`.
+    /// Returns whether the lease covers `units`.
     pub fn lease_covers(&self, units: f64) -> bool {
         self.lease >= units
     }
@@ -117,12 +117,12 @@
         self.unreported = (self.unreported + units).clamp(-plan.burst, plan.burst);
     }
 
-    /// Checks whether any reply of the counter has given the remaining units.
+    /// Returns whether any reply of the counter has given the remaining units.
     pub fn is_known(&self) -> bool {
         self.last_known_remaining.is_some()
     }
 
-    /// Checks whether the quota cannot cover a request according to a recent reply of the counter.
+    /// Returns whether the quota cannot cover a request according to a recent reply of the counter.
     pub fn is_exhausted(&self, now: Time, plan: &Plan, units: f64) -> bool {
         let remaining = self.remaining_at(now, plan, REMAINING_LIFETIME);
         remaining.is_some_and(|remaining| remaining + self.lease + ROUNDING_TOLERANCE < units)
--- a/src/policy/admission/leasing.rs
+++ b/src/policy/admission/leasing.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub struct LeaseManager {
     counter: CounterCaller,
-    /// Units that are reported by plan and not by customer, by index of the plan.
+    /// Units that are reported per plan instead of per customer, by index of the plan.
     unreported: Vec<UnreportedUnitsEstimator>,
 }
 
@@ -51,12 +51,12 @@
         self.counter.calls_per_second()
     }
 
-    /// Continues with the call rate of a predecessor.
+    /// Continues with the call rate of a predecessor, which called the same counter.
     pub fn restore_rate(&mut self, calls_per_second: f64) {
         self.counter.restore_rate(calls_per_second);
     }
 
-    /// Checks whether a lease call may be made now for a request of this weight.
+    /// Returns whether a lease call may be made now for a request of this weight.
     pub fn may_call(&mut self, weight: f64, context: &Context) -> bool {
         self.counter.may_call(weight, context)
     }
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -44,7 +44,7 @@
     },
 }
 
-/// Request to decide about, with what the decision depends on besides the customer's state.
+/// Request to decide about, with the other inputs of the decision besides the customer's state.
 pub struct Candidate<'a> {
     pub request: &'a Request,
     /// Present plan of the request's customer.
@@ -54,7 +54,7 @@
     pub context: &'a mut Context,
 }
 
-/// Checks whether a request's class and plan exist, its units are valid, and there is time to serve it.
+/// Returns whether a request's class and plan exist, its units are valid, and there is time to serve it.
 pub fn is_servable(request: &Request, context: &Context) -> bool {
     let settings = &context.settings;
     let waits = 2.0 * LeaseManager::max_wait(settings);
--- a/src/policy/backends.rs
+++ b/src/policy/backends.rs
@@ -24,7 +24,7 @@
         Self { router: Router::new(gateway_index), load_shedder: LoadShedder::default() }
     }
 
-    /// Checks whether another attempt may start within `share` of the limit on attempts in flight.
+    /// Returns whether another attempt may start within `share` of the limit on attempts in flight.
     pub fn has_capacity(&self, share: f64, context: &mut Context) -> bool {
         self.load_shedder.has_capacity(share, self.router.usable_count(), context)
     }
--- a/src/policy/counter/mod.rs
+++ b/src/policy/counter/mod.rs
@@ -44,7 +44,7 @@
         Self { in_flight: BTreeMap::new(), rate_limiter: CallRateLimiter::new(gateway_count) }
     }
 
-    /// Checks whether a call may be made now for a request of this weight.
+    /// Returns whether a call may be made now for a request of this weight.
     pub fn may_call(&mut self, weight: f64, context: &Context) -> bool {
         // Asks the limiter even if there is no counter, as it averages the weights.
         let is_allowed = self.rate_limiter.allows(context.now, weight);
@@ -78,7 +78,7 @@
         self.rate_limiter.calls_per_second()
     }
 
-    /// Continues with the call rate of a predecessor.
+    /// Continues with the call rate of a predecessor, which called the same counter.
     pub fn restore_rate(&mut self, calls_per_second: f64) {
         self.rate_limiter.restore_rate(calls_per_second);
     }
--- a/src/policy/counter/rate_limiter.rs
+++ b/src/policy/counter/rate_limiter.rs
@@ -20,7 +20,7 @@
 const MAX_BURST_CALLS: f64 = 3.0;
 /// Maximum burst of calls of all gateways together.
 const FLEET_MAX_BURST_CALLS: f64 = 300.0;
-/// Time whose calls at the current rate may be made as a burst, if these are more.
+/// Time for which the calls at the current rate may be made in one burst, even beyond [`MAX_BURST_CALLS`].
 const BURST_TIME: Seconds = 0.1;
 /// Share of the timeout from which a reply shows that the counter is overloaded.
 const SLOW_REPLY_SHARE: f64 = 0.6;
@@ -74,7 +74,7 @@
         self.rate = rate.clamp(min_rate, self.rate);
     }
 
-    /// Checks whether a call for a request of this weight may be made. A request of less weight needs a
+    /// Returns whether a call for a request of this weight may be made. A request of less weight needs a
     /// fuller bucket, so that scarce calls go to the requests of greatest weight.
     pub fn allows(&mut self, now: Time, weight: f64) -> bool {
         self.mean_weight += SAMPLE_WEIGHT * (weight - self.mean_weight);
@@ -93,7 +93,8 @@
     /// Adjusts the rate after a reply, or after a call that got none, `elapsed` after the call.
     ///
     /// One gateway among many has on average less than one call in flight, so the limit applies to the rate
-    /// and not to the calls in flight. An invalid reply says nothing about the counter's speed.
+    /// and not to the calls in flight. An invalid reply or a lost connection says nothing about the speed of
+    /// the counter.
     pub fn record_reply(&mut self, now: Time, status: Status, elapsed: Seconds, timeout: Seconds) {
         if matches!(status, Status::Error | Status::Reset) {
             return;
--- a/src/policy/counter/window.rs
+++ b/src/policy/counter/window.rs
@@ -22,7 +22,7 @@
     (stable_hash(&[customer.as_bytes()]) % OFFSET_STEPS) as f64 / OFFSET_STEPS as f64
 }
 
-/// Window at one moment.
+/// The window that contains a given time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaWindow {
     /// Number of the window, the same at every gateway.
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -126,7 +126,7 @@
         self.context.set_timer(scan_at, TimerPurpose::EvictIdleCustomers);
     }
 
-    /// Checks whether an endpoint is in the endpoint list or in maintenance.
+    /// Returns whether an endpoint is listed, in maintenance, or still has attempts in flight.
     pub fn is_known_endpoint(&self, endpoint: &EndpointId) -> bool {
         self.backends.router.endpoints().is_known(endpoint)
     }
--- a/src/policy/load_shedder.rs
+++ b/src/policy/load_shedder.rs
@@ -42,7 +42,7 @@
 }
 
 impl LoadShedder {
-    /// Checks whether another attempt may start within `share` of the limit.
+    /// Returns whether another attempt may start within `share` of the limit.
     ///
     /// The allowance for bursts shrinks as responses slow down; where few attempts are in flight, it shrinks
     /// later. The fractional part of the limit admits one more attempt with that probability, so that many
@@ -87,7 +87,7 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// Checks whether so many attempts time out that the whole fleet is overloaded, not a single endpoint.
+    /// Returns whether so many attempts time out that the whole fleet is overloaded, not a single endpoint.
     pub fn is_fleet_timing_out(&self) -> bool {
         self.timeout_share > FLEET_TIMEOUT_SHARE
     }
@@ -103,7 +103,8 @@
     /// Slow start limits its traffic separately.
     pub fn record_response(&mut self, now: Time, elapsed: Seconds, timed_out: bool, is_warm: bool) {
         self.latency.record_mean(elapsed, SAMPLE_WEIGHT);
-        // Averages over the same multiple of the response time, however many attempts are in flight.
+        // A sample has less weight if many attempts are in flight, so that the averages always cover the same
+        // multiple of the response time.
         let weight = 2.0 * SAMPLE_WEIGHT / (1.0 + self.mean_in_flight);
         self.timeout_share += SAMPLE_WEIGHT * (f64::from(u8::from(timed_out)) - self.timeout_share);
         // Lost responses are no sign of overload: under overload most responses time out, and the rest are
--- a/src/policy/requests/lifecycle.rs
+++ b/src/policy/requests/lifecycle.rs
@@ -44,7 +44,7 @@
         self.admission.counter_calls_per_second()
     }
 
-    /// Admits or rejects a request that has arrived. Ignores a request that is already open.
+    /// Admits or rejects a request that has arrived, or lets it wait. Ignores a request that is already open.
     pub fn request_arrived(&mut self, request: Request, backends: &mut Backends, context: &mut Context) {
         if self.requests.contains_key(&request.id) {
             return;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sends the first attempt of an admitted request, or rejects the request if no endpoint is available.
+    /// Sends the first attempt of an admitted request, or rejects the request if there is no endpoint for it.
     fn start_first_attempt(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
         self.retry_budget.record_request();
         if !self.start_attempt(id, backends, context) {
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Starts an attempt if there is time and an endpoint for it. Returns whether an attempt was started.
+    /// Starts an attempt if the request may have one more and there is time and an endpoint for it. Returns
+    /// whether an attempt was started.
     fn start_attempt(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) -> bool {
         let Some(state) = self.requests.get_mut(id) else { return false };
         let Some(timeout) = state.next_timeout(context.now, &context.settings) else { return false };
@@ -191,7 +192,7 @@
         self.respond(&end.request_id, backends.mean_latency(), context);
     }
 
-    /// Sends a hedged request if an attempt is in flight and its response has not started.
+    /// Sends a hedged request if exactly one attempt is in flight and its response has not started.
     pub fn hedge(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
         let may_hedge = self.requests.get(id).is_some_and(RequestState::can_be_hedged)
             && self.retry_budget.allows_retry()
--- a/src/policy/requests/request_state.rs
+++ b/src/policy/requests/request_state.rs
@@ -37,9 +37,9 @@
 pub enum AttemptTargets<'a> {
     /// Any endpoint.
     Any,
-    /// Endpoints that remember the request's idempotency key together with a given one.
+    /// Endpoints that remember the same idempotency keys as a given endpoint.
     InScopeOf {
-        /// Endpoint of the first attempt that may run.
+        /// Endpoint of the first attempt that may have run or may still run.
         endpoint: &'a EndpointId,
         /// Group of endpoints that remember the key.
         scope: IdempotencyScope,
@@ -74,7 +74,7 @@
         Self { request, arrived_at, attempts: Vec::new(), is_finished: false, is_streaming: false }
     }
 
-    /// Checks whether the final response was sent or is no longer needed.
+    /// Returns whether the final response was sent or is no longer needed.
     pub fn is_finished(&self) -> bool {
         self.is_finished
     }
@@ -86,12 +86,12 @@
         self.in_flight() > 0
     }
 
-    /// Checks whether the response depends on attempts that are still in flight.
+    /// Returns whether the response has started or an attempt in flight may still bring one.
     pub fn awaits_attempts(&self) -> bool {
         self.is_streaming || self.in_flight() > 0
     }
 
-    /// Checks whether one attempt is in flight and its response has not started.
+    /// Returns whether exactly one attempt is in flight and its response has not started.
     pub fn can_be_hedged(&self) -> bool {
         !self.is_finished && !self.is_streaming && self.in_flight() == 1
     }
@@ -106,7 +106,7 @@
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
-    /// Checks whether an attempt was sent to this endpoint.
+    /// Returns whether an attempt was sent to this endpoint.
     pub fn has_tried(&self, endpoint: &EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == *endpoint)
     }
@@ -130,7 +130,8 @@
     }
 
     /// Returns the time until which endpoints discard a retry by its idempotency key, counted from the first
-    /// attempt that may run. Returns `None` if there is no such attempt or the class uses no such key.
+    /// attempt that may have run or may still run. Returns `None` if there is no such attempt or the class
+    /// uses no such key.
     pub fn dedup_until(&self, class: &Class) -> Option<Time> {
         let first = self.first_attempt_that_may_run()?;
         match class.effect {
@@ -174,12 +175,12 @@
         Some(attempt.endpoint.clone())
     }
 
-    /// Checks whether the response to this attempt has started.
+    /// Returns whether the response to this attempt has started.
     pub fn has_response_started(&self, attempt: u32) -> bool {
         self.attempts.get(attempt as usize).is_some_and(|attempt| attempt.has_response_started)
     }
 
-    /// Checks whether there is an attempt with this index.
+    /// Returns whether there is an attempt with this index.
     pub fn has_attempt(&self, attempt: u32) -> bool {
         (attempt as usize) < self.attempts.len()
     }
--- a/src/policy/requests/retry_budget.rs
+++ b/src/policy/requests/retry_budget.rs
@@ -44,7 +44,7 @@
         self.saved_retries = (self.saved_retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Checks whether a further attempt may be made.
+    /// Returns whether a further attempt may be made.
     pub fn allows_retry(&self) -> bool {
         self.saved_retries >= RETRY_COST
     }
--- a/src/policy/routing/endpoint_state.rs
+++ b/src/policy/routing/endpoint_state.rs
@@ -16,7 +16,8 @@
 /// Longest response time accepted from a predecessor's snapshot.
 pub const MAX_LATENCY: Seconds = 60.0;
 
-/// An endpoint that the list names, or that has left the list with attempts still in flight.
+/// An endpoint that the list names, that a snapshot has restored, or that has left the list with attempts
+/// still in flight.
 #[derive(Debug, Default)]
 pub struct EndpointState {
     /// Zone that the endpoint runs in.
@@ -38,17 +39,17 @@
     pub slow_start_allowance: TokenBucket,
     /// Mean response time.
     pub mean_latency: Seconds,
-    /// Health since the last restart; `None` if no attempt has been sent since then.
+    /// Health since the last restart; `None` stands for [`UNTRIED_HEALTH`].
     pub health: Option<Box<Health>>,
 }
 
 impl EndpointState {
-    /// Returns the health that attempts have shown so far.
+    /// Returns the health since the last restart.
     pub fn health(&self) -> &Health {
         self.health.as_deref().unwrap_or(&UNTRIED_HEALTH)
     }
 
-    /// Returns the health for changes.
+    /// Returns the health for modification. Creates it if there is none.
     pub fn health_mut(&mut self) -> &mut Health {
         self.health.get_or_insert_default()
     }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Restores the state from a predecessor's snapshot, within sane bounds, unless the endpoint has
+    /// Restores the state from a predecessor's snapshot, with the values clamped, unless the endpoint has
     /// restarted since. Returns whether the snapshot contains results of attempts.
     pub fn restore(&mut self, snapshot: &EndpointSnapshot, now: Time, allowance: TokenBucket) -> bool {
         if self.warming_up_since > snapshot.warming_up_since {
@@ -122,7 +123,7 @@
         if self.warming_up_since <= 0.0 { 0.0 } else { self.warming_up_since + slow_start_window }
     }
 
-    /// Checks whether the endpoint remembers the same idempotency keys as an endpoint of this zone and cell.
+    /// Returns whether the endpoint remembers the same idempotency keys as an endpoint of this zone and cell.
     pub fn is_in_scope(&self, scope: IdempotencyScope, zone: u32, cell: u32) -> bool {
         match scope {
             IdempotencyScope::All => true,
--- a/src/policy/routing/endpoint_table.rs
+++ b/src/policy/routing/endpoint_table.rs
@@ -74,7 +74,7 @@
         self.update_usable(handle);
     }
 
-    /// Returns the handle of an endpoint.
+    /// Returns the handle of an endpoint; `None` if the table has no entry for it.
     pub fn find(&self, id: &EndpointId) -> Option<EntryHandle> {
         self.endpoints.find(id)
     }
@@ -105,13 +105,13 @@
         self.endpoints.iter()
     }
 
-    /// Returns the usable endpoints in the order of their identifiers.
+    /// Returns the handles of the usable endpoints in the order of their identifiers.
     pub fn usable(&self) -> &[EntryHandle] {
         self.endpoints.selected()
     }
 
-    /// Returns the usable endpoint that is `offset` positions after the position at the fraction `start` of
-    /// all usable endpoints, from 0 to 1. The first endpoint follows the last.
+    /// Returns the handle of the usable endpoint that is `offset` positions after the position at the
+    /// fraction `start` of all usable endpoints, from 0 to 1. The first endpoint follows the last.
     pub fn usable_from(&self, start: f64, offset: usize) -> EntryHandle {
         let usable = self.usable();
         let index = (start * usable.len() as f64) as usize + offset;
--- a/src/policy/routing/health.rs
+++ b/src/policy/routing/health.rs
@@ -25,7 +25,7 @@
 pub struct Health {
     /// Attempts in flight.
     pub in_flight: f64,
-    /// Time of the last response or timeout; 0 before the first one.
+    /// Time of the last successful response or timeout; 0 before the first one.
     pub last_response_at: Time,
     /// Failures since the last success; a refused connection counts more than once.
     pub consecutive_failures: u32,
@@ -54,7 +54,7 @@
 };
 
 impl Health {
-    /// Checks whether the endpoint should be ejected now.
+    /// Returns whether the endpoint should be ejected now.
     pub fn is_outlier(&self, now: Time) -> bool {
         self.consecutive_failures >= FAILURES_TO_EJECT && now >= self.ejected_until
     }
--- a/src/policy/routing/list_poller.rs
+++ b/src/policy/routing/list_poller.rs
@@ -11,7 +11,7 @@
 
 /// Time that each gateway of the fleet adds to the span over which all gateways spread their polls.
 const SPREAD_PER_GATEWAY: Seconds = 0.05;
-/// Longest span of the first poll.
+/// Longest span of the first poll after a gateway starts.
 const MAX_START_SPREAD: Seconds = 3.0;
 /// Longest span of the first poll after a failed one. Short, as a gateway counts as notified of a change 6 s
 /// after discovery has learned of it.
--- a/src/policy/routing/load_balancer.rs
+++ b/src/policy/routing/load_balancer.rs
@@ -9,7 +9,7 @@
 };
 
 /// Weight of an endpoint's response time relative to the mean of all endpoints. An endpoint counts as slow if
-/// the weighted ratio is above 1.
+/// the weighted ratio is above 1, so from two thirds of the mean on.
 const LATENCY_WEIGHT: f64 = 1.5;
 /// Factor on the score of an endpoint that answers a class with errors only, as each error may be a lost
 /// request.
--- a/src/policy/routing/router.rs
+++ b/src/policy/routing/router.rs
@@ -61,7 +61,7 @@
         self.endpoints.counts(now)
     }
 
-    /// Returns the highest recent rate of units to one endpoint.
+    /// Returns the recent peak of the mean rate of units to an endpoint of the subset, in units per second.
     pub fn peak_units_per_second(&self) -> f64 {
         self.slow_start.peak_rate()
     }
--- a/src/policy/routing/slow_start.rs
+++ b/src/policy/routing/slow_start.rs
@@ -18,12 +18,12 @@
 pub struct SlowStart {
     /// Units sent recently to all endpoints.
     sent_units: DecayingSum,
-    /// Highest recent rate of units to one endpoint, in units per second.
+    /// Recent peak of the mean rate of units to an endpoint of the subset, in units per second.
     peak_rate: DecayingSum,
 }
 
 impl SlowStart {
-    /// Returns the highest recent rate of units to one endpoint, in units per second.
+    /// Returns the recent peak of the mean rate of units to an endpoint of the subset, in units per second.
     pub fn peak_rate(&self) -> f64 {
         self.peak_rate.level
     }
--- a/src/policy/routing/subset.rs
+++ b/src/policy/routing/subset.rs
@@ -51,7 +51,7 @@
 }
 
 impl SelectionCriteria<'_> {
-    /// Checks whether an endpoint passes the filter, is not ejected, and has not been tried for this request.
+    /// Returns whether an endpoint passes the filter, is not ejected, and was not tried for this request.
     fn accepts(&self, handle: EntryHandle, endpoints: &EndpointTable, now: Time) -> bool {
         let endpoint = &endpoints[handle];
         let ScopeFilter { scope, zone, cell } = self.filter;
@@ -89,12 +89,13 @@
         MIN_SUBSET.max(wanted).min(usable_count)
     }
 
-    /// Returns the usable endpoint at an index from 0. The endpoints of the subset come first.
+    /// Returns the handle of the usable endpoint at an index from 0. The endpoints of the subset come first.
     pub fn handle_at(&self, index: usize, endpoints: &EndpointTable) -> EntryHandle {
         endpoints.usable_from(self.start, index)
     }
 
-    /// Returns the endpoint that should respond first; `None` if no endpoint may be sent the request.
+    /// Returns the handle of the endpoint that should respond first; `None` if no endpoint may be sent the
+    /// request.
     pub fn select(
         &mut self,
         criteria: &SelectionCriteria,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Returns the first warm endpoint outside the subset that a request may go to.
+    /// Returns the handle of the first warm endpoint outside the subset that a request may go to.
     fn select_outside(
         &mut self,
         criteria: &SelectionCriteria,
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -8,7 +8,7 @@
 pub enum TimerPurpose {
     /// Stop the wait of this customer's requests for the counter's reply.
     EndLeaseWait(CustomerId),
-    /// Send a hedged request if the first attempt of this request is still in flight.
+    /// Send a hedged request if exactly one attempt of this request is in flight and no response has started.
     Hedge(RequestId),
     /// Reject this request if it still waits for a concurrency slot.
     EndSlotWait(RequestId),
--- a/src/primitives/latency_estimate.rs
+++ b/src/primitives/latency_estimate.rs
@@ -5,7 +5,8 @@
     primitives::decaying_sum::DecayingSum,
 };
 
-/// Shortest sample of the median; shorter ones count as this long, as the logarithm needs a positive value.
+/// Shortest response time that the median takes into account. Shorter ones count as this long, as the
+/// logarithmic scale needs positive values.
 const MIN_SAMPLE: Seconds = 1e-3;
 
 /// Running estimates of response times; 0 before the first response.
--- a/src/primitives/ordered_table.rs
+++ b/src/primitives/ordered_table.rs
@@ -46,7 +46,7 @@
         self.selected.reserve_exact(count.saturating_sub(self.selected.len()));
     }
 
-    /// Returns the handle of the entry with this key.
+    /// Returns the handle of the entry with this key; `None` if there is no such entry.
     pub fn find<Q: Ord + ?Sized>(&self, key: &Q) -> Option<EntryHandle>
     where
         K: Borrow<Q>,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns the selected entries in the order of their keys.
+    /// Returns the handles of the selected entries in the order of their keys.
     pub fn selected(&self) -> &[EntryHandle] {
         &self.selected
     }
@@ -122,7 +122,8 @@
         self.entries[handle.0 as usize].as_ref().expect("a handle is valid until its entry is removed")
     }
 
-    /// Returns the position of a key in a list in the order of the keys, or the position to insert it at.
+    /// Returns the position of a key in a list of handles sorted by key, or as an error the position to
+    /// insert it at.
     fn rank<Q: Ord + ?Sized>(&self, list: &[EntryHandle], key: &Q) -> Result<usize, usize>
     where
         K: Borrow<Q>,
--- a/src/settings/document.rs
+++ b/src/settings/document.rs
@@ -168,7 +168,7 @@
     /// Idle time after which endpoints close a connection.
     #[serde(rename = "ConnIdle")]
     pub idle_timeout: Option<f64>,
-    /// Time after which an attempt to open a connection has failed.
+    /// Timeout for opening a connection.
     pub connect_timeout: Option<f64>,
     /// Longest `Retry-After` that clients obey.
     pub max_retry_after: Option<f64>,
@@ -202,11 +202,11 @@
     /// Time of overload after which an endpoint that is warming up fails.
     #[serde(rename = "Fall")]
     pub overload_window: Option<f64>,
-    /// Load that counts as overload of such an endpoint, as a multiple of its present capacity.
+    /// Load that overloads an endpoint that is warming up, as a multiple of its present capacity.
     #[serde(rename = "FallMultiple")]
     pub overload_multiple: Option<f64>,
-    /// Longest time between two polls. A gateway that has not polled for this long counts as notified of a
-    /// change.
+    /// Longest time between two polls. A gateway that has not polled for this long counts as notified of
+    /// all changes.
     #[serde(rename = "MustAskIn")]
     pub max_poll_interval: Option<f64>,
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -123,8 +123,8 @@
     pub max_retry_after: Seconds,
     /// True if the gateway polls the endpoint list; otherwise discovery pushes it.
     pub discovery_is_polled: bool,
-    /// Longest time between two polls. A gateway that has not polled for this long counts as notified of a
-    /// change.
+    /// Longest time between two polls. A gateway that has not polled for this long counts as notified of
+    /// all changes.
     pub max_poll_interval: Seconds,
     /// Least share of its capacity that a newly started endpoint has, from 0 to 1.
     pub slow_start_initial_share: f64,
@@ -132,7 +132,7 @@
     pub slow_start_window: Seconds,
     /// Load that overloads an endpoint that is warming up, as a multiple of its present capacity.
     pub overload_multiple: f64,
-    /// Time of such an overload after which the endpoint fails.
+    /// Time of overload after which an endpoint that is warming up fails.
     pub overload_window: Seconds,
     /// Shortest time between two batches of events.
     pub event_interval: Seconds,
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -14,7 +14,7 @@
 const DEFAULT_DEADLINE: Seconds = 30.0;
 /// Idle time after which endpoints close a connection, unless the limits name another.
 const DEFAULT_IDLE_TIMEOUT: Seconds = 30.0;
-/// Longest time to open a connection, unless the limits name another.
+/// Timeout for opening a connection, unless the limits name another.
 const DEFAULT_CONNECT_TIMEOUT: Seconds = 0.25;
 
 /// Content of a settings object, created with [`Options::read`] or from a [`SettingsDocument`].
@@ -33,7 +33,7 @@
     pub endpoint_idle_timeout: Seconds,
     /// Longest deadline of all classes; 0 if there are no classes.
     pub longest_deadline: Seconds,
-    /// Time after which an attempt to open a connection has failed.
+    /// Timeout for opening a connection.
     pub connect_timeout: Seconds,
 }
 
--- a/tests/unit/subset.rs
+++ b/tests/unit/subset.rs
@@ -68,7 +68,8 @@
     Subset::size(usable_count(gateway), gateway_count)
 }
 
-/// Returns the usable endpoint at an index. The endpoints of the gateway's subset come first.
+/// Returns the identifier of the usable endpoint at an index. The endpoints of the gateway's subset come
+/// first.
 fn id_at(gateway: &Gateway, index: usize) -> EndpointId {
     let router = &gateway.backends.router;
     router.endpoints.id(router.subset.handle_at(index, &router.endpoints)).clone()
@@ -233,7 +234,7 @@
     is_served
 }
 
-/// Returns one of so many gateways that each has the smallest subset.
+/// Returns a gateway of a fleet that is so large that each gateway has the smallest subset.
 fn gateway_with_smallest_subset(endpoint_count: u32) -> Gateway {
     gateway(0, GATEWAYS_PER_ENDPOINT as u32 * endpoint_count, 1)
 }
