--- a/src/policy/admission/customer.rs
+++ b/src/policy/admission/customer.rs
@@ -26,9 +26,9 @@
     pub position: u32,
     /// Arrival time of the customer's last request.
     pub last_seen: Time,
-    /// Quota as far as it is leased to this gateway.
+    /// Quota at this gateway, with the units held on lease.
     pub quota: LeasedQuota,
-    /// This process's even share of the quota, spent while the counter cannot be used.
+    /// This process's even share of the quota, spent while the quota is unknown or the counter cannot be used.
     pub even_share: TokenBucket,
     /// This process's share of the hard ceiling.
     pub ceiling: CeilingShare,
--- a/src/policy/admission/leased_quota.rs
+++ b/src/policy/admission/leased_quota.rs
@@ -67,7 +67,7 @@
     unreported: f64,
     /// Remaining units at the counter's last reply. Negative if more were spent than the quota allows.
     last_known_remaining: Option<TokenBucket>,
-    /// Units of recent requests.
+    /// Units of recent requests, whether admitted or not.
     demand: DecayingSum,
     /// Lease call in flight.
     pub pending: Option<PendingLease>,
@@ -112,7 +112,7 @@
         self.unreported += difference;
     }
 
-    /// Adds units for the next lease call to report, limited to one burst in either direction.
+    /// Adds units for the next lease call to report. Limits their sum to one burst in either direction.
     pub fn report_later(&mut self, units: f64, plan: &Plan) {
         self.unreported = (self.unreported + units).clamp(-plan.burst, plan.burst);
     }
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -71,9 +71,9 @@
                 actual_units,
                 load: _,
             } => {
-                let end =
+                let attempt_end =
                     AttemptEnd { request_id, attempt, endpoint, status, elapsed, is_finished, actual_units };
-                requests.attempt_ended(&end, backends, context);
+                requests.attempt_ended(&attempt_end, backends, context);
             }
             Event::MaintenanceChanged { endpoint, in_maintenance } => {
                 let mean_latency = backends.mean_latency();
--- a/src/policy/load_shedder.rs
+++ b/src/policy/load_shedder.rs
@@ -20,7 +20,8 @@
 const MAX_GROWTH: f64 = 3.0;
 /// Standard deviations by which attempts in flight may exceed the mean while responses are quick.
 const BURST_DEVIATIONS: f64 = 2.0;
-/// Time constant over which the response time of an idle fleet decays; longer than a load peak.
+/// Time constant with which the response time of an idle fleet rises to the present one; longer than a load
+/// peak.
 const IDLE_LATENCY_TIME_CONSTANT: Seconds = 60.0;
 /// Share of attempts that time out above which timeouts count as slow responses, not as lost ones.
 const SLOW_TIMEOUT_SHARE: f64 = 0.5;
