--- a/src/policy/admission/customer.rs
+++ b/src/policy/admission/customer.rs
@@ -28,7 +28,7 @@
     pub last_seen: Time,
     /// Quota at this gateway, with the units held on lease.
     pub quota: LeasedQuota,
-    /// This process's even share of the quota, spent while the quota is unknown or the counter cannot be used.
+    /// This process's even share of the quota, spent while the quota is unknown or the counter can't be used.
     pub even_share: TokenBucket,
     /// This process's share of the hard ceiling.
     pub ceiling: CeilingShare,
--- a/src/policy/counter/rate_limiter.rs
+++ b/src/policy/counter/rate_limiter.rs
@@ -90,7 +90,7 @@
         self.tokens.level -= 1.0;
     }
 
-    /// Adjusts the rate after a reply, or after a call that got none, `elapsed` after the call.
+    /// Adjusts the rate when a call has ended after `elapsed`, with or without a reply.
     ///
     /// One gateway among many has on average less than one call in flight, so the limit applies to the rate
     /// and not to the calls in flight. An invalid reply or a lost connection says nothing about the speed of
--- a/src/policy/requests/lifecycle.rs
+++ b/src/policy/requests/lifecycle.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sends the first attempt of an admitted request, or rejects the request if there is no endpoint for it.
+    /// Sends the first attempt of an admitted request, or rejects the request if none can be started.
     fn start_first_attempt(&mut self, id: &RequestId, backends: &mut Backends, context: &mut Context) {
         self.retry_budget.record_request();
         if !self.start_attempt(id, backends, context) {
