--- a/src/node/connection/clients/response_writer.rs
+++ b/src/node/connection/clients/response_writer.rs
@@ -158,10 +158,10 @@
 
     /// Writes all unsent bytes and restarts the stage's time with each write that makes progress.
     async fn flush(&mut self) -> io::Result<()> {
-        let mut rest = &self.unsent[..];
-        while !rest.is_empty() {
-            let count = self.socket.tcp.write(rest).await?;
-            rest = &rest[count..];
+        let mut unwritten = &self.unsent[..];
+        while !unwritten.is_empty() {
+            let count = self.socket.tcp.write(unwritten).await?;
+            unwritten = &unwritten[count..];
             self.socket.state.enter(Stage::StreamingResponse);
         }
         self.unsent.clear();
--- a/src/node/connection/endpoint_pool.rs
+++ b/src/node/connection/endpoint_pool.rs
@@ -123,8 +123,8 @@
                 idle.remove(&id);
                 continue;
             };
-            let is_same_incarnation =
-                known_endpoint.is_some_and(|known| known.incarnation == endpoint.incarnation);
+            let is_same_incarnation = known_endpoint
+                .is_some_and(|known_endpoint| known_endpoint.incarnation == endpoint.incarnation);
             if !is_same_incarnation || !endpoint.is_running {
                 idle.remove(&id);
             }
@@ -141,16 +141,18 @@
         entry: &ListedEndpoint,
         known_endpoint: Option<&KnownEndpoint>,
     ) -> Option<KnownEndpoint> {
-        let address = entry.address.or(known_endpoint.map(|known| known.address))?;
+        let address = entry.address.or(known_endpoint.map(|known_endpoint| known_endpoint.address))?;
         if entry.endpoint.lifecycle == Lifecycle::Gone {
             return None;
         }
         let started = entry.endpoint.started;
-        let unchanged = known_endpoint.filter(|known| known.address == address && known.started == started);
+        let unchanged = known_endpoint
+            .filter(|known_endpoint| known_endpoint.address == address && known_endpoint.started == started);
         Some(KnownEndpoint {
             address,
             started,
-            incarnation: unchanged.map_or_else(|| self.new_incarnation(), |known| known.incarnation),
+            incarnation: unchanged
+                .map_or_else(|| self.new_incarnation(), |known_endpoint| known_endpoint.incarnation),
             is_running: entry.endpoint.lifecycle == Lifecycle::Running,
         })
     }
--- a/src/node/hot_restart/shared_folder.rs
+++ b/src/node/hot_restart/shared_folder.rs
@@ -45,7 +45,8 @@
     /// Returns the paths of the sockets of the gateway's processes.
     pub fn socket_paths(&self) -> Vec<PathBuf> {
         self.paths_of_any_program(|suffix| {
-            let process_id = suffix.strip_prefix('.').and_then(|rest| rest.strip_suffix(SOCKET_SUFFIX));
+            let process_id =
+                suffix.strip_prefix('.').and_then(|id_and_suffix| id_and_suffix.strip_suffix(SOCKET_SUFFIX));
             process_id.is_some_and(|id| !id.is_empty() && id.bytes().all(|b| b.is_ascii_digit()))
         })
     }
--- a/tests/unit/counter_call.rs
+++ b/tests/unit/counter_call.rs
@@ -22,8 +22,8 @@
     assert_eq!(call.stage, CallStage::Unwritten);
     call.record_written(3);
     assert_eq!(call.stage, CallStage::PartlyWritten { bytes: 3 });
-    let rest = call.unwritten_part().len();
-    call.record_written(rest);
+    let unwritten_bytes = call.unwritten_part().len();
+    call.record_written(unwritten_bytes);
     assert_eq!(call.stage, CallStage::AwaitingReply);
     assert!(call.is_awaited());
 }
@@ -34,8 +34,8 @@
     call.mark_timed_out();
     assert_eq!(call.stage, CallStage::TimedOut { bytes: 3 });
     assert!(!call.is_awaited() && call.result(Status::Ok, 1.0).is_none());
-    let rest = call.unwritten_part().len();
-    call.record_written(rest);
+    let unwritten_bytes = call.unwritten_part().len();
+    call.record_written(unwritten_bytes);
     assert!(call.unwritten_part().is_empty());
     assert!(matches!(call.stage, CallStage::TimedOut { .. }));
 }
