--- a/src/node/connection/operators.rs
+++ b/src/node/connection/operators.rs
@@ -37,7 +37,8 @@
 
 type OperatorResponse = Response<Full<Bytes>>;
 
-/// Failure to put an endpoint into maintenance or to take it out.
+/// Failure to put an endpoint into maintenance or to take it out. The texts are sent as response bodies, which
+/// operators' tools may match, so they must not change.
 #[derive(Debug, Error)]
 pub enum MaintenanceError {
     #[error("no worker has this id")]
