--- a/lab/src/fleet/configuration.rs
+++ b/lab/src/fleet/configuration.rs
@@ -139,7 +139,8 @@
     /// policy, not modelled.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Time of such an overload after which an endpoint fails; passed to the policy, not modelled.
+    /// Duration of a load above `overload_multiple` after which an endpoint in slow start fails; passed to the
+    /// policy, not modelled.
     #[serde(rename = "fall_seconds")]
     pub overload_window: Seconds,
 }
@@ -237,7 +238,7 @@
     /// Endpoints of the same zone recognise the idempotency key and discard duplicates.
     #[serde(rename = "keyed")]
     IdempotencyKey,
-    /// Harmful effects: the request may be executed at most once.
+    /// A harmful effect, so that the request may be executed at most once.
     #[serde(rename = "unsafe")]
     AtMostOnce,
 }
@@ -293,10 +294,10 @@
     /// Share of its weight that a request over quota costs.
     #[serde(rename = "overrun_cost", default)]
     pub over_quota_cost_share: f64,
-    /// Rate of the ceiling, in units a second; 0 for no ceiling.
+    /// Rate of the hard ceiling, in units a second; 0 for no ceiling.
     #[serde(default)]
     pub ceiling_rate: f64,
-    /// Burst of the ceiling, in units.
+    /// Burst of the hard ceiling, in units.
     #[serde(default)]
     pub ceiling_burst: f64,
 }
--- a/lab/src/fleet/counter.rs
+++ b/lab/src/fleet/counter.rs
@@ -11,7 +11,7 @@
 pub enum CallAdmission {
     /// The call will be served, even if the caller's timeout passes first.
     Admitted {
-        /// Time at which its service completes.
+        /// Time at which the service of the call completes.
         completes_at: Time,
     },
     /// The queue of the call's shard is full.
--- a/lab/src/fleet/gateways.rs
+++ b/lab/src/fleet/gateways.rs
@@ -18,7 +18,7 @@
     down_since: Option<Time>,
     open_requests: usize,
     max_open_requests: usize,
-    /// Tenants that have sent it requests, over all incarnations.
+    /// Tenants that have sent requests to the gateway, over all incarnations.
     tenants: HashSet<usize>,
     policy: Gateway,
 }
@@ -99,7 +99,7 @@
         self.max_open_requests
     }
 
-    /// Returns the number of tenants that have sent it requests, over all incarnations.
+    /// Returns the number of tenants that have sent requests to the gateway, over all incarnations.
     pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -16,7 +16,7 @@
 const LATENCY_DIGITS: u8 = 3;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Traffic in both directions.
+/// Number and size of the messages in both directions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
     /// Number of messages.
@@ -66,7 +66,7 @@
     Failed,
     /// Abandoned by the client, which had no response by the deadline.
     Abandoned,
-    /// Sent to a gateway that was down, or open at one that stopped.
+    /// Lost, because the gateway or all gateways of the tenant were down, or the gateway stopped before it responded.
     Lost,
 }
 
@@ -87,7 +87,7 @@
     pub failed: u64,
     /// Demands that their client abandoned at the deadline.
     pub abandoned: u64,
-    /// Demands sent to a gateway that was down, or open at one that stopped.
+    /// Demands lost because gateways were down, or because a gateway stopped before it responded.
     pub lost: u64,
 }
 
@@ -186,7 +186,7 @@
     pub timeout: u64,
     /// Attempts whose connection failed.
     pub connect_failed: u64,
-    /// Attempts whose connection was reset.
+    /// Attempts whose connection was reset or whose response was an error.
     pub reset: u64,
     /// Attempts cancelled or never sent.
     pub cancelled: u64,
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -34,7 +34,7 @@
 use std::time::Instant;
 use validation::InvalidValue;
 
-/// Help text of the command that describes the experiment file.
+/// Help text of the `fleet` command, which describes the experiment file.
 const FILE_HELP: &str = "\
 The file is TOML; times are in seconds, delays are one way, unknown keys are errors.
   seconds             for how long requests arrive
@@ -91,7 +91,7 @@
         /// Cause of the failure.
         source: io::Error,
     },
-    /// A file is not valid TOML, or has unknown or missing keys. The message is one line and names the line number,
+    /// A file is not valid TOML, or has unknown or missing keys. The message is one line and gives the line number,
     /// if known.
     #[error("{0}")]
     Syntax(String),
--- a/lab/src/fleet/processor.rs
+++ b/lab/src/fleet/processor.rs
@@ -12,7 +12,7 @@
     Request,
     /// End of an attempt.
     AttemptEnd,
-    /// Complete endpoint list, or a failed poll.
+    /// Complete endpoint list, current or stale, or a failed poll.
     CompleteList,
     /// Change of the endpoint list.
     ListChange,
--- a/lab/src/fleet/simulation/counter_service.rs
+++ b/lab/src/fleet/simulation/counter_service.rs
@@ -133,7 +133,7 @@
     }
 
     /// Ends a call at its gateway by the response or the timeout, and returns the notifications for the policy.
-    /// Returns none if the call has ended before.
+    /// Returns none if the call or the incarnation that made it has ended before.
     pub fn call_ended(
         &mut self,
         context: &mut Context,
--- a/lab/src/fleet/simulation/discovery_service.rs
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -14,8 +14,8 @@
 struct Watch {
     /// Time that a change takes to reach this gateway.
     propagation_delay: Seconds,
-    /// Incarnation that watches; `None` while the gateway is down, and until it has polled if lists have to be polled
-    /// for.
+    /// Incarnation that watches; `None` while the gateway is down and, if lists have to be polled for, until discovery
+    /// has answered the first poll of the incarnation.
     watcher: Option<GatewayAddress>,
     /// Time of the last response to the gateway or of its start, from which idle watches are counted.
     last_response_at: Time,
@@ -43,8 +43,8 @@
         Self { discovery: Discovery::new(discovery, endpoints), watches }
     }
 
-    /// Handles the start of a gateway. The gateway gets the list that last reached its machine, which may be stale,
-    /// and unless lists have to be polled for, also a current one.
+    /// Handles the start of a gateway. The gateway gets the list that last reached its machine, which may be stale.
+    /// Unless lists have to be polled for, it also gets the current one.
     pub fn gateway_started(&mut self, context: &mut Context, gateway: GatewayAddress) {
         let now = context.now();
         let watch = &mut self.watches[gateway.gateway];
--- a/lab/src/fleet/simulation/endpoint_fleet.rs
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Sends a response, or the failure of the connection, to the gateway.
+    /// Sends a response, or the failure of the connection, to the gateway. Drops a response to an attempt that has
+    /// ended at the gateway.
     fn respond(
         &self,
         context: &mut Context,
--- a/lab/src/fleet/simulation/event.rs
+++ b/lab/src/fleet/simulation/event.rs
@@ -51,7 +51,7 @@
     AttemptEnded {
         /// Key of the attempt.
         attempt: AttemptKey,
-        /// Result of the attempt or call.
+        /// Result of the attempt.
         status: Status,
     },
     /// A call reaches the counter.
@@ -64,7 +64,7 @@
         to: GatewayAddress,
         /// Key of the call at that gateway.
         call: CallKey,
-        /// Result of the attempt or call.
+        /// Result of the call.
         result: CallResult,
     },
     /// A timer of the policy expires.
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -194,7 +194,7 @@
                 self.counter.start_call(&mut self.context, from, counter, amount, ttl);
             }
             Action::PollEndpoints => self.discovery.poll(&mut self.context, from),
-            // Other actions have no effect in the models.
+            // `Action` is non-exhaustive: the models ignore any action that they do not simulate.
             _ => {}
         }
     }
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -11,13 +11,13 @@
 pub const MAX_TENANTS: u32 = 65_536;
 /// Maximum number of zones in a run.
 pub const MAX_ZONES: u32 = 64;
-/// Maximum of any duration or time in a configuration, in simulated seconds.
+/// Longest run, and maximum of most other durations and times in a configuration, in simulated seconds.
 pub const MAX_SECONDS: f64 = 3_600.0;
 /// Maximum units of a request.
 pub const MAX_UNITS: u32 = 1_000;
 /// Maximum expected load of all tenants together, in requests a second.
 pub const MAX_REQUESTS_PER_SECOND: f64 = 1_000_000.0;
-/// Maximum rate, burst, weight or factor.
+/// Maximum of values without a limit of their own, such as rates, bursts, weights and factors.
 const MAX_VALUE: f64 = 1e9;
 /// Maximum size of a body that the protocol allows.
 const MAX_BODY_BYTES: u64 = 65_536;
--- a/lab/src/fleet/wire_size.rs
+++ b/lab/src/fleet/wire_size.rs
@@ -1,4 +1,4 @@
-//! Size of each message on the wire. Messages are formatted into a byte counter, so that no text is stored.
+//! Size of each message on the wire, in bytes. Messages are formatted into a byte counter, so that no text is stored.
 
 use super::configuration::RepeatEffect;
 use oliverack::{Endpoint, Lifecycle, Seconds, Status};
@@ -25,7 +25,7 @@
 
 fn length(text: fmt::Arguments<'_>) -> u64 {
     let mut count = ByteCount::default();
-    // Neither `ByteCount` nor formatting these values ever fails.
+    // Writing to `ByteCount` and formatting these values never fail.
     let _ = count.write_fmt(text);
     count.0
 }
--- a/lab/tests/fleet_runs.rs
+++ b/lab/tests/fleet_runs.rs
@@ -84,7 +84,7 @@
 #[test]
 fn light_load_within_quotas_is_served_under_ceilings() {
     let mut configuration = lightly_loaded_fleet();
-    // A gateway starts with an empty ceiling, so a longer run is needed for its cost to be small.
+    // A gateway starts with empty ceilings and serves less at first; in a longer run this weighs little.
     configuration.seconds = 30.0;
     for plan in &mut configuration.plans {
         plan.ceiling_rate = 2.0 * plan.rate;
