--- a/lab/tests/fleet_configuration.rs
+++ b/lab/tests/fleet_configuration.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn sizes_out_of_range_are_rejected_by_key() {
+fn error_for_size_out_of_range_names_key() {
     let cases = [
         ("count = 12\n", "count = 0\n", "gatekeepers.count"),
         ("count = 12\n", "count = 1025\n", "gatekeepers.count"),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn invalid_faults_are_rejected_by_key() {
+fn error_for_invalid_fault_names_key() {
     let cases = [
         ("kind = \"restart-at-once\"\nat = 1.0\nshare = 1.5", "faults.share"),
         ("kind = \"forget-counts\"\nat = -1.0\nshare = 0.5", "faults.at"),
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -27,8 +27,8 @@
 #[test]
 fn events_are_ordered_by_time_then_scheduling() {
     let mut queue = EventQueue::default();
-    for (at, event) in [(3.0, 'd'), (1.0, 'a'), (2.0, 'b'), (2.0, 'c'), (9.0, 'e')] {
-        queue.schedule(RUN_START + at, event);
+    for (seconds, event) in [(3.0, 'd'), (1.0, 'a'), (2.0, 'b'), (2.0, 'c'), (9.0, 'e')] {
+        queue.schedule(RUN_START + seconds, event);
     }
     let order: String = std::iter::from_fn(|| queue.pop_until(RUN_START + 5.0)).collect();
     assert_eq!(order, "abcd");
@@ -125,7 +125,7 @@
 fn counter_reply_status(event: &Event) -> Status {
     match event {
         Event::CounterReplied { status, .. } => *status,
-        other => panic!("not a counter reply: {other:?}"),
+        other_event => panic!("not a counter reply: {other_event:?}"),
     }
 }
 
@@ -214,7 +214,9 @@
     let mut discovery = discovery();
     let results: Vec<PollResult> = (0..3).map(|_| discovery.poll(RUN_START)).collect();
     assert_eq!(results[0], PollResult::Answered(RUN_START + 0.1));
-    assert!(matches!(results[1], PollResult::Answered(at) if (at - RUN_START - 0.2).abs() < 1e-9));
+    assert!(
+        matches!(results[1], PollResult::Answered(answered_at) if (answered_at - RUN_START - 0.2).abs() < 1e-9)
+    );
     assert_eq!(results[2], PollResult::TimedOut(RUN_START + 0.15));
 }
 
@@ -223,8 +225,8 @@
     let mut discovery = discovery();
     discovery.record_change(RUN_START + 1.0, endpoint("a", Lifecycle::Gone));
     discovery.record_change(RUN_START + 2.0, endpoint("c", Lifecycle::Running));
-    let mut ids_at = |at: f64| -> Vec<String> {
-        discovery.list_at(RUN_START + at).endpoints.iter().map(|entry| entry.id.to_string()).collect()
+    let mut ids_at = |seconds: f64| -> Vec<String> {
+        discovery.list_at(RUN_START + seconds).endpoints.iter().map(|entry| entry.id.to_string()).collect()
     };
     assert_eq!(ids_at(0.5), ["a", "b"]);
     assert_eq!(ids_at(1.0), ["b"]);
--- a/lab/tests/fleet_report.rs
+++ b/lab/tests/fleet_report.rs
@@ -56,8 +56,8 @@
         let kind = value["record"].as_str().expect("a kind");
         let keys = RECORD_KEYS.iter().find(|(name, _)| *name == kind).expect("a known kind").1;
         assert_keys_in_order(&text, keys);
-        let count = value.as_object().expect("an object").len();
-        assert_eq!(count, keys.split_whitespace().count(), "{text}");
+        let key_count = value.as_object().expect("an object").len();
+        assert_eq!(key_count, keys.split_whitespace().count(), "{text}");
         kinds.insert(kind.to_owned());
     }
     assert_eq!(kinds.len(), RECORD_KEYS.len());
--- a/lab/tests/fleet_runs.rs
+++ b/lab/tests/fleet_runs.rs
@@ -68,10 +68,10 @@
 fn same_file_and_seed_give_same_records() {
     let mut configuration = small_fleet();
     configuration.faults = faults_of_every_kind();
-    let [first, repeated, other_seed] =
+    let [first, repeated, with_other_seed] =
         [1, 1, 2].map(|seed| reproducible_lines(&run(configuration.clone(), seed)));
     assert_eq!(first, repeated);
-    assert_ne!(first, other_seed);
+    assert_ne!(first, with_other_seed);
 }
 
 #[test]
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn light_load_within_quotas_is_served_under_ceilings() {
+fn light_load_is_served_without_exceeding_ceilings() {
     let mut configuration = lightly_loaded_fleet();
     // A gateway starts with empty ceilings and serves less at first; in a longer run this weighs little.
     configuration.seconds = 30.0;
