--- a/lab/src/fleet/discovery.rs
+++ b/lab/src/fleet/discovery.rs
@@ -92,9 +92,9 @@
         self.changes.len() as u64
     }
 
-    /// Returns the complete list as of a time.
-    pub fn list_at(&mut self, at: Time) -> Arc<SharedList> {
-        let version = self.changes.partition_point(|change| change.at <= at);
+    /// Returns the complete list as it was at a time, past or present.
+    pub fn list_at(&mut self, time: Time) -> Arc<SharedList> {
+        let version = self.changes.partition_point(|change| change.at <= time);
         if let Some(cached) = self.cached.as_ref().filter(|cached| cached.version == version) {
             return Arc::clone(&cached.list);
         }
--- a/lab/src/fleet/event_queue.rs
+++ b/lab/src/fleet/event_queue.rs
@@ -57,9 +57,9 @@
     }
 
     /// Schedules an event; if its time has passed, it is due now.
-    pub fn schedule(&mut self, at: Time, event: E) {
+    pub fn schedule(&mut self, due_at: Time, event: E) {
         self.last_sequence += 1;
-        let entry = QueueEntry { at: at.max(self.now), sequence: self.last_sequence, event };
+        let entry = QueueEntry { at: due_at.max(self.now), sequence: self.last_sequence, event };
         self.entries.push(entry);
     }
 
--- a/lab/src/fleet/incident_plan.rs
+++ b/lab/src/fleet/incident_plan.rs
@@ -67,21 +67,32 @@
     }
 
     /// Plans the start and the end of a fault.
-    fn add_span(&mut self, at: Seconds, start: Incident, until: Seconds, end: Incident) {
-        self.add(at, start);
-        self.add(until, end);
+    fn add_span(
+        &mut self,
+        starts_at: Seconds,
+        start_incident: Incident,
+        ends_at: Seconds,
+        end_incident: Incident,
+    ) {
+        self.add(starts_at, start_incident);
+        self.add(ends_at, end_incident);
     }
 
     /// Plans the replacement of an endpoint by another one.
-    fn add_replacement(&mut self, at: Seconds, endpoint: usize) {
-        let until = at + REPLACEMENT_DRAIN;
-        self.add_drain(at, until, endpoint);
-        self.add(until, Incident::AddEndpoint);
+    fn add_replacement(&mut self, starts_at: Seconds, endpoint: usize) {
+        let ends_at = starts_at + REPLACEMENT_DRAIN;
+        self.add_drain(starts_at, ends_at, endpoint);
+        self.add(ends_at, Incident::AddEndpoint);
     }
 
     /// Plans the drain and the shutdown of an endpoint.
-    fn add_drain(&mut self, at: Seconds, until: Seconds, endpoint: usize) {
-        self.add_span(at, Incident::DrainEndpoint(endpoint), until, Incident::RemoveEndpoint(endpoint));
+    fn add_drain(&mut self, starts_at: Seconds, ends_at: Seconds, endpoint: usize) {
+        self.add_span(
+            starts_at,
+            Incident::DrainEndpoint(endpoint),
+            ends_at,
+            Incident::RemoveEndpoint(endpoint),
+        );
     }
 
     /// Plans all incidents of a fault.
@@ -97,17 +108,17 @@
             Fault::RestartOneByOne { from, until, count } => {
                 for _ in 0..count {
                     let gateway = generator.random_range(0..gateways);
-                    let at = uniform(generator, Range { min: from, max: until });
-                    self.add(at, Incident::RestartGateway(gateway));
+                    let restarts_at = uniform(generator, Range { min: from, max: until });
+                    self.add(restarts_at, Incident::RestartGateway(gateway));
                 }
             }
             Fault::LoseZone { at, until, zone } => {
                 self.add_span(at, Incident::LoseZone(zone), until, Incident::RestoreZone(zone));
             }
             Fault::CutCounter { at, until, zone } => {
-                let start = Incident::SetCounterCut { zone, is_cut: true };
-                let end = Incident::SetCounterCut { zone, is_cut: false };
-                self.add_span(at, start, until, end);
+                let cut = Incident::SetCounterCut { zone, is_cut: true };
+                let reconnection = Incident::SetCounterCut { zone, is_cut: false };
+                self.add_span(at, cut, until, reconnection);
             }
             Fault::SlowCounter { at, until, factor } => {
                 self.add_span(at, Incident::SlowCounter(factor), until, Incident::SlowCounter(1.0));
--- a/lab/src/fleet/measures.rs
+++ b/lab/src/fleet/measures.rs
@@ -344,7 +344,7 @@
     }
 
     /// Records the latency of a served demand.
-    pub fn count_latency(&mut self, latency: Seconds) {
+    pub fn record_latency(&mut self, latency: Seconds) {
         let microseconds = (latency * MICROSECONDS_PER_SECOND).round().max(1.0) as u64;
         self.latency.saturating_record(microseconds);
     }
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -136,11 +136,11 @@
 }
 
 fn read_toml<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
-    toml::from_str(text).map_err(|error| Error::Syntax(one_line(text, &error)))
+    toml::from_str(text).map_err(|error| Error::Syntax(one_line_message(text, &error)))
 }
 
 /// Returns the parser's message on one line, with the line number of the error if the parser gives one.
-fn one_line(text: &str, error: &toml::de::Error) -> String {
+fn one_line_message(text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match error.span() {
         Some(span) => {
--- a/lab/src/fleet/processor.rs
+++ b/lab/src/fleet/processor.rs
@@ -101,14 +101,15 @@
 
     /// Returns the totals, and the distribution for each kind of work that occurred.
     pub fn summary(&self) -> ProcessorSummary {
-        let kinds =
+        let occurred_kinds =
             PolicyWork::ALL.iter().zip(&self.by_work).filter(|(_, times)| !times.histogram.is_empty());
-        let by_event: Vec<EventTimes> = kinds.map(|(work, times)| event_times(*work, times)).collect();
+        let by_event: Vec<EventTimes> =
+            occurred_kinds.map(|(work, times)| event_times(*work, times)).collect();
         let total = |work: PolicyWork| self.by_work[work as usize].total as f64;
         let request_nanoseconds = total(PolicyWork::Request) + total(PolicyWork::AttemptEnd);
-        let requests = self.by_work[PolicyWork::Request as usize].histogram.len().max(1) as f64;
+        let request_count = self.by_work[PolicyWork::Request as usize].histogram.len().max(1) as f64;
         ProcessorSummary {
-            microseconds_per_request: request_nanoseconds / requests / NANOSECONDS_PER_MICROSECOND,
+            microseconds_per_request: request_nanoseconds / request_count / NANOSECONDS_PER_MICROSECOND,
             total_seconds: self.by_work.iter().map(|times| times.total).sum::<u128>() as f64
                 / NANOSECONDS_PER_SECOND,
             by_event,
--- a/lab/src/fleet/report.rs
+++ b/lab/src/fleet/report.rs
@@ -216,13 +216,16 @@
 }
 
 fn quota_record(counts: QuotaCounts, tenants: &[Tenant]) -> QuotaRecord {
-    let levels: Vec<f64> =
+    let ceiling_levels: Vec<f64> =
         tenants.iter().filter(|t| t.ceiling.is_some()).map(|t| t.lowest_ceiling_level).collect();
     QuotaRecord {
         counts,
-        ceilings: levels.len(),
-        ceilings_exceeded: levels.iter().filter(|level| **level < -MAX_CEILING_OVERDRAFT_SHARE).count(),
-        lowest_ceiling: levels.iter().copied().fold(1.0, f64::min),
+        ceilings: ceiling_levels.len(),
+        ceilings_exceeded: ceiling_levels
+            .iter()
+            .filter(|level| **level < -MAX_CEILING_OVERDRAFT_SHARE)
+            .count(),
+        lowest_ceiling: ceiling_levels.iter().copied().fold(1.0, f64::min),
     }
 }
 
@@ -244,16 +247,20 @@
     };
     let total = |role, traffic: Traffic| record(role, traffic.messages as f64, traffic.bytes as f64);
     let traffic = &result.measures.traffic;
-    let mut all = Traffic::default();
+    let mut all_gateways = Traffic::default();
     for gateway in &traffic.gateways {
-        all += *gateway;
+        all_gateways += *gateway;
     }
-    let count = traffic.gateways.len().max(1) as f64;
-    let busiest = traffic.gateways.iter().copied().max_by_key(|gateway| gateway.messages);
+    let gateway_count = traffic.gateways.len().max(1) as f64;
+    let busiest_gateway = traffic.gateways.iter().copied().max_by_key(|gateway| gateway.messages);
     vec![
-        total("gatekeepers", all),
-        record("gatekeeper_mean", all.messages as f64 / count, all.bytes as f64 / count),
-        total("gatekeeper_max", busiest.unwrap_or_default()),
+        total("gatekeepers", all_gateways),
+        record(
+            "gatekeeper_mean",
+            all_gateways.messages as f64 / gateway_count,
+            all_gateways.bytes as f64 / gateway_count,
+        ),
+        total("gatekeeper_max", busiest_gateway.unwrap_or_default()),
         total("counter", traffic.counter),
         total("discovery", traffic.discovery),
         total("workers", traffic.endpoints),
@@ -262,17 +269,18 @@
 
 fn state_record(result: &RunResult) -> StateRecord {
     let gateways = &result.gateways;
-    let count = gateways.len().max(1) as f64;
-    let endpoint_counts: Vec<_> = gateways.iter().map(|g| g.endpoint_counts(result.end)).collect();
+    let gateway_count = gateways.len().max(1) as f64;
+    let endpoint_counts: Vec<_> = gateways.iter().map(|g| g.endpoint_counts(result.ended_at)).collect();
     StateRecord {
         fleet_open_max: result.measures.max_open_requests,
         gateway_open_max: gateways.iter().map(SimulatedGateway::max_open_requests).max().unwrap_or(0),
-        tenants_mean: gateways.iter().map(SimulatedGateway::tenant_count).sum::<usize>() as f64 / count,
+        tenants_mean: gateways.iter().map(SimulatedGateway::tenant_count).sum::<usize>() as f64
+            / gateway_count,
         tenants_max: gateways.iter().map(SimulatedGateway::tenant_count).max().unwrap_or(0),
         endpoints_listed_mean: endpoint_counts.iter().map(|counts| counts.listed).sum::<usize>() as f64
-            / count,
+            / gateway_count,
         endpoints_avoided_mean: endpoint_counts.iter().map(|counts| counts.avoided).sum::<usize>() as f64
-            / count,
+            / gateway_count,
         counter_entries: result.counter_entries,
     }
 }
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -55,9 +55,10 @@
 
     fn schedule_arrival(&mut self, context: &mut Context, tenant: usize) {
         let arrivals_end_at = RUN_START + context.configuration.seconds;
-        let next = self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrival_generator);
-        if let Some(at) = next.filter(|at| *at < arrivals_end_at) {
-            context.schedule_at(at, ScheduledEvent::ArrivalCandidate(tenant));
+        let candidate_time =
+            self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrival_generator);
+        if let Some(arrival_time) = candidate_time.filter(|time| *time < arrivals_end_at) {
+            context.schedule_at(arrival_time, ScheduledEvent::ArrivalCandidate(tenant));
         }
     }
 
@@ -215,7 +216,7 @@
 pub fn record_served(context: &mut Context, demand: &Demand) {
     let latency = context.now() - demand.submitted_at;
     let is_late = latency > context.configuration.classes[demand.class].latency_objective;
-    context.measures.count_latency(latency);
+    context.measures.record_latency(latency);
     let outcome = if is_late { DemandOutcome::ServedLate } else { DemandOutcome::Served };
     count_outcome(context, demand, outcome);
 }
--- a/lab/src/fleet/simulation/context.rs
+++ b/lab/src/fleet/simulation/context.rs
@@ -31,8 +31,8 @@
     }
 
     /// Schedules an event at a time, or now if that time has passed.
-    pub fn schedule_at(&mut self, at: Time, event: ScheduledEvent) {
-        self.event_queue.schedule(at, event);
+    pub fn schedule_at(&mut self, due_at: Time, event: ScheduledEvent) {
+        self.event_queue.schedule(due_at, event);
     }
 
     /// Schedules an event after a delay.
--- a/lab/src/fleet/simulation/discovery_service.rs
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -88,11 +88,12 @@
     /// Handles the arrival of a poll at the service, where it is queued.
     pub fn poll_arrived(&mut self, context: &mut Context, from: GatewayAddress) {
         match self.discovery.poll(context.now()) {
-            PollResult::Answered(at) => {
-                context.schedule_at(at, ScheduledEvent::PollCompleted { to: from, succeeded: true });
+            PollResult::Answered(answered_at) => {
+                context.schedule_at(answered_at, ScheduledEvent::PollCompleted { to: from, succeeded: true });
             }
-            PollResult::TimedOut(at) => {
-                context.schedule_at(at, ScheduledEvent::PollCompleted { to: from, succeeded: false });
+            PollResult::TimedOut(timed_out_at) => {
+                context
+                    .schedule_at(timed_out_at, ScheduledEvent::PollCompleted { to: from, succeeded: false });
             }
         }
     }
--- a/lab/src/fleet/simulation/endpoint_fleet.rs
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -96,9 +96,9 @@
     }
 
     fn start_service(&self, context: &mut Context, attempt: AttemptKey, endpoint: usize, seconds: f64) {
-        let serving = &self.endpoints[endpoint];
-        let capacity = serving.capacity(context.now(), &context.configuration.endpoints);
-        let incarnation = serving.incarnation();
+        let simulated_endpoint = &self.endpoints[endpoint];
+        let capacity = simulated_endpoint.capacity(context.now(), &context.configuration.endpoints);
+        let incarnation = simulated_endpoint.incarnation();
         let event = ScheduledEvent::ServiceCompleted { attempt, endpoint, incarnation };
         context.schedule_after(seconds / capacity, event);
     }
@@ -120,9 +120,10 @@
         self.respond(context, requests, attempt, endpoint, Status::Ok);
         // The gateway closes the connection of an attempt that it no longer waits for, so the endpoint skips it.
         let is_awaited = |key| requests.is_in_flight(key);
-        if let Some(next) = self.endpoints[endpoint].start_next(is_awaited) {
-            let seconds = requests.get(next.request).map_or(0.0, |request| request.demand.service_seconds);
-            self.start_service(context, next, endpoint, seconds);
+        if let Some(next_attempt) = self.endpoints[endpoint].start_next(is_awaited) {
+            let seconds =
+                requests.get(next_attempt.request).map_or(0.0, |request| request.demand.service_seconds);
+            self.start_service(context, next_attempt, endpoint, seconds);
         }
     }
 
@@ -189,15 +190,15 @@
     /// Starts a crashed endpoint again and returns the change of its list entry. Returns `None` if the endpoint has
     /// not crashed, or if its zone is lost; then it starts when the zone is restored.
     pub fn restart(&mut self, context: &Context, endpoint: usize, zone_is_lost: bool) -> Option<Endpoint> {
-        let restarted = &mut self.endpoints[endpoint];
-        if restarted.state != EndpointState::Down {
+        let simulated_endpoint = &mut self.endpoints[endpoint];
+        if simulated_endpoint.state != EndpointState::Down {
             return None;
         }
         if zone_is_lost {
-            restarted.state = EndpointState::Unreachable;
+            simulated_endpoint.state = EndpointState::Unreachable;
             return None;
         }
-        restarted.resume(Some(context.now()));
+        simulated_endpoint.resume(Some(context.now()));
         Some(self.list_entry(endpoint, Lifecycle::Running))
     }
 
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -62,7 +62,7 @@
     /// Processor times of the policies.
     pub processor_times: ProcessorTimes,
     /// Time of the last event.
-    pub end: Time,
+    pub ended_at: Time,
 }
 
 impl Simulation {
@@ -105,8 +105,8 @@
     pub fn run(mut self) -> Result<RunResult, SettingsError> {
         let configuration = &self.context.configuration;
         let deadlines = configuration.classes.iter().map(|class| class.deadline);
-        let end = RUN_START + configuration.seconds + deadlines.fold(0.0, f64::max) + DRAIN_WINDOW;
-        while let Some(event) = self.context.next_event(end) {
+        let ends_at = RUN_START + configuration.seconds + deadlines.fold(0.0, f64::max) + DRAIN_WINDOW;
+        while let Some(event) = self.context.next_event(ends_at) {
             self.dispatch(event)?;
         }
         Ok(self.into_result())
@@ -114,7 +114,7 @@
 
     fn into_result(mut self) -> RunResult {
         self.discovery.count_all_idle_watches(&mut self.context);
-        let end = self.context.now();
+        let ended_at = self.context.now();
         let (gateways, processor_times) = self.gateways.into_parts();
         RunResult {
             configuration: self.context.configuration,
@@ -123,7 +123,7 @@
             counter_entries: self.counter.entry_count(),
             measures: self.context.measures,
             processor_times,
-            end,
+            ended_at,
         }
     }
 
--- a/lab/src/fleet/table.rs
+++ b/lab/src/fleet/table.rs
@@ -141,11 +141,11 @@
 }
 
 fn write_state(f: &mut fmt::Formatter<'_>, state: &StateRecord) -> fmt::Result {
-    let open = format!("{} / {}", state.fleet_open_max, state.gateway_open_max);
+    let open_requests = format!("{} / {}", state.fleet_open_max, state.gateway_open_max);
     let tenants = format!("{:.1} / {}", state.tenants_mean, state.tenants_max);
     let endpoints = format!("{:.1} / {:.1}", state.endpoints_listed_mean, state.endpoints_avoided_mean);
     writeln!(f, "state")?;
-    row(f, "most open: fleet / one gatekeeper", open)?;
+    row(f, "most open: fleet / one gatekeeper", open_requests)?;
     row(f, "tenants met: mean / max", tenants)?;
     row(f, "workers: listed / avoided, mean", endpoints)?;
     row(f, "names at the counter", state.counter_entries)
