--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -34,7 +34,7 @@
 use std::time::Instant;
 use validation::InvalidValue;
 
-/// Help text of the command that describes the experiment file.
+/// Help text of the `fleet` command, which describes the experiment file.
 const FILE_HELP: &str = "\
 The file is TOML; times are in seconds, delays are one way, unknown keys are errors.
   seconds             for how long requests arrive
@@ -91,7 +91,7 @@
         /// Cause of the failure.
         source: io::Error,
     },
-    /// A file is not valid TOML, or has unknown or missing keys. The message is one line and names the line number,
+    /// A file is not valid TOML, or has unknown or missing keys. The message is one line and gives the line number,
     /// if known.
     #[error("{0}")]
     Syntax(String),
@@ -136,11 +136,11 @@
 }
 
 fn read_toml<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
-    toml::from_str(text).map_err(|error| Error::Syntax(one_line(text, &error)))
+    toml::from_str(text).map_err(|error| Error::Syntax(one_line_message(text, &error)))
 }
 
 /// Returns the parser's message on one line, with the line number of the error if the parser gives one.
-fn one_line(text: &str, error: &toml::de::Error) -> String {
+fn one_line_message(text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match error.span() {
         Some(span) => {
--- a/src/node/connection/clients/response_writer.rs
+++ b/src/node/connection/clients/response_writer.rs
@@ -5,7 +5,7 @@
     metrics,
     wire::{
         client_response::{ClientResponse, ResponseBody},
-        stream::{Piece, PieceReceiver, STREAM_MEMORY_BYTES},
+        stream::{BodyFrame, BodyFrameReceiver, STREAM_MEMORY_BYTES},
     },
 };
 use hyper::StatusCode;
@@ -64,12 +64,12 @@
     let outcome = response.outcome();
     socket.state.enter(Stage::WritingResponse);
     let head = response.render(keep_alive, minor_version);
-    let (length, pieces) = match response.body {
+    let (length, frames) = match response.body {
         ResponseBody::Buffered(_) => {
             socket.tcp.write_all(&head).await?;
             return Ok(Delivery::Complete(outcome));
         }
-        ResponseBody::Streamed { length, pieces } => (length, pieces),
+        ResponseBody::Streamed { length, frames } => (length, frames),
     };
     // Responses count towards the memory limit as well. Without free memory the rest of the response waits at the
     // endpoint.
@@ -77,9 +77,9 @@
     // A failure leaves the system's default, which is larger.
     let _ = SockRef::from(&socket.tcp).set_send_buffer_size(SEND_BUFFER_BYTES);
     let is_chunked = length.is_none() && minor_version > 0;
-    let end = ResponseStream { socket, is_chunked, unsent: head }.forward(pieces).await?;
+    let stream_outcome = ResponseStream { socket, is_chunked, unsent: head }.forward(frames).await?;
     drop(stream_memory);
-    match end {
+    match stream_outcome {
         StreamOutcome::Complete => Ok(Delivery::Complete(outcome)),
         StreamOutcome::Unstarted => {
             let failure = ClientResponse::without_body(StatusCode::BAD_GATEWAY);
@@ -97,9 +97,12 @@
 }
 
 /// Reserves the memory that a stream needs beyond the bytes that the exchange already holds. Waits until it is free.
-async fn reserve_stream_memory<'c>(socket: &ClientSocket<'c>, held: &MemoryPermit<'_>) -> MemoryPermit<'c> {
+async fn reserve_stream_memory<'c>(
+    socket: &ClientSocket<'c>,
+    held_memory: &MemoryPermit<'_>,
+) -> MemoryPermit<'c> {
     loop {
-        match socket.context.memory.reserve(STREAM_MEMORY_BYTES.saturating_sub(held.bytes())) {
+        match socket.context.memory.reserve(STREAM_MEMORY_BYTES.saturating_sub(held_memory.bytes())) {
             Some(permit) => return permit,
             None => sleep(MEMORY_BACKOFF).await,
         }
@@ -116,20 +119,20 @@
 }
 
 impl ResponseStream<'_, '_> {
-    async fn forward(mut self, mut pieces: PieceReceiver) -> io::Result<StreamOutcome> {
+    async fn forward(mut self, mut frames: BodyFrameReceiver) -> io::Result<StreamOutcome> {
         let mut has_started = false;
         loop {
             self.socket.state.enter(Stage::Processing);
-            let piece = pieces.recv().await;
+            let frame = frames.recv().await;
             self.socket.state.enter(Stage::StreamingResponse);
-            match piece {
-                Some(Piece::Data(data)) if data.is_empty() => {}
-                Some(Piece::Data(data)) => {
+            match frame {
+                Some(BodyFrame::Data(data)) if data.is_empty() => {}
+                Some(BodyFrame::Data(data)) => {
                     has_started = true;
                     self.append(&data);
                     self.flush().await?;
                 }
-                Some(Piece::End) => {
+                Some(BodyFrame::End) => {
                     if self.is_chunked {
                         self.unsent.extend_from_slice(b"0\r\n\r\n");
                     }
@@ -155,10 +158,10 @@
 
     /// Writes all unsent bytes and restarts the stage's time with each write that makes progress.
     async fn flush(&mut self) -> io::Result<()> {
-        let mut rest = &self.unsent[..];
-        while !rest.is_empty() {
-            let count = self.socket.tcp.write(rest).await?;
-            rest = &rest[count..];
+        let mut unwritten = &self.unsent[..];
+        while !unwritten.is_empty() {
+            let count = self.socket.tcp.write(unwritten).await?;
+            unwritten = &unwritten[count..];
             self.socket.state.enter(Stage::StreamingResponse);
         }
         self.unsent.clear();
--- a/src/node/connection/clients/state.rs
+++ b/src/node/connection/clients/state.rs
@@ -30,11 +30,11 @@
     ReadingRequest,
     /// Waiting for more of a request body that is streamed or discarded.
     ReceivingBody,
-    /// The client waits for the gateway.
+    /// The gateway or an endpoint works on the request, and the client waits.
     Processing,
     /// Writing a buffered response.
     WritingResponse,
-    /// Writing a piece of a streamed response.
+    /// Writing a frame of a streamed response.
     StreamingResponse,
     /// No request is open.
     Idle,
@@ -53,7 +53,7 @@
     request_deadline: Cell<Instant>,
     /// Value of `entered_at` when a close was last requested. The close request is void once `entered_at` has changed.
     close_requested_for: Cell<Option<Instant>>,
-    /// Whether the close was requested to free capacity for another connection.
+    /// True if the close was requested to free capacity for another connection.
     pub is_evicted: Cell<bool>,
     /// Wakes the connection's task to check for a close request.
     pub close_signal: Notify,
--- a/src/node/connection/counter/client_context.rs
+++ b/src/node/connection/counter/client_context.rs
@@ -34,7 +34,7 @@
         Rc::new(Self { address, call_timeout, is_retired, last_warning_at: Cell::new(None) })
     }
 
-    /// Checks whether the client is retired. Then each connection ends once no call is awaited on it, and no
+    /// Returns whether the client is retired. Then each connection ends once no call is awaited on it, and no
     /// connection is opened again.
     pub fn is_retired(&self) -> bool {
         self.is_retired.get()
@@ -57,7 +57,7 @@
 
     /// Logs the failure of a connection, at most once in [`WARNING_INTERVAL`].
     pub fn warn(&self, error: &CounterError) {
-        if self.last_warning_at.get().is_none_or(|at| at.elapsed() > WARNING_INTERVAL) {
+        if self.last_warning_at.get().is_none_or(|warned_at| warned_at.elapsed() > WARNING_INTERVAL) {
             self.last_warning_at.set(Some(Instant::now()));
             warn!(address = %self.address, reason = %error, "counter connection failed");
         }
--- a/src/node/connection/http_connection.rs
+++ b/src/node/connection/http_connection.rs
@@ -31,7 +31,7 @@
     time::{Sleep, sleep, timeout},
 };
 
-/// Longest time from a response's first byte to the end of its head. Slow endpoints write the head in small pieces.
+/// Longest time from a response's first byte to the end of its head. Slow endpoints write the head in small parts.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Failure of an exchange, by whether the endpoint may have run the request.
@@ -86,7 +86,7 @@
         self.progress.clone()
     }
 
-    /// Checks whether the idle connection can carry a request. It can't if input has arrived without a request,
+    /// Returns whether the idle connection can carry a request. It can't if input has arrived without a request,
     /// because that would be taken for the next response.
     pub fn is_ready(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
--- a/src/node/hot_restart/shared_folder.rs
+++ b/src/node/hot_restart/shared_folder.rs
@@ -45,7 +45,8 @@
     /// Returns the paths of the sockets of the gateway's processes.
     pub fn socket_paths(&self) -> Vec<PathBuf> {
         self.paths_of_any_program(|suffix| {
-            let process_id = suffix.strip_prefix('.').and_then(|rest| rest.strip_suffix(SOCKET_SUFFIX));
+            let process_id =
+                suffix.strip_prefix('.').and_then(|id_and_suffix| id_and_suffix.strip_suffix(SOCKET_SUFFIX));
             process_id.is_some_and(|id| !id.is_empty() && id.bytes().all(|b| b.is_ascii_digit()))
         })
     }
@@ -72,8 +73,8 @@
         let is_match = |path: &PathBuf| {
             let name = path.file_name().and_then(|name| name.to_str());
             // The last character of the separator, a dot, is the first one of the suffix.
-            let suffix =
-                name.and_then(|name| name.rfind(&separator).map(|at| &name[at + separator.len() - 1..]));
+            let suffix = name
+                .and_then(|name| name.rfind(&separator).map(|start| &name[start + separator.len() - 1..]));
             suffix.is_some_and(&suffix_matches)
         };
         entries.flatten().map(|entry| entry.path()).filter(is_match).collect()
--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -55,14 +55,14 @@
 
     /// Decides about a request that has just arrived.
     pub fn admit(&mut self, request: &Request, backends: &Backends, context: &mut Context) -> Admission {
-        let overloaded = Admission::Reject { retry_after: context.settings.max_retry_after };
+        let overload_rejection = Admission::Reject { retry_after: context.settings.max_retry_after };
         if !self.customers.make_room(&request.customer, context) {
-            return overloaded;
+            return overload_rejection;
         }
         let plan = context.plan(request.plan);
         self.customers.record_arrival(request, &plan, context);
         if !backends.has_capacity(1.0, context) {
-            return overloaded;
+            return overload_rejection;
         }
         let mut candidate = Candidate { request, plan, backends, context };
         if plan.rate <= 0.0 {
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Rejects a request beyond the quota, unless the plan gives it more weight than it costs and the
-    /// endpoints have spare capacity. The ceiling applies in any case.
+    /// Rejects a request beyond the quota, unless its plan gives it more weight than it costs and does not
+    /// limit concurrent attempts, and the endpoints have spare capacity. The ceiling applies in any case.
     fn admit_over_quota(&mut self, candidate: &mut Candidate) -> Admission {
         let Candidate { request, plan, backends, .. } = *candidate;
         let context = &mut *candidate.context;
@@ -233,8 +233,8 @@
         Admission::AwaitSlot
     }
 
-    /// Rejects a request that the share of the ceiling does not cover. The client should wait about until the
-    /// next grant.
+    /// Rejects a request that the share of the ceiling does not cover. Asks the client to wait about until
+    /// the next grant.
     fn reject_above_ceiling(&mut self, candidate: &Candidate) -> Admission {
         let Candidate { request, plan, .. } = *candidate;
         let gateway_count = self.customers.expect_mut(&request.customer).gateway_count;
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -44,7 +44,7 @@
     },
 }
 
-/// Request to decide about, with what the decision depends on besides the customer's state.
+/// Request to decide about, with the other inputs of the decision besides the customer's state.
 pub struct Candidate<'a> {
     pub request: &'a Request,
     /// Present plan of the request's customer.
@@ -54,12 +54,12 @@
     pub context: &'a mut Context,
 }
 
-/// Checks whether a request's class and plan exist, its units are valid, and there is time to serve it.
+/// Returns whether a request's class and plan exist, its units are valid, and there is time to serve it.
 pub fn is_servable(request: &Request, context: &Context) -> bool {
     let settings = &context.settings;
     let waits = 2.0 * LeaseManager::max_wait(settings);
     let has_time = request.deadline > context.now + waits + MIN_EVENT_INTERVALS * settings.event_interval;
-    let is_known = request.class < settings.classes.len() && request.plan < settings.plans.len();
+    let class_and_plan_exist = request.class < settings.classes.len() && request.plan < settings.plans.len();
     let has_units = request.units.is_finite() && request.units >= 0.0;
-    is_known && has_units && has_time
+    class_and_plan_exist && has_units && has_time
 }
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -71,9 +71,9 @@
                 actual_units,
                 load: _,
             } => {
-                let end =
+                let attempt_end =
                     AttemptEnd { request_id, attempt, endpoint, status, elapsed, is_finished, actual_units };
-                requests.attempt_ended(&end, backends, context);
+                requests.attempt_ended(&attempt_end, backends, context);
             }
             Event::MaintenanceChanged { endpoint, in_maintenance } => {
                 let mean_latency = backends.mean_latency();
@@ -122,13 +122,13 @@
     }
 
     fn schedule_idle_scan(&mut self) {
-        let at = self.context.now + IDLE_SCAN_INTERVAL;
-        self.context.set_timer(at, TimerPurpose::EvictIdleCustomers);
+        let scan_at = self.context.now + IDLE_SCAN_INTERVAL;
+        self.context.set_timer(scan_at, TimerPurpose::EvictIdleCustomers);
     }
 
-    /// Checks whether an endpoint is in the endpoint list or in maintenance.
+    /// Returns whether an endpoint is listed, in maintenance, or still has attempts in flight.
     pub fn is_known_endpoint(&self, endpoint: &EndpointId) -> bool {
-        self.backends.router.endpoints().knows(endpoint)
+        self.backends.router.endpoints().is_known(endpoint)
     }
 
     /// Counts the listed endpoints, and those of them that are avoided at `now`.
--- a/src/policy/load_shedder.rs
+++ b/src/policy/load_shedder.rs
@@ -20,7 +20,8 @@
 const MAX_GROWTH: f64 = 3.0;
 /// Standard deviations by which attempts in flight may exceed the mean while responses are quick.
 const BURST_DEVIATIONS: f64 = 2.0;
-/// Time constant over which the response time of an idle fleet decays; longer than a load peak.
+/// Time constant with which the response time of an idle fleet rises to the present one; longer than a load
+/// peak.
 const IDLE_LATENCY_TIME_CONSTANT: Seconds = 60.0;
 /// Share of attempts that time out above which timeouts count as slow responses, not as lost ones.
 const SLOW_TIMEOUT_SHARE: f64 = 0.5;
@@ -42,7 +43,7 @@
 }
 
 impl LoadShedder {
-    /// Checks whether another attempt may start within `share` of the limit.
+    /// Returns whether another attempt may start within `share` of the limit.
     ///
     /// The allowance for bursts shrinks as responses slow down; where few attempts are in flight, it shrinks
     /// later. The fractional part of the limit admits one more attempt with that probability, so that many
@@ -53,10 +54,10 @@
         let objective = objectives.reduce(f64::min).unwrap_or(1.0).max(MIN_LATENCY);
         let gateway_count = f64::from(settings.gateway_count);
         let random_fraction = context.rng.f64();
-        let minimum = MIN_IN_FLIGHT_PER_ENDPOINT * endpoint_count as f64 / gateway_count;
+        let min_in_flight = MIN_IN_FLIGHT_PER_ENDPOINT * endpoint_count as f64 / gateway_count;
         let target_latency = self.latency.idle.level + QUEUEING_SHARE * objective;
         let growth = (target_latency / self.latency.median.max(MIN_LATENCY)).min(MAX_GROWTH);
-        let mean = (self.mean_in_flight + minimum) * growth;
+        let mean = (self.mean_in_flight + min_in_flight) * growth;
         let burst_share = (1.0 - 1.0 / growth + (1.0 + mean).powi(-2)).clamp(0.0, 1.0);
         let limit = mean + burst_share * (1.0 + BURST_DEVIATIONS * mean.sqrt());
         self.in_flight + random_fraction <= share * limit
@@ -87,7 +88,7 @@
         self.in_flight = (self.in_flight - 1.0).max(0.0);
     }
 
-    /// Checks whether so many attempts time out that the whole fleet is overloaded, not a single endpoint.
+    /// Returns whether so many attempts time out that the whole fleet is overloaded, not a single endpoint.
     pub fn is_fleet_timing_out(&self) -> bool {
         self.timeout_share > FLEET_TIMEOUT_SHARE
     }
@@ -103,7 +104,8 @@
     /// Slow start limits its traffic separately.
     pub fn record_response(&mut self, now: Time, elapsed: Seconds, timed_out: bool, is_warm: bool) {
         self.latency.record_mean(elapsed, SAMPLE_WEIGHT);
-        // Averages over the same multiple of the response time, however many attempts are in flight.
+        // A sample has less weight if many attempts are in flight, so that the averages always cover the same
+        // multiple of the response time.
         let weight = 2.0 * SAMPLE_WEIGHT / (1.0 + self.mean_in_flight);
         self.timeout_share += SAMPLE_WEIGHT * (f64::from(u8::from(timed_out)) - self.timeout_share);
         // Lost responses are no sign of overload: under overload most responses time out, and the rest are
--- a/src/policy/routing/endpoint_state.rs
+++ b/src/policy/routing/endpoint_state.rs
@@ -16,7 +16,8 @@
 /// Longest response time accepted from a predecessor's snapshot.
 pub const MAX_LATENCY: Seconds = 60.0;
 
-/// An endpoint that the list names, or that has left the list with attempts still in flight.
+/// An endpoint that the list names, that a snapshot has restored, or that has left the list with attempts
+/// still in flight.
 #[derive(Debug, Default)]
 pub struct EndpointState {
     /// Zone that the endpoint runs in.
@@ -38,17 +39,17 @@
     pub slow_start_allowance: TokenBucket,
     /// Mean response time.
     pub mean_latency: Seconds,
-    /// Health since the last restart; `None` if no attempt has been sent since then.
+    /// Health since the last restart; `None` stands for [`UNTRIED_HEALTH`].
     pub health: Option<Box<Health>>,
 }
 
 impl EndpointState {
-    /// Returns the health that attempts have shown so far.
+    /// Returns the health since the last restart.
     pub fn health(&self) -> &Health {
         self.health.as_deref().unwrap_or(&UNTRIED_HEALTH)
     }
 
-    /// Returns the health for changes.
+    /// Returns the health for modification. Creates it if there is none.
     pub fn health_mut(&mut self) -> &mut Health {
         self.health.get_or_insert_default()
     }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Restores the state from a predecessor's snapshot, within sane bounds, unless the endpoint has
+    /// Restores the state from a predecessor's snapshot, with the values clamped, unless the endpoint has
     /// restarted since. Returns whether the snapshot contains results of attempts.
     pub fn restore(&mut self, snapshot: &EndpointSnapshot, now: Time, allowance: TokenBucket) -> bool {
         if self.warming_up_since > snapshot.warming_up_since {
@@ -99,21 +100,22 @@
 
     /// Records the result of an attempt. An endpoint that responds after it was unreachable for long may have
     /// restarted without notice, so it counts as warming up from now on.
-    pub fn record_outcome(&mut self, now: Time, status: Status, fleet_times_out: bool) {
+    pub fn record_outcome(&mut self, now: Time, status: Status, is_fleet_timing_out: bool) {
         let health = self.health.get_or_insert_default();
         if status == Status::Ok && health.may_have_restarted {
             self.warming_up_since = now;
             health.may_have_restarted = false;
         }
-        health.record_outcome(now, status, fleet_times_out);
+        health.record_outcome(now, status, is_fleet_timing_out);
     }
 
     /// Moves the mean response time towards a sample. The sample has more weight the longer ago the previous
     /// one was, as the endpoint may have changed since.
     pub fn record_latency(&mut self, now: Time, sample: Seconds) {
-        let previous = std::mem::replace(&mut self.health_mut().last_response_at, now);
-        let remembered = (1.0 - SAMPLE_WEIGHT) * (-(now - previous) / LATENCY_TIME_CONSTANT).exp();
-        self.mean_latency = sample + (self.mean_latency - sample) * remembered;
+        let previous_response_at = std::mem::replace(&mut self.health_mut().last_response_at, now);
+        let previous_weight =
+            (1.0 - SAMPLE_WEIGHT) * (-(now - previous_response_at) / LATENCY_TIME_CONSTANT).exp();
+        self.mean_latency = sample + (self.mean_latency - sample) * previous_weight;
     }
 
     /// Returns the time at which the endpoint has its full capacity; 0 if it has been warm for long.
@@ -121,7 +123,7 @@
         if self.warming_up_since <= 0.0 { 0.0 } else { self.warming_up_since + slow_start_window }
     }
 
-    /// Checks whether the endpoint remembers the same idempotency keys as an endpoint of this zone and cell.
+    /// Returns whether the endpoint remembers the same idempotency keys as an endpoint of this zone and cell.
     pub fn is_in_scope(&self, scope: IdempotencyScope, zone: u32, cell: u32) -> bool {
         match scope {
             IdempotencyScope::All => true,
--- a/src/policy/routing/slow_start.rs
+++ b/src/policy/routing/slow_start.rs
@@ -18,12 +18,12 @@
 pub struct SlowStart {
     /// Units sent recently to all endpoints.
     sent_units: DecayingSum,
-    /// Highest recent rate of units to one endpoint, in units per second.
+    /// Recent peak of the mean rate of units to an endpoint of the subset, in units per second.
     peak_rate: DecayingSum,
 }
 
 impl SlowStart {
-    /// Returns the highest recent rate of units to one endpoint, in units per second.
+    /// Returns the recent peak of the mean rate of units to an endpoint of the subset, in units per second.
     pub fn peak_rate(&self) -> f64 {
         self.peak_rate.level
     }
@@ -61,8 +61,8 @@
         if endpoint.warming_up_since <= 0.0 || age >= settings.slow_start_window {
             return f64::INFINITY;
         }
-        let initial = settings.slow_start_initial_share;
-        let capacity = initial + (1.0 - initial) * (age / settings.slow_start_window).max(0.0);
+        let initial_share = settings.slow_start_initial_share;
+        let capacity = initial_share + (1.0 - initial_share) * (age / settings.slow_start_window).max(0.0);
         let replica_count = f64::from(context.replicas.count);
         let share = (settings.overload_multiple * PLANNED_SHARE).min(1.0) / replica_count;
         let rate = capacity * share * self.peak_rate.level;
