--- a/lab/tests/fleet_configuration.rs
+++ b/lab/tests/fleet_configuration.rs
@@ -38,15 +38,15 @@
 #[test]
 fn fault_files_are_valid_for_target_10() {
     let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments/faults");
-    let base = include_str!("../experiments/target-10.toml");
+    let target_10 = include_str!("../experiments/target-10.toml");
     let mut file_count = 0;
     for entry in std::fs::read_dir(directory).expect("the directory of fault files") {
         let path = entry.expect("a directory entry").path();
         let text = std::fs::read_to_string(&path).expect("a readable fault file");
-        let mut configuration = parse(base).expect("a valid example");
-        let before = configuration.faults.len();
+        let mut configuration = parse(target_10).expect("a valid example");
+        let fault_count_before = configuration.faults.len();
         add_faults(&mut configuration, &text).expect("valid faults");
-        assert!(configuration.faults.len() > before, "{} adds no faults", path.display());
+        assert!(configuration.faults.len() > fault_count_before, "{} adds no faults", path.display());
         file_count += 1;
     }
     assert!(file_count >= 6, "{file_count} fault files");
@@ -136,9 +136,9 @@
             .args(["fleet", file])
             .output()
             .expect("the program starts");
-        let errors = String::from_utf8(output.stderr).expect("UTF-8 output");
+        let error_output = String::from_utf8(output.stderr).expect("UTF-8 output");
         assert!(!output.status.success());
-        assert_eq!(errors.lines().count(), 1, "{errors}");
-        assert!(errors.starts_with("oliverack-lab: "), "{errors}");
+        assert_eq!(error_output.lines().count(), 1, "{error_output}");
+        assert!(error_output.starts_with("oliverack-lab: "), "{error_output}");
     }
 }
--- a/lab/tests/fleet_models.rs
+++ b/lab/tests/fleet_models.rs
@@ -91,9 +91,9 @@
         counter.add(RUN_START, name, 1.0, 60.0);
     }
     let mut generator = stream(1, Stream::Counter);
-    let lost = counter.lose_entries(0.3, &mut generator);
-    assert!((250..350).contains(&lost), "{lost} of 1000 are lost");
-    assert_eq!(counter.entry_count(), 1000 - lost);
+    let lost_count = counter.lose_entries(0.3, &mut generator);
+    assert!((250..350).contains(&lost_count), "{lost_count} of 1000 are lost");
+    assert_eq!(counter.entry_count(), 1000 - lost_count);
     counter.lose_entries(1.0, &mut generator);
     assert_eq!(counter.entry_count(), 0);
 }
@@ -112,14 +112,14 @@
     let mut calls = CounterCalls::default();
     let (first, second) = (calls.start(RUN_START, 1), calls.start(RUN_START, 1));
     let rejected = CallResult { status: Status::Rejected, total: 0.0 };
-    let ok = CallResult { status: Status::Ok, total: 3.0 };
+    let served = CallResult { status: Status::Ok, total: 3.0 };
     assert!(calls.end(RUN_START + 0.01, second, rejected).is_empty());
     let statuses: Vec<Status> =
-        calls.end(RUN_START + 0.02, first, ok).iter().map(counter_reply_status).collect();
+        calls.end(RUN_START + 0.02, first, served).iter().map(counter_reply_status).collect();
     assert_eq!(statuses, [Status::Ok, Status::Rejected]);
     // A response after the timeout causes no further notification.
     assert!(!calls.is_in_flight(first));
-    assert!(calls.end(RUN_START + 0.03, first, ok).is_empty());
+    assert!(calls.end(RUN_START + 0.03, first, served).is_empty());
 }
 
 fn counter_reply_status(event: &Event) -> Status {
@@ -194,7 +194,7 @@
     assert_close(SimulatedEndpoint::new(&configuration, 0, 0.0).capacity(RUN_START, &configuration), 1.0);
 }
 
-fn endpoint(id: &str, lifecycle: Lifecycle) -> Endpoint {
+fn list_entry(id: &str, lifecycle: Lifecycle) -> Endpoint {
     Endpoint { id: id.into(), zone: 0, cell: 0, started: 0.0, lifecycle }
 }
 
@@ -206,7 +206,10 @@
         poll_timeout: 0.15,
         watch_hold: 2.5,
     };
-    Discovery::new(&configuration, vec![endpoint("a", Lifecycle::Running), endpoint("b", Lifecycle::Running)])
+    Discovery::new(
+        &configuration,
+        vec![list_entry("a", Lifecycle::Running), list_entry("b", Lifecycle::Running)],
+    )
 }
 
 #[test]
@@ -223,8 +226,8 @@
 #[test]
 fn list_at_past_time_has_changes_until_then() {
     let mut discovery = discovery();
-    discovery.record_change(RUN_START + 1.0, endpoint("a", Lifecycle::Gone));
-    discovery.record_change(RUN_START + 2.0, endpoint("c", Lifecycle::Running));
+    discovery.record_change(RUN_START + 1.0, list_entry("a", Lifecycle::Gone));
+    discovery.record_change(RUN_START + 2.0, list_entry("c", Lifecycle::Running));
     let mut ids_at = |seconds: f64| -> Vec<String> {
         discovery.list_at(RUN_START + seconds).endpoints.iter().map(|entry| entry.id.to_string()).collect()
     };
@@ -250,6 +253,6 @@
     assert_eq!(wire_size::counter_total(12.5), "ok 12.5\r\n".len() as u64);
     assert_eq!(wire_size::counter_busy(), "busy\r\n".len() as u64);
     assert_eq!(wire_size::served(2), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".len() as u64);
-    let watch = "GET /discovery/hosts?from=41&hold_ms=2500 HTTP/1.1\r\nHost: backend.local\r\n\r\n";
-    assert_eq!(wire_size::watch_request(41, 2.5), watch.len() as u64);
+    let watch_request = "GET /discovery/hosts?from=41&hold_ms=2500 HTTP/1.1\r\nHost: backend.local\r\n\r\n";
+    assert_eq!(wire_size::watch_request(41, 2.5), watch_request.len() as u64);
 }
