--- a/lab/src/fleet/incident_plan.rs
+++ b/lab/src/fleet/incident_plan.rs
@@ -97,17 +97,17 @@
 
     /// Plans all incidents of a fault.
     fn add_fault(&mut self, configuration: &Configuration, fault: &Fault, generator: &mut ChaCha8Rng) {
-        let endpoints = configuration.endpoints.count as usize;
-        let gateways = configuration.gateways.count as usize;
+        let endpoint_count = configuration.endpoints.count as usize;
+        let gateway_count = configuration.gateways.count as usize;
         match *fault {
             Fault::RestartAtOnce { at, share } => {
-                for gateway in sample(generator, gateways, share) {
+                for gateway in sample(generator, gateway_count, share) {
                     self.add(at, Incident::RestartGateway(gateway));
                 }
             }
             Fault::RestartOneByOne { from, until, count } => {
                 for _ in 0..count {
-                    let gateway = generator.random_range(0..gateways);
+                    let gateway = generator.random_range(0..gateway_count);
                     let restarts_at = uniform(generator, Range { min: from, max: until });
                     self.add(restarts_at, Incident::RestartGateway(gateway));
                 }
@@ -128,26 +128,26 @@
             }
             Fault::LoseCounterEntries { at, share } => self.add(at, Incident::LoseCounterEntries(share)),
             Fault::CrashEndpoints { at, until, share } => {
-                for endpoint in sample(generator, endpoints, share) {
+                for endpoint in sample(generator, endpoint_count, share) {
                     let (crash, start) =
                         (Incident::CrashEndpoint(endpoint), Incident::StartEndpoint(endpoint));
                     self.add_span(at, crash, until, start);
                 }
             }
             Fault::HangEndpoints { at, until, share } => {
-                for endpoint in sample(generator, endpoints, share) {
+                for endpoint in sample(generator, endpoint_count, share) {
                     let (hang, resume) =
                         (Incident::HangEndpoint(endpoint), Incident::ResumeEndpoint(endpoint));
                     self.add_span(at, hang, until, resume);
                 }
             }
             Fault::DrainEndpoints { at, until, share } => {
-                for endpoint in sample(generator, endpoints, share) {
+                for endpoint in sample(generator, endpoint_count, share) {
                     self.add_drain(at, until, endpoint);
                 }
             }
             Fault::ReplaceEndpoints { from, until, count } => {
-                for endpoint in sample(generator, endpoints, f64::from(count) / endpoints as f64) {
+                for endpoint in sample(generator, endpoint_count, f64::from(count) / endpoint_count as f64) {
                     self.add_replacement(uniform(generator, Range { min: from, max: until }), endpoint);
                 }
             }
--- a/lab/src/fleet/simulation/discovery_service.rs
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -89,11 +89,14 @@
     pub fn poll_arrived(&mut self, context: &mut Context, from: GatewayAddress) {
         match self.discovery.poll(context.now()) {
             PollResult::Answered(answered_at) => {
-                context.schedule_at(answered_at, ScheduledEvent::PollCompleted { to: from, succeeded: true });
+                context
+                    .schedule_at(answered_at, ScheduledEvent::PollCompleted { to: from, is_answered: true });
             }
             PollResult::TimedOut(timed_out_at) => {
-                context
-                    .schedule_at(timed_out_at, ScheduledEvent::PollCompleted { to: from, succeeded: false });
+                context.schedule_at(
+                    timed_out_at,
+                    ScheduledEvent::PollCompleted { to: from, is_answered: false },
+                );
             }
         }
     }
@@ -118,8 +121,12 @@
         if kind != ListKind::Stale {
             self.count_idle_watches(context, to.gateway);
             count_message(context, to.gateway, list.bytes);
-            let hold = context.configuration.discovery.watch_hold;
-            count_message(context, to.gateway, wire_size::watch_request(self.discovery.version(), hold));
+            let watch_hold = context.configuration.discovery.watch_hold;
+            count_message(
+                context,
+                to.gateway,
+                wire_size::watch_request(self.discovery.version(), watch_hold),
+            );
         }
         Event::EndpointsUpdated { kind, endpoints: list.endpoints.clone() }
     }
@@ -142,16 +149,16 @@
     /// Idle watches are counted afterwards and not simulated one by one, because they affect nothing but the traffic.
     fn count_idle_watches(&mut self, context: &mut Context, gateway: usize) {
         let now = context.now();
-        let hold = context.configuration.discovery.watch_hold;
+        let watch_hold = context.configuration.discovery.watch_hold;
         let watch = &mut self.watches[gateway];
-        let idle = now - watch.last_response_at;
+        let idle_time = now - watch.last_response_at;
         watch.last_response_at = now;
         if watch.watcher.is_none() {
             return;
         }
-        let request_bytes = wire_size::watch_request(self.discovery.version(), hold);
+        let request_bytes = wire_size::watch_request(self.discovery.version(), watch_hold);
         let response_bytes = wire_size::list_response(&[], false);
-        for _ in 0..(idle / hold) as u64 {
+        for _ in 0..(idle_time / watch_hold) as u64 {
             count_message(context, gateway, request_bytes);
             count_message(context, gateway, response_bytes);
         }
--- a/lab/src/fleet/simulation/event.rs
+++ b/lab/src/fleet/simulation/event.rs
@@ -81,7 +81,7 @@
         /// Incarnation of the gateway that polled.
         to: GatewayAddress,
         /// False if the poll timed out in the queue.
-        succeeded: bool,
+        is_answered: bool,
     },
     /// An endpoint list or a change of it reaches a gateway.
     EndpointListArrived {
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -157,7 +157,7 @@
             }
             ScheduledEvent::PolicyTimer { to, token } => self.notify(to, Event::Timer { token }),
             ScheduledEvent::PollArrived(from) => self.discovery.poll_arrived(&mut self.context, from),
-            ScheduledEvent::PollCompleted { to, succeeded } => self.poll_completed(to, succeeded),
+            ScheduledEvent::PollCompleted { to, is_answered } => self.poll_completed(to, is_answered),
             ScheduledEvent::EndpointListArrived { to, kind, list } => {
                 if self.gateways.is_running(to) {
                     let event = self.discovery.list_arrived(&mut self.context, to, kind, &list);
@@ -304,11 +304,11 @@
         }
     }
 
-    fn poll_completed(&mut self, to: GatewayAddress, succeeded: bool) {
+    fn poll_completed(&mut self, to: GatewayAddress, is_answered: bool) {
         if !self.gateways.is_running(to) {
             return;
         }
-        if succeeded {
+        if is_answered {
             self.discovery.poll_succeeded(&mut self.context, to);
         } else {
             self.context.measures.fleet.polls_failed += 1;
--- a/lab/src/fleet/tenants.rs
+++ b/lab/src/fleet/tenants.rs
@@ -72,8 +72,8 @@
     }
 
     fn mean_factor(&self) -> f64 {
-        let share_of_time = if self.period > 0.0 { self.duration / self.period } else { 0.0 };
-        1.0 + share_of_time * (self.factor - 1.0)
+        let spike_share_of_time = if self.period > 0.0 { self.duration / self.period } else { 0.0 };
+        1.0 + spike_share_of_time * (self.factor - 1.0)
     }
 }
 
@@ -115,7 +115,7 @@
         (max_rate > 0.0).then(|| now + exponential(generator, 1.0 / max_rate))
     }
 
-    /// Draws whether an arrival candidate becomes a demand.
+    /// Returns whether an arrival candidate becomes a demand; decided at random.
     pub fn accepts_candidate(&self, now: Time, generator: &mut ChaCha8Rng) -> bool {
         generator.random::<f64>() * self.spikes.max_factor() < self.spikes.factor_at(now)
     }
@@ -148,8 +148,8 @@
 ) -> Tenant {
     let tenants = &configuration.tenants;
     let plan: &configuration::Plan = &configuration.plans[plan_index];
-    let gateways = tenants.gateways_per_tenant;
-    let gateway_count = generator.random_range(gateways.min..=gateways.max);
+    let gateways_per_tenant = tenants.gateways_per_tenant;
+    let gateway_count = generator.random_range(gateways_per_tenant.min..=gateways_per_tenant.max);
     let first_gateway = generator.random_range(0..configuration.gateways.count);
     let skew = uniform(generator, tenants.skew);
     let mut gateway_weights: Vec<f64> = (1..=gateway_count).map(|n| f64::from(n).powf(-skew)).collect();
--- a/lab/src/fleet/validation.rs
+++ b/lab/src/fleet/validation.rs
@@ -147,8 +147,8 @@
     let Range { min, max } = tenants.gateways_per_tenant;
     require(min >= 1, "tenants.spread", f64::from(min), "at least 1")?;
     require(min <= max, "tenants.spread", f64::from(min), "a range [least, most] in ascending order")?;
-    let gateways = configuration.gateways.count;
-    require(max <= gateways, "tenants.spread", f64::from(max), "no more than gatekeepers.count")?;
+    let gateway_count = configuration.gateways.count;
+    require(max <= gateway_count, "tenants.spread", f64::from(max), "no more than gatekeepers.count")?;
     check_range("tenants.skew", tenants.skew)
 }
 
@@ -219,17 +219,18 @@
 }
 
 fn check_load(configuration: &Configuration) -> Check {
-    let rate = weighted_mean(configuration.plans.iter().map(|plan| (plan.share, plan.rate)));
-    let load_factor = weighted_mean(configuration.usage.iter().map(|usage| {
+    let mean_rate = weighted_mean(configuration.plans.iter().map(|plan| (plan.share, plan.rate)));
+    let mean_load_factor = weighted_mean(configuration.usage.iter().map(|usage| {
         let spike_share_of_time =
             if usage.spike_every > 0.0 { usage.spike_seconds / usage.spike_every } else { 0.0 };
-        let mean = (usage.load_factor.min + usage.load_factor.max) / 2.0;
-        (usage.share, mean * (1.0 + spike_share_of_time * (usage.spike_factor - 1.0)))
+        let mean_outside_spikes = (usage.load_factor.min + usage.load_factor.max) / 2.0;
+        (usage.share, mean_outside_spikes * (1.0 + spike_share_of_time * (usage.spike_factor - 1.0)))
     }));
     let mean_units = f64::from(1 + configuration.tenants.max_units) / 2.0;
-    let requests = f64::from(configuration.tenants.count) * rate * load_factor / mean_units;
-    let fits = requests <= MAX_REQUESTS_PER_SECOND;
-    require(fits, "the expected load", requests, "at most 1000000 requests a second")
+    let requests_per_second =
+        f64::from(configuration.tenants.count) * mean_rate * mean_load_factor / mean_units;
+    let fits = requests_per_second <= MAX_REQUESTS_PER_SECOND;
+    require(fits, "the expected load", requests_per_second, "at most 1000000 requests a second")
 }
 
 fn check_span(start: Seconds, end: Seconds) -> Check {
--- a/lab/src/fleet/wire_size.rs
+++ b/lab/src/fleet/wire_size.rs
@@ -47,21 +47,25 @@
     /// Returns the size of the parts that a client's request and an attempt have in common.
     fn common_bytes(&self) -> u64 {
         let method = if self.repeat_effect == RepeatEffect::Idempotent { "GET" } else { "POST" };
-        let idempotency_key = if self.repeat_effect == RepeatEffect::IdempotencyKey {
+        let idempotency_key_header = if self.repeat_effect == RepeatEffect::IdempotencyKey {
             length(format_args!("Idempotency-Key: {:IDEMPOTENCY_KEY_BYTES$}\r\n", ""))
         } else {
             0
         };
-        let body = if self.repeat_effect == RepeatEffect::Idempotent {
+        let body_with_header = if self.repeat_effect == RepeatEffect::Idempotent {
             0
         } else {
             length(format_args!("Content-Length: {}\r\n", self.body_bytes)) + self.body_bytes
         };
         let request_line_and_host =
             length(format_args!("{method} /{} HTTP/1.1\r\nHost: backend.local\r\n", self.class));
-        let transaction_id = length(format_args!("X-Txn: {:TRANSACTION_ID_BYTES$}\r\n", ""));
-        let remaining = length(format_args!("X-Remaining: {:.3}\r\n\r\n", self.remaining));
-        request_line_and_host + transaction_id + idempotency_key + body + remaining
+        let transaction_id_header = length(format_args!("X-Txn: {:TRANSACTION_ID_BYTES$}\r\n", ""));
+        let remaining_header = length(format_args!("X-Remaining: {:.3}\r\n\r\n", self.remaining));
+        request_line_and_host
+            + transaction_id_header
+            + idempotency_key_header
+            + body_with_header
+            + remaining_header
     }
 }
 
@@ -167,19 +171,20 @@
         Lifecycle::Draining => "DRAINING",
         Lifecycle::Gone => "DELETED",
     };
-    let started = (endpoint.started * MILLISECONDS_PER_SECOND) as u64;
-    let identity = length(format_args!(
+    let started_milliseconds = (endpoint.started * MILLISECONDS_PER_SECOND) as u64;
+    let identity_fields = length(format_args!(
         r#"{{"id":"{}","addr":"10.1.0.18:8443","zone":"{}","kind":"m2","cell":{},"#,
         endpoint.id, endpoint.zone, endpoint.cell
     ));
-    identity + length(format_args!(r#""state":"{state}","weight":1.0,"started_ms":{started}}}"#))
+    identity_fields
+        + length(format_args!(r#""state":"{state}","weight":1.0,"started_ms":{started_milliseconds}}}"#))
 }
 
 /// Returns the size of a response with the endpoint list, or with changes of it.
 pub fn list_response(endpoints: &[Endpoint], is_complete: bool) -> u64 {
-    let entries: u64 = endpoints.iter().map(list_entry).sum();
-    let commas = endpoints.len().saturating_sub(1) as u64;
-    let frame = length(format_args!(r#"{{"version":1000,"full":{is_complete},"servers":[]}}"#));
-    let body = entries + commas + frame;
-    length(format_args!("HTTP/1.1 200 OK\r\nContent-Length: {body}\r\n\r\n")) + body
+    let entries_bytes: u64 = endpoints.iter().map(list_entry).sum();
+    let comma_bytes = endpoints.len().saturating_sub(1) as u64;
+    let envelope_bytes = length(format_args!(r#"{{"version":1000,"full":{is_complete},"servers":[]}}"#));
+    let body_bytes = entries_bytes + comma_bytes + envelope_bytes;
+    length(format_args!("HTTP/1.1 200 OK\r\nContent-Length: {body_bytes}\r\n\r\n")) + body_bytes
 }
