--- a/lab/src/process/bounds.rs
+++ b/lab/src/process/bounds.rs
@@ -110,7 +110,7 @@
         .bound.limit
     )]
     Violated {
-        /// The row.
+        /// Row with the violation.
         row_key: RowKey,
         /// Violated bound.
         bound: Bound,
--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -37,7 +37,7 @@
     #[arg(long = "workers", value_name = "WORKERS", default_value_t = BASE_SIZE)]
     endpoints: usize,
     /// Number of gateways in the programs' settings. Low, because each gateway then has many endpoints in its subset,
-    /// and seldom waits for a connection to become idle.
+    /// and seldom has to wait until a connection may be reused.
     #[arg(long, default_value_t = 4)]
     gateways: u32,
     /// Fails if the median ratio is above this bound.
--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -9,7 +9,7 @@
 
 /// Seed of every gateway, the same so that runs differ only in the measured times.
 const SEED: u64 = 1;
-/// Virtual time between two requests. The policy forgets a tenant that is idle for 26 s, so this time and the next two
+/// Virtual time between two requests. The policy evicts a tenant that is idle for 26 s, so this time and the next two
 /// have to be short enough that each of 32,000 tenants gets its turn within 26 s.
 const REQUEST_SPACING: Seconds = 0.0001;
 /// Virtual time from the start of an attempt to its response.
@@ -184,7 +184,7 @@
         self.now += seconds;
     }
 
-    /// Delivers the timer that was set first, whatever the clock says. Returns false if there is none.
+    /// Delivers the timer that was set first, whatever the clock says. Returns whether there was one.
     pub fn deliver_timer(&mut self) -> bool {
         let Some(token) = self.timers.pop_front() else { return false };
         self.handle(Event::Timer { token });
--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -36,7 +36,7 @@
     Some((allocated_bytes()? - before) as f64)
 }
 
-/// Checks whether the allocator of this program counts the allocated bytes.
+/// Returns whether the allocator of this program counts the allocated bytes.
 pub fn is_allocation_counted() -> bool {
     allocated_bytes().is_some()
 }
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -31,7 +31,7 @@
 /// Lowest accepted number of counter calls per request. With fewer, a row of tenants does not show the cost of a lease.
 const MIN_CALLS_PER_REQUEST: f64 = 0.01;
 /// Number of connections for the first request of each tenant. High, so that the load finishes before the program
-/// forgets its first tenants, which it does after 26 s without a request.
+/// evicts its first tenants, which it does after 26 s without a request.
 const TENANT_CONNECTIONS: u64 = 32;
 /// Lowest accepted share of requests that are served.
 const MIN_SERVED_SHARE: f64 = 0.9;
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -178,7 +178,7 @@
     endpoint.next_request();
     gate.open();
     for (i, client) in busy.iter_mut().enumerate() {
-        // A client whose request crossed the close of its idle connection sends it again.
+        // The gateway may close a connection as idle just before the request arrives; the client then sends it again.
         let response = client.read_response().unwrap_or_else(|| node.send_request(&request(i)));
         assert!(matches!(response.status(), 200 | 429));
     }
--- a/tests/fakes/counter.rs
+++ b/tests/fakes/counter.rs
@@ -35,7 +35,7 @@
 }
 
 impl CounterBehaviour {
-    /// Checks whether replies on `connection` are held back after its `call_count`th call.
+    /// Returns whether replies on `connection` are held back after its `call_count`th call.
     fn is_silent(self, connection: usize, call_count: usize) -> bool {
         match self {
             Self::Silent => true,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Number of the connection and line of a call.
+/// Number of the connection on which a call arrived, and the line of the call.
 type CounterCall = (usize, String);
 type Totals = Arc<Mutex<BTreeMap<String, f64>>>;
 
--- a/tests/fleet_ceilings.rs
+++ b/tests/fleet_ceilings.rs
@@ -76,7 +76,7 @@
     settings.has_counter = has_counter;
     settings.max_units = f64::from(MAX_REQUEST_UNITS);
     settings.counter_timeout = 0.15;
-    // Operators configure no lower ceiling than 1.6 times the quota.
+    // The lowest ceiling that operators configure: 1.6 times the quota.
     settings.plans = vec![PlanBuilder::new(7.0, 40.0).ceiling(11.2, 64.0).build()];
     settings
 }
--- a/tests/fleet_load.rs
+++ b/tests/fleet_load.rs
@@ -305,8 +305,8 @@
         };
         harness.handle(Event::Request(request))
     };
-    // There are more requests at once than the call rate permits. The others are admitted by the even share,
-    // unreported.
+    // More requests arrive at once than the call rate permits calls. Those without a call are admitted by the even
+    // share, and their units are not reported yet.
     let mut unreported = 0.0;
     for i in 0..30 {
         for (request_id, endpoint) in started_attempts(&send(&mut harness, i)) {
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -1,4 +1,4 @@
-//! One gateway forgets removed endpoints and idle customers, so that its memory stays bounded.
+//! One gateway drops removed endpoints and evicts idle customers, so that its memory stays bounded.
 
 mod common;
 use common::{
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -180,7 +180,8 @@
     builder.known_endpoints.push(endpoint_entry("w1", saturated.addr, "SERVING"));
     discovery.update_entry(builder.known_endpoints[1].clone());
     let mut builder = with_long_timeouts(builder);
-    // A hedged request is sent after a part of the latency objective, and has a value beyond it.
+    // The hedged request is sent after a part of the latency objective (`Slo`). A response after the objective still
+    // has a value (`LateWorth`).
     builder.settings["Classes"][0]["Slo"] = json!(1.0);
     builder.settings["Classes"][0]["LateWorth"] = json!(0.1);
     let node = builder.start();
@@ -213,7 +214,8 @@
     class["Effect"] = json!("deduplicated");
     class["Group"] = json!("zone");
     class["Window"] = json!(4.0);
-    // A hedged request is sent after a part of the latency objective, and has a value beyond it.
+    // The hedged request is sent after a part of the latency objective (`Slo`). A response after the objective still
+    // has a value (`LateWorth`).
     class["Slo"] = json!(1.0);
     class["LateWorth"] = json!(0.1);
     let node = builder.start();
@@ -243,6 +245,7 @@
     let mut opened_endpoint = None;
     node.reload_while(&builder.config().to_string(), || {
         opened_endpoint = Some(saturated.open_for_pending_connection(EndpointBehaviour::Respond("late")));
+        // Until the idempotency window of four seconds has passed.
         std::thread::sleep(Duration::from_secs(5).saturating_sub(sent_at.elapsed()));
     });
     // When the reload ends, the process finds both the open connection and the end of the window.
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -271,7 +271,7 @@
     }
 
     fn random_endpoint_number(&mut self) -> u32 {
-        // The last two numbers belong to endpoints that are in no list.
+        // The last two numbers belong to endpoints that are in no complete list.
         self.random.u32(0..self.endpoint_count + 2)
     }
 
