--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -78,12 +78,12 @@
     fn measure_batch(&mut self, requests: u64) -> Result<f64, Error> {
         let before = self.test_bed.child.processor_time()?;
         let result = self.row.load(requests, self.sent).run(self.test_bed.child.address)?;
-        let elapsed = self.test_bed.child.processor_time()? - before;
+        let processor_time = self.test_bed.child.processor_time()? - before;
         self.sent += result.sent;
         if result.served < result.sent {
             return Err(Error::TooFewServed { served: result.served, sent: result.sent });
         }
-        Ok(elapsed.as_secs_f64() * MICROSECONDS_PER_SECOND / result.sent as f64)
+        Ok(processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / result.sent as f64)
     }
 }
 
--- a/lab/src/process/http.rs
+++ b/lab/src/process/http.rs
@@ -25,7 +25,11 @@
     pub fn query(&self, name: &str) -> Option<&str> {
         let target = self.start_line.split(' ').nth(1)?;
         let (_, query) = target.split_once('?')?;
-        query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, v)| v)
+        query
+            .split('&')
+            .filter_map(|pair| pair.split_once('='))
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| value)
     }
 }
 
--- a/lab/src/process/load.rs
+++ b/lab/src/process/load.rs
@@ -57,9 +57,9 @@
         let clients: Vec<_> = (0..self.connections)
             .map(|client| {
                 let load = *self;
-                let start = (client * requests_per_client).min(load.requests);
-                let end = (start + requests_per_client).min(load.requests);
-                thread::spawn(move || load.run_client(address, start..end))
+                let first = (client * requests_per_client).min(load.requests);
+                let after_last = (first + requests_per_client).min(load.requests);
+                thread::spawn(move || load.run_client(address, first..after_last))
             })
             .collect();
         let mut total = LoadResult::default();
--- a/lab/src/process/policy_driver.rs
+++ b/lab/src/process/policy_driver.rs
@@ -160,7 +160,7 @@
 
     /// Delivers successful responses to all attempts in flight. Returns whether there were any.
     fn serve_all(&mut self, mut reached: Option<&mut BTreeSet<EndpointId>>) -> bool {
-        let served = !self.attempts_in_flight.is_empty();
+        let had_attempts = !self.attempts_in_flight.is_empty();
         for AttemptInFlight { request_id, endpoint } in std::mem::take(&mut self.attempts_in_flight) {
             if let Some(reached) = &mut reached {
                 reached.insert(endpoint.clone());
@@ -176,7 +176,7 @@
                 load: LoadReport::default(),
             });
         }
-        served
+        had_attempts
     }
 
     /// Advances the virtual clock.
--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -49,17 +49,18 @@
     let scenario = Scenario { gateways: row_key.gateways, tenants: 1, is_metered: false };
     // A single gateway has all endpoints in its subset.
     let mut single = Driver::new(Scenario { gateways: 1, ..scenario })?;
-    let Some(all_inside) = measure_growth(|| single.update_list(row_key.size)) else { return Ok(()) };
-    let inside = all_inside / row_key.size as f64;
+    let Some(total_bytes) = measure_growth(|| single.update_list(row_key.size)) else { return Ok(()) };
+    let inside_bytes = total_bytes / row_key.size as f64;
     let mut driver = Driver::new(scenario)?;
-    let Some(idle) = measure_growth(|| driver.update_list(row_key.size)) else { return Ok(()) };
+    let Some(idle_bytes) = measure_growth(|| driver.update_list(row_key.size)) else { return Ok(()) };
     let subset = reach_whole_subset(row_key, driver);
-    let added = subset.added_bytes / subset.size.max(1) as f64;
-    report.record(row_key, Metric::EndpointInsideBytes, inside);
-    report.record(row_key, Metric::EndpointRespondedBytes, inside + added);
+    let added_bytes = subset.added_bytes / subset.size.max(1) as f64;
+    report.record(row_key, Metric::EndpointInsideBytes, inside_bytes);
+    report.record(row_key, Metric::EndpointRespondedBytes, inside_bytes + added_bytes);
     if subset.size < row_key.size && row_key.gateways > 1 {
-        let outside = (idle - subset.size as f64 * inside) / (row_key.size - subset.size) as f64;
-        report.record(row_key, Metric::EndpointOutsideBytes, outside);
+        let outside_bytes =
+            (idle_bytes - subset.size as f64 * inside_bytes) / (row_key.size - subset.size) as f64;
+        report.record(row_key, Metric::EndpointOutsideBytes, outside_bytes);
     }
     Ok(())
 }
@@ -98,14 +99,14 @@
     let mut driver =
         Driver::new(Scenario { gateways: row_key.gateways, tenants: row_key.size, is_metered: true })?;
     driver.update_list(endpoints);
-    let grown = measure_growth(|| {
+    let added_bytes = measure_growth(|| {
         for _ in 0..row_key.size {
             driver.complete_request();
         }
         driver.shrink();
     });
-    if let Some(grown) = grown {
-        report.record(row_key, Metric::TenantBytes, grown / row_key.size as f64);
+    if let Some(added_bytes) = added_bytes {
+        report.record(row_key, Metric::TenantBytes, added_bytes / row_key.size as f64);
     }
     Ok(())
 }
@@ -122,13 +123,13 @@
         driver.complete_request();
     }
     let mut in_flight = 0;
-    let grown = measure_growth(|| {
+    let added_bytes = measure_growth(|| {
         for _ in 0..OPEN_REQUESTS {
             in_flight = driver.open_request();
         }
     });
-    if let Some(grown) = grown.filter(|_| in_flight > 0) {
-        report.record(row_key, Metric::OpenRequestBytes, grown / in_flight as f64);
+    if let Some(added_bytes) = added_bytes.filter(|_| in_flight > 0) {
+        report.record(row_key, Metric::OpenRequestBytes, added_bytes / in_flight as f64);
     }
     Ok(())
 }
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -143,7 +143,7 @@
         let mut write_started = None;
         loop {
             match (self.next_event("a watch")?, write_started) {
-                (DiscoveryEvent::Response { version: sent, at }, _) if sent >= version => {
+                (DiscoveryEvent::Response { version: sent_version, at }, _) if sent_version >= version => {
                     write_started = Some(at);
                 }
                 (DiscoveryEvent::Call { from, at }, Some(started)) => {
@@ -306,17 +306,18 @@
     fn measure_changes(&mut self) -> Result<(), Error> {
         let changes = self.row.changes;
         let endpoints = self.test_bed.entries.len();
-        let mut elapsed = Vec::with_capacity(changes);
+        let mut elapsed_micros = Vec::with_capacity(changes);
         let before = self.test_bed.child.processor_time()?;
         for change in 0..changes {
             let number = change / 2 * endpoints / changes.div_ceil(2);
             let state = if change % 2 == 0 { EntryState::Draining } else { EntryState::Serving };
             let version = self.test_bed.discovery.change(number, state);
-            elapsed.push(self.test_bed.wait_until_applied(version)?.as_secs_f64() * MICROSECONDS_PER_SECOND);
+            elapsed_micros
+                .push(self.test_bed.wait_until_applied(version)?.as_secs_f64() * MICROSECONDS_PER_SECOND);
         }
         let processor_time = self.test_bed.child.processor_time()? - before;
-        elapsed.sort_by(f64::total_cmp);
-        self.record(Metric::ChangeElapsedMicros, elapsed[changes / 2]);
+        elapsed_micros.sort_by(f64::total_cmp);
+        self.record(Metric::ChangeElapsedMicros, elapsed_micros[changes / 2]);
         self.record(
             Metric::ChangeProcessorMicros,
             processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / changes as f64,
--- a/lab/tests/process_stand_ins.rs
+++ b/lab/tests/process_stand_ins.rs
@@ -89,7 +89,7 @@
     let list = client.get_list("/discovery/hosts");
     assert_eq!((&list["version"], &list["full"]), (&1.into(), &true.into()));
     let ids: Vec<&Value> =
-        list["servers"].as_array().expect("an array of entries").iter().map(|e| &e["id"]).collect();
+        list["servers"].as_array().expect("an array of entries").iter().map(|entry| &entry["id"]).collect();
     assert_eq!(ids, ["s-00000000", "s-00000001", "s-00000002"]);
     assert_eq!(discovery.change(1, EntryState::Draining), 2);
     let changes = client.get_list("/discovery/hosts?from=1&hold_ms=20000");
--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -59,14 +59,17 @@
 #[test]
 fn client_disconnect_prevents_retry() {
     let gate = Arc::new(Gate::default());
-    let endpoint = FakeEndpoint::start(EndpointBehaviour::CloseAfter(gate.clone()));
-    let other = FakeEndpoint::start(EndpointBehaviour::CloseAfter(gate.clone()));
-    let (builder, _discovery) = NodeBuilder::new(&[&endpoint, &other]);
+    let first_endpoint = FakeEndpoint::start(EndpointBehaviour::CloseAfter(gate.clone()));
+    let second_endpoint = FakeEndpoint::start(EndpointBehaviour::CloseAfter(gate.clone()));
+    let (builder, _discovery) = NodeBuilder::new(&[&first_endpoint, &second_endpoint]);
     let node = builder.start();
     let mut client = node.connect();
     client.send(&TestRequest::new("gone"));
     let attempted = loop {
-        match [&endpoint, &other].into_iter().find(|w| !w.drain_requests().is_empty()) {
+        match [&first_endpoint, &second_endpoint]
+            .into_iter()
+            .find(|endpoint| !endpoint.drain_requests().is_empty())
+        {
             Some(endpoint) => break endpoint,
             None => std::thread::yield_now(),
         }
@@ -76,14 +79,14 @@
     // An idempotent request whose attempt fails would be retried if the client were still connected.
     gate.open();
     attempted.wait_for_event(|event| matches!(event, EndpointEvent::ConnectionEnded(_)));
-    for endpoint in [&endpoint, &other] {
+    for endpoint in [&first_endpoint, &second_endpoint] {
         endpoint.set_behaviour(EndpointBehaviour::Respond("ok"));
     }
     assert_eq!(node.send_request(&TestRequest::new("next")).status(), 200);
-    let txns: Vec<String> = [endpoint.drain_requests(), other.drain_requests()]
+    let txns: Vec<String> = [first_endpoint.drain_requests(), second_endpoint.drain_requests()]
         .concat()
         .iter()
-        .map(|m| m.header("x-txn").to_owned())
+        .map(|request| request.header("x-txn").to_owned())
         .collect();
     assert_eq!(txns, ["next"]);
 }
@@ -121,11 +124,11 @@
     ];
     invalid_requests.extend(
         ["soon", "-1", "inf", "NaN", "", "1e300", "99999999", "+1", "0x1"]
-            .map(|v| valid_request().with_header("X-Remaining", v)),
+            .map(|value| valid_request().with_header("X-Remaining", value)),
     );
     invalid_requests.extend(
         ["X-Txn", "X-Lane", "X-Plan", "X-Customer", "X-Remaining", "X-Quota"]
-            .map(|h| valid_request().without_header(h)),
+            .map(|name| valid_request().without_header(name)),
     );
     for request in &invalid_requests {
         assert_eq!(
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -107,7 +107,9 @@
     /// Delivers all events that are due by `now`. Returns the requests that get their first attempt.
     pub fn advance(&mut self, now: Time) -> Vec<RequestId> {
         let mut first_attempts = Vec::new();
-        while let Some(entry) = self.pending.first_entry().filter(|e| f64::from_bits(e.key().0) <= now) {
+        while let Some(entry) =
+            self.pending.first_entry().filter(|entry| f64::from_bits(entry.key().0) <= now)
+        {
             let (gateway, event) = entry.remove();
             first_attempts.extend(self.handle(gateway, now, event));
         }
@@ -122,7 +124,7 @@
         harness.actions.clear();
         let mut first_attempts = Vec::new();
         for action in actions {
-            let (at, event) = match action {
+            let (due_at, event) = match action {
                 Action::StartAttempt { request_id, endpoint, .. } => {
                     if self.sent_requests.insert(request_id.clone()) {
                         first_attempts.push(request_id.clone());
@@ -134,7 +136,7 @@
                 _ => continue,
             };
             self.scheduled_count += 1;
-            self.pending.insert((at.to_bits(), self.scheduled_count), (gateway, event));
+            self.pending.insert((due_at.to_bits(), self.scheduled_count), (gateway, event));
         }
         first_attempts
     }
--- a/tests/counter_connection.rs
+++ b/tests/counter_connection.rs
@@ -22,7 +22,7 @@
                 node.send_request(&TestRequest::new(&format!("t{i}")).with_header("X-Plan", "pieni"));
             match response.status() {
                 200 => served += 1,
-                429 => assert!(response.header("retry-after").parse::<f64>().is_ok_and(|s| s > 0.0)),
+                429 => assert!(response.header("retry-after").parse::<f64>().is_ok_and(|wait| wait > 0.0)),
                 status => panic!("unexpected status {status}"),
             }
         }
@@ -101,7 +101,7 @@
             .with_header("X-Plan", "pieni")
             .with_header("X-Customer", &customer);
         served += usize::from(client.send_request(&request).status() == 200);
-        connections.extend(counter.calls.try_iter().filter(|c| c.1 != "ping").map(|c| c.0));
+        connections.extend(counter.calls.try_iter().filter(|call| call.1 != "ping").map(|call| call.0));
         if connections.len() > 1 {
             break;
         }
@@ -127,7 +127,7 @@
         }
         pings[connection] += usize::from(call == "ping");
     }
-    assert!(pings.iter().all(|p| *p <= 1), "{pings:?} pings on silent connections");
+    assert!(pings.iter().all(|count| *count <= 1), "{pings:?} pings on silent connections");
 }
 
 #[test]
--- a/tests/discovery_connection.rs
+++ b/tests/discovery_connection.rs
@@ -14,28 +14,32 @@
 #[test]
 fn draining_or_deleted_endpoint_gets_no_requests() {
     for state in ["DRAINING", "DELETED"] {
-        let (one, two) = (
+        let (first_endpoint, second_endpoint) = (
             FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
             FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
         );
-        let (builder, discovery) = NodeBuilder::new(&[&one, &two]);
+        let (builder, discovery) = NodeBuilder::new(&[&first_endpoint, &second_endpoint]);
         let node = builder.start();
         discovery.wait_until_applied(2);
         // Both endpoints are used before the change.
         let (mut first_count, mut second_count) = (0, 0);
         for i in 0.. {
             assert_eq!(node.send_request(&TestRequest::new(&format!("p{i}"))).status(), 200);
-            first_count += one.drain_requests().len();
-            second_count += two.drain_requests().len();
+            first_count += first_endpoint.drain_requests().len();
+            second_count += second_endpoint.drain_requests().len();
             if first_count > 0 && second_count > 0 {
                 break;
             }
         }
-        discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", one.addr, state)));
+        discovery.wait_until_applied(discovery.update_entry(endpoint_entry(
+            "w0",
+            first_endpoint.addr,
+            state,
+        )));
         for i in 0..8 {
             assert_eq!(node.send_request(&TestRequest::new(&format!("q{i}"))).status(), 200);
         }
-        assert_eq!((one.drain_requests().len(), two.drain_requests().len()), (0, 8));
+        assert_eq!((first_endpoint.drain_requests().len(), second_endpoint.drain_requests().len()), (0, 8));
     }
 }
 
--- a/tests/endpoint_attempts.rs
+++ b/tests/endpoint_attempts.rs
@@ -19,12 +19,17 @@
         EndpointBehaviour::WriteRaw(UNAVAILABLE_RESPONSE),
         EndpointBehaviour::WriteRaw("nonsense\r\n\r\n"),
     ] {
-        let (one, two) = (FakeEndpoint::start(behaviour.clone()), FakeEndpoint::start(behaviour));
-        let (builder, _discovery) = NodeBuilder::new(&[&one, &two]);
+        let (first_endpoint, second_endpoint) =
+            (FakeEndpoint::start(behaviour.clone()), FakeEndpoint::start(behaviour));
+        let (builder, _discovery) = NodeBuilder::new(&[&first_endpoint, &second_endpoint]);
         let node = builder.start();
         // The status says failed, not rejected: a rejection would mean that the request has not run.
         assert_eq!(node.send_request(&TestRequest::at_most_once("once")).status(), 502);
-        assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "one attempt");
+        assert_eq!(
+            first_endpoint.drain_requests().len() + second_endpoint.drain_requests().len(),
+            1,
+            "one attempt"
+        );
     }
 }
 
@@ -73,7 +78,8 @@
     );
     let (mut builder, discovery) = NodeBuilder::new(&[&overloaded, &healthy]);
     // A port that was free just before and on which nothing listens.
-    let closed_addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let closed_addr =
+        TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port");
     let unreachable = endpoint_entry("w2", closed_addr, "SERVING");
     discovery.update_entry(unreachable.clone());
     builder.known_endpoints.push(unreachable);
--- a/tests/endpoint_selection.rs
+++ b/tests/endpoint_selection.rs
@@ -88,7 +88,7 @@
         vec![endpoint("a", Lifecycle::Running, 0.0), endpoint("b", Lifecycle::Running, 0.0)],
     );
     harness.send_request("j0");
-    let (first, other): (EndpointId, EndpointId) = match &*started_attempts(&harness.actions)[0].1 {
+    let (first, second): (EndpointId, EndpointId) = match &*started_attempts(&harness.actions)[0].1 {
         "a" => ("a".into(), "b".into()),
         _ => ("b".into(), "a".into()),
     };
@@ -102,7 +102,7 @@
         attempts.iter().filter(|(_, endpoint)| *endpoint == first).count()
     };
     harness.attempt_ended("j0", 0, &first, Status::ConnectFailed);
-    harness.attempt_ended("j0", 1, &other, Status::Ok);
+    harness.attempt_ended("j0", 1, &second, Status::Ok);
     assert!(attempts_at_first(&mut harness, 1) > 0, "a single failure does not eject the endpoint");
     for i in 100.. {
         let request_id = format!("j{i}");
@@ -111,10 +111,10 @@
             .is_some_and(|(_, endpoint)| *endpoint == first)
         {
             harness.attempt_ended(&request_id, 0, &first, Status::ConnectFailed);
-            harness.attempt_ended(&request_id, 1, &other, Status::ConnectFailed);
+            harness.attempt_ended(&request_id, 1, &second, Status::ConnectFailed);
             break;
         }
-        harness.attempt_ended(&request_id, 0, &other, Status::Ok);
+        harness.attempt_ended(&request_id, 0, &second, Status::Ok);
     }
     for i in 200.. {
         let request_id = format!("j{i}");
@@ -123,10 +123,10 @@
             .is_some_and(|(_, endpoint)| *endpoint == first)
         {
             harness.attempt_ended(&request_id, 0, &first, Status::ConnectFailed);
-            harness.attempt_ended(&request_id, 1, &other, Status::Ok);
+            harness.attempt_ended(&request_id, 1, &second, Status::Ok);
             break;
         }
-        harness.attempt_ended(&request_id, 0, &other, Status::Ok);
+        harness.attempt_ended(&request_id, 0, &second, Status::Ok);
     }
     assert_eq!(attempts_at_first(&mut harness, 300), 0, "two consecutive failures eject the endpoint");
 }
--- a/tests/fakes/client.rs
+++ b/tests/fakes/client.rs
@@ -39,14 +39,14 @@
 
     /// Adds or replaces a header.
     pub fn with_header(mut self, name: &'static str, value: &str) -> Self {
-        self.headers.retain(|(n, _)| *n != name);
+        self.headers.retain(|(header, _)| *header != name);
         self.headers.push((name, value.to_owned()));
         self
     }
 
     /// Removes a header.
     pub fn without_header(mut self, name: &str) -> Self {
-        self.headers.retain(|(n, _)| *n != name);
+        self.headers.retain(|(header, _)| *header != name);
         self
     }
 
@@ -100,9 +100,9 @@
     pub fn read_until_closed(&mut self) -> String {
         let mut received = Vec::new();
         // A reset is a close, too; the bytes that arrived before it are kept.
-        let end = self.reader.read_to_end(&mut received);
+        let read_result = self.reader.read_to_end(&mut received);
         assert!(
-            end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset),
+            read_result.is_ok() || read_result.is_err_and(|error| error.kind() == ErrorKind::ConnectionReset),
             "the connection stays open"
         );
         String::from_utf8_lossy(&received).into_owned()
--- a/tests/fakes/discovery.rs
+++ b/tests/fakes/discovery.rs
@@ -83,7 +83,7 @@
         self.change_state(|list| {
             list.version += 1;
             version = list.version;
-            list.entries.retain(|(_, e)| e["id"] != entry["id"]);
+            list.entries.retain(|(_, listed)| listed["id"] != entry["id"]);
             list.entries.push((version, entry));
         });
         version
@@ -154,7 +154,7 @@
 /// Returns the version that a call starts from; `None` if the call is for the complete list.
 fn from_version(request_line: &str) -> Option<u64> {
     let (_, rest) = request_line.split_once("from=")?;
-    let version = rest.split(['&', ' ']).next().and_then(|v| v.parse::<u64>().ok());
+    let version = rest.split(['&', ' ']).next().and_then(|text| text.parse::<u64>().ok());
     Some(version.expect("a version"))
 }
 
--- a/tests/fakes/endpoint.rs
+++ b/tests/fakes/endpoint.rs
@@ -127,7 +127,8 @@
 
     /// Returns the received requests that no earlier call has taken; discards other events.
     pub fn drain_requests(&self) -> Vec<Message> {
-        let message = |event| if let EndpointEvent::Request(_, m) = event { Some(m) } else { None };
+        let message =
+            |event| if let EndpointEvent::Request(_, message) = event { Some(message) } else { None };
         self.events.try_iter().filter_map(message).collect()
     }
 }
--- a/tests/fakes/message.rs
+++ b/tests/fakes/message.rs
@@ -14,7 +14,7 @@
 impl Message {
     /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
-        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status line")
     }
 
     /// Returns the value of a header; empty if it is missing.
--- a/tests/fakes/node_builder.rs
+++ b/tests/fakes/node_builder.rs
@@ -70,7 +70,7 @@
     pub fn config(&self) -> Value {
         json!({
             "name": "n0", "listen": "127.0.0.1:0", "discovery": self.discovery.to_string(),
-            "seed": "8c1f30d27a5be964", "counter": self.counter.map(|c| c.to_string()),
+            "seed": "8c1f30d27a5be964", "counter": self.counter.map(|addr| addr.to_string()),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.max_sockets},
             "operator": self.has_operator_address.then_some("127.0.0.1:0"),
             "known": {"version": 0, "full": true, "servers": self.known_endpoints},
--- a/tests/fleet_ceilings.rs
+++ b/tests/fleet_ceilings.rs
@@ -158,9 +158,9 @@
                     continue;
                 }
                 request_number += 1;
-                let at_first_gateway =
+                let is_at_first_gateway =
                     matches!(customer.pattern, ArrivalPattern::Skewed) && random.u32(0..3) > 0;
-                let position = if at_first_gateway { 0 } else { random.u32(0..customer.gateway_count) };
+                let position = if is_at_first_gateway { 0 } else { random.u32(0..customer.gateway_count) };
                 let request = Request {
                     units,
                     customer_gateway_count: customer.gateway_count,
@@ -202,7 +202,7 @@
         for restarted_share in [0.0, 0.7, 1.0] {
             for customer in simulate_fleet(fleet_size, &settings, *fault, restarted_share) {
                 let context = format!(
-                    "{fleet_size} gateways, counter: {has_counter}, fault: {fault:?}, restarted share: {restarted_share}, {:?} at {}",
+                    "{fleet_size} gateways, counter: {has_counter}, fault: {fault:?}, restarted share: {restarted_share}, {:?} load at {} gateways",
                     customer.pattern, customer.gateway_count
                 );
                 assert!(
--- a/tests/fleet_discovery.rs
+++ b/tests/fleet_discovery.rs
@@ -47,7 +47,7 @@
     }
     for step in 0..6000 {
         let now = 100.0 + f64::from(step) * 0.01;
-        let (due, later) = timers.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= now);
+        let (due, later) = timers.into_iter().partition::<Vec<_>, _>(|(due_at, ..)| *due_at <= now);
         timers = later;
         for (_, index, token) in due {
             gateways[index].now = now;
@@ -112,8 +112,8 @@
         });
         let mut timers: Vec<_> = timers.collect();
         timers.sort_by(|first, second| first.0.total_cmp(&second.0));
-        for (at, token) in timers {
-            harness.now = harness.now.max(at);
+        for (due_at, token) in timers {
+            harness.now = harness.now.max(due_at);
             if harness.handle(Event::Timer { token }).contains(&Action::PollEndpoints) {
                 calls += 1;
                 harness.handle(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
@@ -146,13 +146,13 @@
                     .drain(..)
                     .filter_map(|action| scheduled_timer(&action))
                     .min_by(|first, second| first.1.total_cmp(&second.1));
-                let (token, at) = earliest.expect("a timer for the next poll");
+                let (token, due_at) = earliest.expect("a timer for the next poll");
                 assert!(
-                    at - harness.now < max_interval,
+                    due_at - harness.now < max_interval,
                     "{gateway_count} gateways: next poll after {} s",
-                    at - harness.now
+                    due_at - harness.now
                 );
-                harness.now = at;
+                harness.now = due_at;
                 assert!(harness.handle(Event::Timer { token }).contains(&Action::PollEndpoints));
                 harness.update_endpoints(ListKind::Failed, Vec::new());
             }
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -221,7 +221,7 @@
             sent = 0;
             over_limit = 0;
         }
-        while let Some(position) = running.iter().position(|(at, ..)| *at <= now) {
+        while let Some(position) = running.iter().position(|(ends_at, ..)| *ends_at <= now) {
             let (_, gateway, request_id, endpoint) = running.remove(position);
             gateways[gateway].now = now;
             let event = AttemptEnd::new(&request_id, &endpoint).elapsed(0.05).event();
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -57,11 +57,11 @@
 
 #[test]
 fn maintenance_survives_kill_and_corrupt_file_does_not_crash() {
-    let (one, two) = (
+    let (first_endpoint, second_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("one")),
         FakeEndpoint::start(EndpointBehaviour::Respond("two")),
     );
-    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&first_endpoint, &second_endpoint]);
     let temp_dir = TempDir::new("kept");
     let start =
         || builder.start_with(&LaunchOptions { temp_dir: Some(&temp_dir.path), ..LaunchOptions::default() });
@@ -92,11 +92,11 @@
 
 #[test]
 fn hot_restart_from_renamed_program_keeps_maintenance_and_finds_predecessor() {
-    let (one, two) = (
+    let (first_endpoint, second_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("one")),
         FakeEndpoint::start(EndpointBehaviour::Respond("two")),
     );
-    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&first_endpoint, &second_endpoint]);
     let (socket, temp_dir) =
         (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("renamed"));
     let start = || builder.start_with(&shared_launch_options(&socket, &temp_dir));
@@ -142,7 +142,8 @@
 #[test]
 fn hot_restart_hands_over_10000_endpoints_within_32_mb() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    let closed_addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let closed_addr =
+        TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port");
     let (mut builder, _discovery) = NodeBuilder::with_operator_address(&[]);
     let id = |i: usize| format!("worker-hall-a-{i:05}");
     builder.known_endpoints = (0..9_999).map(|i| endpoint_entry(&id(i), closed_addr, "DRAINING")).collect();
@@ -168,11 +169,11 @@
 
 #[test]
 fn maintenance_call_during_hot_restart_reaches_both_processes_despite_corrupt_file() {
-    let (one, two) = (
+    let (first_endpoint, second_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("one")),
         FakeEndpoint::start(EndpointBehaviour::Respond("two")),
     );
-    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&first_endpoint, &second_endpoint]);
     let (socket, temp_dir) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("both"));
     // A socket that no process serves any more, and a file that is not a socket.
     drop(UnixListener::bind(temp_dir.path.join("oliverack-n0.1.sock")).expect("a writable folder"));
@@ -186,7 +187,7 @@
             .collect::<Vec<_>>()
     };
     assert!(
-        response_bodies("a").iter().all(|b| b == b"two"),
+        response_bodies("a").iter().all(|body| body == b"two"),
         "the same from whichever process accepts the client"
     );
     assert_eq!(successor.operator_call("PUT /workers/w0/ready").status(), 200);
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -47,8 +47,8 @@
     let (mut harness, mut counter) = (GatewayHarness::new(settings()), FakeCounter::default());
     let mut sent = 0;
     for step in 0..100 {
-        let at = 100.0 + f64::from(step) * 0.1;
-        fire_timers(&mut harness, &mut counter, at);
+        let now = 100.0 + f64::from(step) * 0.1;
+        fire_timers(&mut harness, &mut counter, now);
         sent += counter.send_requests(&mut harness, &format!("s{step}-"), 4);
     }
     assert!((110..=124).contains(&sent), "{sent} sent; a burst of 20 and 10 a second for 10 s make 120");
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -40,8 +40,8 @@
 /// Returns the listening address in the first line.
 fn listening_address(line: &str) -> SocketAddr {
     let (_, address) = line.split_once("address").expect("an address");
-    let plain = address.trim_matches(|c: char| !c.is_ascii_digit());
-    plain.parse().unwrap_or_else(|e| panic!("{e}: {line}"))
+    let trimmed = address.trim_matches(|c: char| !c.is_ascii_digit());
+    trimmed.parse().unwrap_or_else(|e| panic!("{e}: {line}"))
 }
 
 fn parse_json(line: &str) -> BTreeMap<String, Value> {
@@ -59,12 +59,15 @@
 fn json_log_lines_are_objects_and_requests_are_traceable_by_id() {
     let lines: Vec<BTreeMap<String, Value>> =
         logged_lines("debug,json").iter().map(|line| parse_json(line)).collect();
-    let lines_of = |name: &str| -> Vec<&BTreeMap<String, Value>> {
-        let name = format!("\"{name}\"");
-        lines.iter().filter(|line| line.get("request").is_some_and(|r| *r == name)).collect()
+    let lines_of = |txn: &str| -> Vec<&BTreeMap<String, Value>> {
+        let request_field = format!("\"{txn}\"");
+        lines
+            .iter()
+            .filter(|line| line.get("request").is_some_and(|request| *request == request_field))
+            .collect()
     };
-    let messages_of = |name: &str| -> Vec<String> {
-        lines_of(name).iter().map(|line| line["message"].as_str().expect("a message").to_owned()).collect()
+    let messages_of = |txn: &str| -> Vec<String> {
+        lines_of(txn).iter().map(|line| line["message"].as_str().expect("a message").to_owned()).collect()
     };
     assert_eq!(
         messages_of("served"),
@@ -96,8 +99,8 @@
         &LaunchOptions { log_setting: Some("debug"), ..LaunchOptions::default() },
     );
     let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
-    let logged_address =
-        log.find_map(|line| line.expect("text").rsplit_once("address=").map(|(_, a)| a.to_owned()));
+    let logged_address = log
+        .find_map(|line| line.expect("text").rsplit_once("address=").map(|(_, address)| address.to_owned()));
     let addr = logged_address.and_then(|addr| addr.parse().ok()).expect("the bound address");
     // Every write to the log fails from now on.
     drop(log);
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn removed_endpoints_are_forgotten_after_last_attempt() {
+fn removed_endpoints_are_dropped_after_last_attempt() {
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     let before = state_size(&harness);
     let names: Vec<String> = (0..500).map(|i| format!("new-{i}")).collect();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -62,16 +62,20 @@
 
 #[test]
 fn endpoint_in_maintenance_gets_no_requests_until_ready() {
-    let (one, two) = (
+    let (first_endpoint, second_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("one")),
         FakeEndpoint::start(EndpointBehaviour::Respond("two")),
     );
-    let (builder, discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (builder, discovery) = NodeBuilder::with_operator_address(&[&first_endpoint, &second_endpoint]);
     let node = builder.start();
     assert_eq!(node.operator_call("PUT /workers/w0/maint").status(), 200);
     assert_eq!(node.operator_call("PUT /workers/w%30/maint").status(), 200, "idempotent");
     // The endpoint list says that the endpoint is running.
-    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", one.addr, "SERVING")));
+    discovery.wait_until_applied(discovery.update_entry(endpoint_entry(
+        "w0",
+        first_endpoint.addr,
+        "SERVING",
+    )));
     for i in 0..20 {
         assert_eq!(node.send_request(&TestRequest::at_most_once(&format!("a{i}"))).body, b"two");
     }
@@ -98,27 +102,29 @@
 
 #[test]
 fn stats_match_client_and_endpoint_observations() {
-    let (one, two) = (
+    let (first_endpoint, second_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
         FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
     );
-    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&first_endpoint, &second_endpoint]);
     let node = builder.start();
     let metric = |name: &str| -> u64 {
         let response = node.operator_call("GET /stats");
         assert!(response.status() == 200 && response.header("content-type").starts_with("text/plain"));
         let text = String::from_utf8(response.body).expect("text");
-        let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
+        let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
         line.unwrap_or_else(|| panic!("{name} in {text}"))
     };
     let classes = ["check-answer", "submit"];
-    for (kind, class) in ["success", "overload", "error"].iter().flat_map(|k| classes.map(|c| (k, c))) {
+    for (kind, class) in
+        ["success", "overload", "error"].iter().flat_map(|kind| classes.map(|class| (kind, class)))
+    {
         assert_eq!(metric(&format!("svc_{kind}{{type=\"{class}\"}}")), 0, "reported from the start");
     }
     for i in 0..3 {
         assert_eq!(node.send_request(&TestRequest::new(&format!("a{i}"))).status(), 200);
     }
-    for endpoint in [&one, &two] {
+    for endpoint in [&first_endpoint, &second_endpoint] {
         endpoint.set_behaviour(EndpointBehaviour::WriteRaw(ERROR_RESPONSE));
     }
     assert_eq!(node.send_request(&TestRequest::at_most_once("b")).status(), 502);
@@ -129,11 +135,11 @@
     assert_eq!(metric("svc_success{type=\"submit\"}"), 0);
     assert_eq!(metric("svc_overload{type=\"check-answer\"}"), 1);
     assert_eq!(metric("svc_error{type=\"submit\"}"), 1);
-    let attempts = one.drain_requests().len() + two.drain_requests().len();
+    let attempts = first_endpoint.drain_requests().len() + second_endpoint.drain_requests().len();
     assert_eq!(metric("svc_dispatches"), attempts as u64);
     // A request is in flight until its client has the response or has disconnected.
     let gate = Arc::new(Gate::default());
-    for endpoint in [&one, &two] {
+    for endpoint in [&first_endpoint, &second_endpoint] {
         endpoint.set_behaviour(EndpointBehaviour::RespondAfter(gate.clone()));
     }
     let mut clients: Vec<Client> = (0..3).map(|_| node.connect()).collect();
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -47,7 +47,7 @@
 
 impl Environment {
     /// Checks the actions against the invariants and records them.
-    fn check_actions(&mut self, now: Time, at_most_once: bool, actions: &[Action]) {
+    fn check_actions(&mut self, now: Time, is_at_most_once: bool, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::StartAttempt { request_id, endpoint, timeout, .. } => {
@@ -55,7 +55,7 @@
                     assert!(!self.stopped.contains(endpoint), "attempt at a draining or deleted endpoint");
                     let attempts = self.attempts.entry(request_id.clone()).or_default();
                     assert!(
-                        !at_most_once || attempts.iter().all(|never_ran| *never_ran),
+                        !is_at_most_once || attempts.iter().all(|never_ran| *never_ran),
                         "a request that must not run twice may do so"
                     );
                     self.running_attempts.push(RunningAttempt {
@@ -67,11 +67,13 @@
                     attempts.push(false);
                 }
                 Action::Reject { request_id, .. } | Action::Fail { request_id } => {
-                    let never_ran =
-                        self.attempts.get(request_id).is_none_or(|a| a.iter().all(|never_ran| *never_ran));
+                    let never_ran = self
+                        .attempts
+                        .get(request_id)
+                        .is_none_or(|attempts| attempts.iter().all(|never_ran| *never_ran));
                     let is_rejection = matches!(action, Action::Reject { .. });
                     assert!(
-                        !(at_most_once && is_rejection) || never_ran,
+                        !(is_at_most_once && is_rejection) || never_ran,
                         "rejected though the request may have run"
                     );
                     assert!(self.ended.insert(request_id.clone()), "second final response");
@@ -94,9 +96,9 @@
 /// Sends random events to a gateway and checks the resulting actions. Returns all actions.
 fn run_random_events(seed: u64) -> Vec<Action> {
     let (mut random, mut environment) = (Random(seed), Environment::default());
-    let at_most_once = seed % 3 == 0;
+    let is_at_most_once = seed % 3 == 0;
     let mut settings = settings();
-    settings.classes[0].effect = if at_most_once { Effect::AtMostOnce } else { Effect::Idempotent };
+    settings.classes[0].effect = if is_at_most_once { Effect::AtMostOnce } else { Effect::Idempotent };
     settings.plans = vec![
         PlanBuilder::new(10.0, 20.0).ceiling(20.0, 40.0).build(),
         PlanBuilder::new(1.0, 3.0).max_concurrent_attempts(2).build(),
@@ -105,18 +107,19 @@
     let mut harness = GatewayHarness::new(settings);
     for n in 0..1500 {
         harness.now += 0.002 * random.below(4) as f64;
-        let due: Vec<u64> = environment.timers.iter().filter(|t| t.0 <= harness.now).map(|t| t.1).collect();
-        environment.timers.retain(|t| t.0 > harness.now);
+        let due: Vec<u64> =
+            environment.timers.iter().filter(|timer| timer.0 <= harness.now).map(|timer| timer.1).collect();
+        environment.timers.retain(|timer| timer.0 > harness.now);
         for token in due {
             let actions = harness.handle(Event::Timer { token });
-            environment.check_actions(harness.now, at_most_once, &actions);
+            environment.check_actions(harness.now, is_at_most_once, &actions);
         }
         while let Some(i) =
             environment.running_attempts.iter().position(|attempt| attempt.times_out_at <= harness.now)
         {
             let RunningAttempt { request_id, index, endpoint, .. } = environment.running_attempts.remove(i);
             let actions = harness.attempt_ended(&request_id, index, &endpoint, Status::Timeout);
-            environment.check_actions(harness.now, at_most_once, &actions);
+            environment.check_actions(harness.now, is_at_most_once, &actions);
         }
         let actions = match random.below(10) {
             0..4 => {
@@ -168,7 +171,7 @@
                 })
             }
         };
-        environment.check_actions(harness.now, at_most_once, &actions);
+        environment.check_actions(harness.now, is_at_most_once, &actions);
     }
     for (request_id, deadline) in &environment.deadlines {
         let is_running = environment.running_attempts.iter().any(|attempt| attempt.request_id == *request_id);
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -276,10 +276,10 @@
             _ => {}
         }
         discovery.wait_until_applied(discovery.update_entry(changed_entry));
-        let saturated = saturated.open(EndpointBehaviour::Respond("late"));
+        let opened_endpoint = saturated.open(EndpointBehaviour::Respond("late"));
         let response = client.read_response().expect("a complete response");
         assert_eq!((response.status(), response.body.as_slice()), (200, b"elsewhere".as_slice()), "{change}");
-        assert_eq!(saturated.drain_requests().len(), 0, "{change}");
+        assert_eq!(opened_endpoint.drain_requests().len(), 0, "{change}");
     }
 }
 
@@ -298,7 +298,7 @@
                 let mut responded_at: Option<Instant> = None;
                 while read_message(&mut reader).is_some() {
                     // Measured from before the response, so never shorter than the gateway's wait.
-                    let _ = gap_sender.send(responded_at.map(|at| at.elapsed()));
+                    let _ = gap_sender.send(responded_at.map(|instant| instant.elapsed()));
                     responded_at = Some(Instant::now());
                     let _ = socket.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                 }
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -80,7 +80,7 @@
                 self.number(*ttl);
             }
             Action::PollEndpoints => self.tag(8),
-            other => panic!("no encoding for {other:?}"),
+            unencoded => panic!("no encoding for {unencoded:?}"),
         }
     }
 
@@ -300,12 +300,12 @@
         }
         let is_settled = is_finished && self.scenario == Scenario::SettledUnits;
         let actual_units = is_settled.then(|| 0.5 + 1.5 * self.random.f64());
-        let end = AttemptEnd::new(&request_id, &endpoint)
+        let attempt_end = AttemptEnd::new(&request_id, &endpoint)
             .attempt(attempt)
             .status(status)
             .elapsed(elapsed)
             .actual_units(actual_units);
-        self.deliver(end.event());
+        self.deliver(attempt_end.event());
     }
 
     fn reply_to_counter_call(&mut self) {
@@ -367,9 +367,13 @@
     /// Advances the clock, fires the timers that are due and delivers one random event.
     fn step(&mut self) {
         self.harness.now += 0.01 * self.random.f64();
-        let due: BTreeSet<u64> =
-            self.timers.iter().filter(|(at, _)| *at <= self.harness.now).map(|(_, token)| *token).collect();
-        self.timers.retain(|(at, _)| *at > self.harness.now);
+        let due: BTreeSet<u64> = self
+            .timers
+            .iter()
+            .filter(|(due_at, _)| *due_at <= self.harness.now)
+            .map(|(_, token)| *token)
+            .collect();
+        self.timers.retain(|(due_at, _)| *due_at > self.harness.now);
         for token in due {
             self.deliver(Event::Timer { token });
         }
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -33,13 +33,13 @@
         started_attempts(&actions).is_empty() && rejected_count(&actions) == 0,
         "waiting for the counter"
     );
-    let timer = actions.iter().find_map(|a| match a {
+    let timer = actions.iter().find_map(|action| match action {
         Action::SetTimer { token, at } => Some((*token, *at)),
         _ => None,
     });
-    let (token, at) = timer.expect("a timer that ends the lease wait");
-    assert!(at - harness.now <= 0.025, "the lease wait lasts 25 ms at most");
-    harness.now = at;
+    let (token, due_at) = timer.expect("a timer that ends the lease wait");
+    assert!(due_at - harness.now <= 0.025, "the lease wait lasts 25 ms at most");
+    harness.now = due_at;
     let actions = harness.handle(Event::Timer { token });
     assert_eq!(
         started_attempts(&actions).len() + rejected_count(&actions),
@@ -76,7 +76,7 @@
     settings.max_attempts = 9;
     let mut harness = GatewayHarness::without_endpoints(settings);
     let mut list: Vec<Endpoint> =
-        ["a", "b", "c", "d"].map(|n| endpoint(n, Lifecycle::Running, 0.0)).into_iter().collect();
+        ["a", "b", "c", "d"].map(|name| endpoint(name, Lifecycle::Running, 0.0)).into_iter().collect();
     list[2].zone = 1;
     list[3].zone = 1;
     harness.update_endpoints(ListKind::Stale, list);
@@ -96,8 +96,8 @@
 #[test]
 fn retries_with_idempotency_key_carry_end_of_deduplication_window() {
     let dedup_end = |actions: &[Action]| {
-        let attempt_dedup_end = |a: &Action| {
-            if let Action::StartAttempt { dedup_until, .. } = a { Some(*dedup_until) } else { None }
+        let attempt_dedup_end = |action: &Action| {
+            if let Action::StartAttempt { dedup_until, .. } = action { Some(*dedup_until) } else { None }
         };
         actions.iter().find_map(attempt_dedup_end).expect("an attempt")
     };
@@ -145,8 +145,9 @@
         );
     };
     let timers = |actions: &[Action]| -> Vec<(u64, Time)> {
-        let timer =
-            |a: &Action| if let Action::SetTimer { token, at } = a { Some((*token, *at)) } else { None };
+        let timer = |action: &Action| {
+            if let Action::SetTimer { token, at } = action { Some((*token, *at)) } else { None }
+        };
         actions.iter().filter_map(timer).collect()
     };
     // The request waits for the counter; the reply comes before the lease wait ends, or after.
@@ -159,8 +160,8 @@
         let (counter, amount) = counter_calls(&actions)[0];
         disconnect(&mut harness, "j");
         if reply_is_late {
-            let (token, at) = timers(&actions)[0];
-            harness.now = at;
+            let (token, due_at) = timers(&actions)[0];
+            harness.now = due_at;
             assert!(started_attempts(&harness.handle(Event::Timer { token })).is_empty());
         }
         assert!(started_attempts(&harness.counter_replied(counter, Status::Ok, amount)).is_empty());
@@ -176,8 +177,8 @@
     assert!(started_attempts(&actions).is_empty() && rejected_count(&actions) == 0, "queued for the slot");
     disconnect(&mut harness, "waits");
     assert!(started_attempts(&harness.attempt_ended("first", 0, &endpoint, Status::Ok)).is_empty());
-    for (token, at) in timers(&actions) {
-        harness.now = at;
+    for (token, due_at) in timers(&actions) {
+        harness.now = due_at;
         assert!(started_attempts(&harness.handle(Event::Timer { token })).is_empty());
     }
     // The request waits for a hedged request or a retry.
@@ -185,8 +186,8 @@
     let actions = harness.send_request("j");
     let (_, endpoint) = started_attempts(&actions).remove(0);
     disconnect(&mut harness, "j");
-    for (token, at) in timers(&actions) {
-        harness.now = at;
+    for (token, due_at) in timers(&actions) {
+        harness.now = due_at;
         assert!(started_attempts(&harness.handle(Event::Timer { token })).is_empty());
     }
     assert!(started_attempts(&harness.attempt_ended("j", 0, &endpoint, Status::Reset)).is_empty());
@@ -199,5 +200,8 @@
     let mut harness = GatewayHarness::new(settings);
     let actions = harness.send_request("j");
     assert_eq!(started_attempts(&actions).len(), 1);
-    assert!(!actions.iter().any(|a| matches!(a, Action::SetTimer { .. })), "no hedged request is scheduled");
+    assert!(
+        !actions.iter().any(|action| matches!(action, Action::SetTimer { .. })),
+        "no hedged request is scheduled"
+    );
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -17,7 +17,7 @@
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.child.id())).expect("a process");
     let fields: Vec<&str> =
         stat.rsplit(')').next().expect("the fields after the name").split_whitespace().collect();
-    fields[11..13].iter().map(|v| v.parse::<u64>().expect("a time")).sum()
+    fields[11..13].iter().map(|field| field.parse::<u64>().expect("a time")).sum()
 }
 
 #[test]
@@ -66,7 +66,7 @@
         client.send(&TestRequest::new(&format!("again{i}")));
         let response = client.read_response();
         kept_open += usize::from(response.is_some());
-        assert!(response.is_none_or(|a| a.body == b"well" || a.status() == 429));
+        assert!(response.is_none_or(|response| response.body == b"well" || response.status() == 429));
     }
     assert!(kept_open > 0, "some idle connections stay open");
     assert_eq!(node.send_request(&TestRequest::new("last")).body, b"well");
@@ -100,8 +100,11 @@
             line.clear();
             assert!(log.read_line(&mut line).expect("a line") > 0, "the process has ended");
         }
-        let addr =
-            line.trim().rsplit_once("address=").and_then(|(_, a)| a.parse().ok()).expect("the bound address");
+        let addr = line
+            .trim()
+            .rsplit_once("address=")
+            .and_then(|(_, address)| address.parse().ok())
+            .expect("the bound address");
         let mut health_check = TestRequest::new("");
         health_check.request_line = "GET /up HTTP/1.1".into();
         let response = Client::connect(addr).send_request(&health_check);
@@ -130,9 +133,9 @@
     let request = |txn: &str| TestRequest::new(txn).with_header("X-Quota", "units=1,spread=1024,first=1023");
     assert_eq!(node.send_request(&request("known")).status(), 200, "the configured list");
     // The same list from discovery, indented, with another running endpoint.
-    let other = FakeEndpoint::start(EndpointBehaviour::Respond("other"));
+    let new_endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("other"));
     builder.known_endpoints[1023] = endpoint_entry("w1023", addr, "DRAINING");
-    builder.known_endpoints[0] = endpoint_entry("w0", other.addr, "SERVING");
+    builder.known_endpoints[0] = endpoint_entry("w0", new_endpoint.addr, "SERVING");
     let list = json!({"version": 7, "full": true, "servers": builder.known_endpoints});
     let body = serde_json::to_string_pretty(&list).expect("JSON").replace("\n", "\r\n        ");
     assert!(body.len() > 250_000, "{} bytes", body.len());
@@ -147,7 +150,8 @@
 
 /// Returns an indented list of `count` endpoints, of which only `last` is running.
 fn indented_list(count: usize, version: u64, last: &FakeEndpoint) -> String {
-    let closed_addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let closed_addr =
+        TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port");
     let id = |i: usize| format!("worker-hall-a-{i:05}");
     let mut endpoints: Vec<_> =
         (0..count - 1).map(|i| endpoint_entry(&id(i), closed_addr, "DRAINING")).collect();
@@ -190,7 +194,8 @@
     assert!(watch.start_line.contains("from=7"), "{}", watch.start_line);
     assert_eq!(node.send_request(&TestRequest::new("told")).body, b"ok");
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("a process");
-    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("the peak of resident memory");
+    let peak =
+        status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the peak of resident memory");
     let peak: usize = peak.trim().trim_end_matches(" kB").parse().expect("a size");
     assert!(peak < 32 << 10, "{peak} kB");
 }
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -65,8 +65,8 @@
     let mut owners: BTreeMap<String, PathBuf> = BTreeMap::new();
     for path in policy_files(root) {
         for name in implemented_types(&fs::read_to_string(&path).expect("readable file")) {
-            let other = owners.insert(name.clone(), path.clone());
-            assert_eq!(other, None, "{name} is implemented in {}, too", path.display());
+            let earlier_path = owners.insert(name.clone(), path.clone());
+            assert_eq!(earlier_path, None, "{name} is implemented in {}, too", path.display());
         }
     }
     assert!(owners.contains_key("Gateway"));
@@ -217,7 +217,7 @@
     {
         remaining.remove(&independent);
         for uses in remaining.values_mut() {
-            uses.retain(|other| *other != independent);
+            uses.retain(|used| *used != independent);
         }
     }
     assert!(remaining.is_empty(), "files with circular dependencies, and files that use them: {remaining:?}");
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -144,7 +144,7 @@
                 * scenario.capacity
                 * settings.overload_window;
             let attempts_in_window =
-                times[i..].iter().take_while(|t| **t < window_start + settings.overload_window).count()
+                times[i..].iter().take_while(|time| **time < window_start + settings.overload_window).count()
                     as f64;
             largest_excess =
                 largest_excess.max(attempts_in_window - allowance - 2.0 * allowance.sqrt() - 2.0);
--- a/tests/streaming.rs
+++ b/tests/streaming.rs
@@ -30,7 +30,9 @@
     let chunks: String = body
         .as_bytes()
         .chunks(body.len().div_ceil(99))
-        .map(|c| format!("{:x};ext=\"a b\"\r\n{}\r\n", c.len(), std::str::from_utf8(c).expect("plain")))
+        .map(|chunk| {
+            format!("{:x};ext=\"a b\"\r\n{}\r\n", chunk.len(), std::str::from_utf8(chunk).expect("plain"))
+        })
         .collect();
     leak(format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}0\r\n{trailer}\r\n"))
 }
@@ -123,10 +125,11 @@
     let half = numbered_text(100_000);
     for head in ["Content-Length: 200000", "Transfer-Encoding: chunked"] {
         let chunk = if head.starts_with('T') { "186a0\r\n" } else { "" };
-        let received = leak(format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n{chunk}{half}"));
-        let behaviour = EndpointBehaviour::WriteRawInTwoParts(received, gate.clone(), "");
-        let (one, two) = (FakeEndpoint::start(behaviour.clone()), FakeEndpoint::start(behaviour));
-        let (builder, _discovery) = NodeBuilder::new(&[&one, &two]);
+        let partial_response = leak(format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n{chunk}{half}"));
+        let behaviour = EndpointBehaviour::WriteRawInTwoParts(partial_response, gate.clone(), "");
+        let (first_endpoint, second_endpoint) =
+            (FakeEndpoint::start(behaviour.clone()), FakeEndpoint::start(behaviour));
+        let (builder, _discovery) = NodeBuilder::new(&[&first_endpoint, &second_endpoint]);
         let node = builder.start();
         let mut client = node.connect();
         client.send(&TestRequest::new("a"));
@@ -139,9 +142,13 @@
             received.len()
         );
         assert!(!received.ends_with(b"0\r\n\r\n"), "not marked as complete");
-        assert_eq!(one.drain_requests().len() + two.drain_requests().len(), 1, "one attempt");
-        one.set_behaviour(EndpointBehaviour::Respond("ok"));
-        two.set_behaviour(EndpointBehaviour::Respond("ok"));
+        assert_eq!(
+            first_endpoint.drain_requests().len() + second_endpoint.drain_requests().len(),
+            1,
+            "one attempt"
+        );
+        first_endpoint.set_behaviour(EndpointBehaviour::Respond("ok"));
+        second_endpoint.set_behaviour(EndpointBehaviour::Respond("ok"));
         assert_eq!(node.send_request(&TestRequest::new("b")).status(), 200);
     }
 }
@@ -178,7 +185,8 @@
         assert!(!client.reader.fill_buf().expect("the first bytes").is_empty());
     }
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.child.id())).expect("a process");
-    let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")?.split_whitespace().next()?.parse().ok());
+    let peak =
+        status.lines().find_map(|line| line.strip_prefix("VmHWM:")?.split_whitespace().next()?.parse().ok());
     // Twenty buffered responses would take 480 MB.
     assert!(peak.is_some_and(|kb: usize| kb < 32 << 10), "{peak:?} kB");
     drop(clients);
