--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,5 +1,6 @@
-//! Checks of the source text: limits on files and functions, the policy files that `deploy/balancer.toml` lists, the
-//! dependencies between the node's modules, and the file names in the documentation.
+//! Checks of the source text. The operators require limits on the length of files and functions, and dependencies in
+//! one direction between the node's modules. Further tests compare the policy files with those that
+//! `deploy/balancer.toml` lists, and the file names in the documentation with the files that exist.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
