--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -50,24 +50,24 @@
 
     /// Processes a call made at `now`. Returns the time at which it ends, and the event that reports its result.
     fn call(&mut self, now: Time, counter: u64, amount: f64) -> (Time, Event) {
-        let ended = |status, total, elapsed| {
+        let result = |status, total, elapsed| {
             (now + elapsed, Event::CounterReplied { counter, status, total, elapsed })
         };
         if now < self.silent_until {
-            return ended(Status::Timeout, 0.0, self.call_timeout);
+            return result(Status::Timeout, 0.0, self.call_timeout);
         }
         let queue_time = (self.idle_at - now).max(0.0);
         if queue_time > self.max_queue_time {
-            return ended(Status::Rejected, 0.0, self.round_trip);
+            return result(Status::Rejected, 0.0, self.round_trip);
         }
         self.idle_at = now.max(self.idle_at) + 1.0 / self.calls_per_second;
         let total = self.totals.entry(counter).or_default();
         *total += amount;
         let elapsed = queue_time + self.round_trip;
         if elapsed <= self.call_timeout {
-            ended(Status::Ok, *total, elapsed)
+            result(Status::Ok, *total, elapsed)
         } else {
-            ended(Status::Timeout, 0.0, self.call_timeout)
+            result(Status::Timeout, 0.0, self.call_timeout)
         }
     }
 }
--- a/tests/discovery_connection.rs
+++ b/tests/discovery_connection.rs
@@ -45,11 +45,11 @@
 
 #[test]
 fn silent_or_invalid_discovery_is_followed_again_after_recovery() {
-    let (old, new) = (
+    let (old_endpoint, new_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("old")),
         FakeEndpoint::start(EndpointBehaviour::Respond("new")),
     );
-    let (builder, discovery) = NodeBuilder::new(&[&old]);
+    let (builder, discovery) = NodeBuilder::new(&[&old_endpoint]);
     discovery.set_silent(true);
     let node = builder.start();
     discovery.next_call();
@@ -59,8 +59,8 @@
     discovery.set_invalid(true);
     node.wait_for_log("not a valid endpoint list");
     discovery.set_invalid(false);
-    discovery.update_entry(endpoint_entry("w1", new.addr, "SERVING"));
-    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", old.addr, "DELETED")));
+    discovery.update_entry(endpoint_entry("w1", new_endpoint.addr, "SERVING"));
+    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", old_endpoint.addr, "DELETED")));
     assert_eq!(node.send_request(&TestRequest::new("b")).body, b"new");
 }
 
--- a/tests/fakes/discovery.rs
+++ b/tests/fakes/discovery.rs
@@ -126,8 +126,9 @@
         let from = from_version(&message.start_line);
         let _ = calls.send(from.unwrap_or(0));
         let guard = list.state.lock().expect("the lock is not poisoned");
-        let must_wait = |list: &mut ListState| {
-            list.is_silent || (list.calls_to_reject == 0 && !list.is_invalid && from == Some(list.version))
+        let must_wait = |state: &mut ListState| {
+            state.is_silent
+                || (state.calls_to_reject == 0 && !state.is_invalid && from == Some(state.version))
         };
         let (mut state, _) = list
             .changed
--- a/tests/fleet_ceilings.rs
+++ b/tests/fleet_ceilings.rs
@@ -22,7 +22,7 @@
 /// Most units of one request.
 const MAX_REQUEST_UNITS: u32 = 4;
 /// Allowed excess as a share of the ceiling's burst. At least [`MAX_REQUEST_UNITS`] are allowed.
-const ALLOWED_EXCESS: f64 = 0.1;
+const ALLOWED_EXCESS_SHARE: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum CounterFault {
@@ -192,7 +192,7 @@
 fn assert_ceilings_hold(fleet_size: u32, has_counter: bool) {
     let settings = ceiling_settings(fleet_size, has_counter);
     let plan = &settings.plans[0];
-    let allowed_excess = (ALLOWED_EXCESS * plan.ceiling_burst).max(f64::from(MAX_REQUEST_UNITS));
+    let allowed_excess = (ALLOWED_EXCESS_SHARE * plan.ceiling_burst).max(f64::from(MAX_REQUEST_UNITS));
     let faults: &[CounterFault] = if has_counter {
         &[CounterFault::None, CounterFault::Silent, CounterFault::CountsLost]
     } else {
--- a/tests/fleet_discovery.rs
+++ b/tests/fleet_discovery.rs
@@ -29,7 +29,7 @@
     let mut gateways = fleet(gateway_count, &settings, &running_endpoints(9));
     let mut timers: Vec<(f64, usize, u64)> = Vec::new();
     let mut queue: VecDeque<(f64, usize)> = VecDeque::new();
-    let mut idle_at: f64 = 100.0;
+    let mut discovery_idle_at: f64 = 100.0;
     let mut calls = 0;
     let mut gateways_with_list = BTreeSet::new();
     let scheduled_timers = |index: usize, actions: Vec<Action>| {
@@ -60,9 +60,9 @@
             calls += 1;
             if queue.len() < MAX_QUEUE_LENGTH { queue.push_back((now, index)) } else { failed.push(index) }
         }
-        while let Some((called_at, index)) = queue.front().copied().filter(|_| idle_at <= now) {
+        while let Some((called_at, index)) = queue.front().copied().filter(|_| discovery_idle_at <= now) {
             queue.pop_front();
-            idle_at = now.max(idle_at) + 1.0 / CALLS_PER_SECOND;
+            discovery_idle_at = now.max(discovery_idle_at) + 1.0 / CALLS_PER_SECOND;
             if now - called_at > CALL_TIMEOUT {
                 failed.push(index);
                 continue;
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -25,15 +25,15 @@
     let (builder, _discovery) = NodeBuilder::with_operator_address(&[&endpoint]);
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let start = || builder.start_with(&LaunchOptions { listener: Some(&socket), ..LaunchOptions::default() });
-    let mut first = start();
-    assert_eq!(Some(first.addr), socket.local_addr().ok());
-    assert_eq!(first.send_request(&TestRequest::new("a")).status(), 200);
-    first.terminate();
-    assert!(first.wait_for_exit().success());
+    let mut first_process = start();
+    assert_eq!(Some(first_process.addr), socket.local_addr().ok());
+    assert_eq!(first_process.send_request(&TestRequest::new("a")).status(), 200);
+    first_process.terminate();
+    assert!(first_process.wait_for_exit().success());
     // This client connects while no process accepts, and the next process serves it.
-    let mut waiting_client = first.connect();
+    let mut waiting_client = first_process.connect();
     waiting_client.send(&TestRequest::new("b"));
-    let _second = start();
+    let _second_process = start();
     assert_eq!(waiting_client.read_response().map(|response| response.status()), Some(200));
 }
 
@@ -194,13 +194,13 @@
     predecessor.wait_for_log("taken out of maintenance endpoint=w0");
     assert_eq!(successor.operator_call("PUT /workers/w1/maint").status(), 200);
     std::fs::write(temp_dir.path.join("oliverack-n0.out.json"), "{").expect("a writable folder");
-    let third = builder.start_with(&shared_launch_options(&socket, &temp_dir));
+    let third_process = builder.start_with(&shared_launch_options(&socket, &temp_dir));
     predecessor.wait_for_log("processes=3");
-    assert_eq!(third.operator_call("GET /stats").status(), 200);
+    assert_eq!(third_process.operator_call("GET /stats").status(), 200);
     drop((predecessor, successor));
-    third.wait_for_log("processes=1");
+    third_process.wait_for_log("processes=1");
     for i in 0..20 {
-        let response = third.send_request(&TestRequest::at_most_once(&format!("c{i}")));
+        let response = third_process.send_request(&TestRequest::at_most_once(&format!("c{i}")));
         assert!(
             response.status() == 429 || response.body == b"one",
             "w1 is in maintenance, w0 may be in slow start"
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -437,8 +437,8 @@
 fn assert_digests(runs: &[(u32, u32, u64)], scenario: Scenario) {
     let digests: Vec<(u32, u32, u64)> = runs
         .iter()
-        .map(|&(gateways, endpoints, _)| {
-            (gateways, endpoints, RandomRun::new(gateways, endpoints, scenario).digest())
+        .map(|&(gateway_count, endpoint_count, _)| {
+            (gateway_count, endpoint_count, RandomRun::new(gateway_count, endpoint_count, scenario).digest())
         })
         .collect();
     assert_eq!(digests, runs);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -13,22 +13,22 @@
 #[test]
 fn reload_switches_discovery_and_counter_without_losing_requests() {
     let gate = Arc::new(Gate::default());
-    let (old, new) = (
+    let (old_endpoint, new_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::RespondAfter(gate.clone())),
         FakeEndpoint::start(EndpointBehaviour::Respond("new")),
     );
     let (old_counter, new_counter) =
         (FakeCounter::start(CounterBehaviour::Normal), FakeCounter::start(CounterBehaviour::Normal));
-    let (mut builder, _discovery) = NodeBuilder::new(&[&old]);
+    let (mut builder, _discovery) = NodeBuilder::new(&[&old_endpoint]);
     builder.counter(old_counter.addr);
     let node = builder.start();
     let mut client = node.connect();
     client.send(&TestRequest::new("held").with_header("X-Plan", "pieni"));
     old_counter.next_call();
-    old.next_request();
+    old_endpoint.next_request();
     // The new discovery service numbers its versions separately and lower, so only its complete list shows that the old
     // endpoint is gone.
-    let new_discovery = FakeDiscovery::start(&[endpoint_entry("w9", new.addr, "SERVING")]);
+    let new_discovery = FakeDiscovery::start(&[endpoint_entry("w9", new_endpoint.addr, "SERVING")]);
     builder.discovery(new_discovery.addr).counter(new_counter.addr);
     node.reload(&builder.config().to_string());
     node.wait_for_log("configuration reloaded");
@@ -48,11 +48,11 @@
 
 #[test]
 fn invalid_reload_keeps_old_configuration_and_next_valid_one_applies() {
-    let (old, new) = (
+    let (old_endpoint, new_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("old")),
         FakeEndpoint::start(EndpointBehaviour::Respond("new")),
     );
-    let (mut builder, discovery) = NodeBuilder::new(&[&old]);
+    let (mut builder, discovery) = NodeBuilder::new(&[&old_endpoint]);
     let node = builder.start();
     discovery.wait_until_applied(1);
     for invalid_config in ["{", "", "{\"discovery\":\"nowhere\"}"] {
@@ -61,10 +61,10 @@
         assert_eq!(node.send_request(&TestRequest::new("a")).body, b"old");
     }
     // The gateway still follows the old discovery service, and after the next reload the new one.
-    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w1", new.addr, "SERVING")));
-    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", old.addr, "DELETED")));
+    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w1", new_endpoint.addr, "SERVING")));
+    discovery.wait_until_applied(discovery.update_entry(endpoint_entry("w0", old_endpoint.addr, "DELETED")));
     assert_eq!(node.send_request(&TestRequest::new("b")).body, b"new");
-    let new_discovery = FakeDiscovery::start(&[endpoint_entry("w0", old.addr, "SERVING")]);
+    let new_discovery = FakeDiscovery::start(&[endpoint_entry("w0", old_endpoint.addr, "SERVING")]);
     builder.discovery(new_discovery.addr);
     node.reload(&builder.config().to_string());
     new_discovery.wait_until_applied(1);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -9,8 +9,8 @@
 /// A fleet, its endpoints and their load.
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
-    gateways: u32,
-    endpoints: u32,
+    gateway_count: u32,
+    endpoint_count: u32,
     /// Units per second that an endpoint serves after its slow start.
     capacity: f64,
     /// Requested share of the capacity of all endpoints.
@@ -56,7 +56,7 @@
 
 fn gateway(index: u32, scenario: Scenario, seed: u64, now: Time, endpoints: &[Endpoint]) -> GatewayHarness {
     let mut settings = slow_start_settings();
-    settings.gateway_count = scenario.gateways;
+    settings.gateway_count = scenario.gateway_count;
     GatewayHarness::builder(settings)
         .gateway_index(index)
         .seed(seed)
@@ -74,17 +74,17 @@
             let started = if i % scenario.restart_stride == 0 { started } else { 0.0 };
             endpoint(&format!("s{i:03}"), Lifecycle::Running, started)
         };
-        (0..scenario.endpoints).map(endpoint).collect()
+        (0..scenario.endpoint_count).map(endpoint).collect()
     };
     let (list_before, list_after) = (list(0.0), list(RESTART_TIME));
-    let mut gateways: Vec<GatewayHarness> = (0..scenario.gateways)
+    let mut gateways: Vec<GatewayHarness> = (0..scenario.gateway_count)
         .map(|index| gateway(index, scenario, u64::from(index) * 7919 + seed, 100.0, &list_before))
         .collect();
     // Some gateways receive several times as many requests as others.
     let weights: Vec<f64> =
         gateways.iter().map(|_| [0.4, 0.6, 0.8, 1.0, 2.2][random.0.usize(0..5)]).collect();
     let rate =
-        scenario.load * scenario.capacity * f64::from(scenario.endpoints) / weights.iter().sum::<f64>();
+        scenario.load * scenario.capacity * f64::from(scenario.endpoint_count) / weights.iter().sum::<f64>();
     let notified_at: Vec<Time> = gateways.iter().map(|_| RESTART_TIME + 0.8 + 4.1 * random.0.f64()).collect();
     let (mut attempts, mut request_number): (BTreeMap<EndpointId, Vec<Time>>, u64) = (BTreeMap::new(), 0);
     let mut now = 100.0;
@@ -154,17 +154,18 @@
     let requested = 18.0
         * scenario.load
         * scenario.capacity
-        * f64::from(scenario.endpoints.div_ceil(scenario.restart_stride));
+        * f64::from(scenario.endpoint_count.div_ceil(scenario.restart_stride));
     (largest_excess, total / requested)
 }
 
 /// Asserts that small and large fleets with endpoints of high and low capacity keep the allowance.
 fn assert_allowance_is_kept(restart_stride: u32, load: f64, surge_factor: f64) {
-    for (gateways, endpoints) in
+    for (gateway_count, endpoint_count) in
         [(1, 9), (3, 9), (12, 12), (30, 9), (30, 40), (100, 60), (300, 200), (680, 450)]
     {
         for capacity in [2.0, 20.0] {
-            let scenario = Scenario { gateways, endpoints, capacity, load, restart_stride, surge_factor };
+            let scenario =
+                Scenario { gateway_count, endpoint_count, capacity, load, restart_stride, surge_factor };
             let (largest_excess, share) = excess_and_share(scenario);
             assert!(
                 largest_excess <= 0.0,
