--- a/src/policy/admission/leasing.rs
+++ b/src/policy/admission/leasing.rs
@@ -21,7 +21,7 @@
     settings::{Plan, Settings},
 };
 
-/// Share of the counter's timeout that a request may wait for a reply; a few milliseconds.
+/// Longest wait of a request for the counter's reply, as a share of `counter_timeout`.
 const MAX_REPLY_WAIT_SHARE: f64 = 0.4;
 /// Units up to which a count is taken for zero, because of rounding.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
@@ -41,7 +41,7 @@
         Self { counter: CounterCaller::new(gateway_count), unreported }
     }
 
-    /// Returns the time that a request may wait for the counter's reply.
+    /// Returns the longest time that a request may wait for the counter's reply.
     pub fn max_wait(settings: &Settings) -> Seconds {
         MAX_REPLY_WAIT_SHARE * settings.counter_timeout
     }
@@ -154,12 +154,12 @@
         let plan_index = customer.plan_index;
         if let Some(correction) = settlement.correction {
             let key = CountKey { plan_index, ..call.key.clone() };
-            self.follow_up(key, correction, CallPurpose::Correct, current, context);
+            self.call_for_settlement(key, correction, CallPurpose::Correct, current, context);
         }
         if settlement.must_read_previous {
             let window = call.key.window - 1;
             let key = CountKey { plan_index, window, ..call.key.clone() };
-            self.follow_up(key, 0.0, CallPurpose::ReadPrevious, current, context);
+            self.call_for_settlement(key, 0.0, CallPurpose::ReadPrevious, current, context);
         }
     }
 
@@ -180,11 +180,13 @@
         if let Some(missing) = customer.quota.settle_previous(total, current, plan) {
             let key =
                 CountKey { plan_index: customer.plan_index, window: current.number, ..call.key.clone() };
-            self.follow_up(key, missing, CallPurpose::Correct, current, context);
+            self.call_for_settlement(key, missing, CallPurpose::Correct, current, context);
         }
     }
 
-    fn follow_up(
+    /// Makes a counter call that a settlement requires: a correction of a count, or a read of the previous
+    /// window's count.
+    fn call_for_settlement(
         &mut self,
         key: CountKey,
         amount: f64,
