--- a/src/policy/admission/control.rs
+++ b/src/policy/admission/control.rs
@@ -162,7 +162,7 @@
             let missing = customer.quota.missing_units(context.now, &plan, request.units);
             return Admission::Reject { retry_after: missing / plan.rate };
         }
-        customer.even_share.take_down_to_zero(request.units);
+        customer.even_share.saturating_take(request.units);
         customer.ceiling.spend(request.units);
         Admission::Admit
     }
@@ -189,10 +189,10 @@
         match source {
             UnitSource::Lease => {
                 customer.quota.spend_lease(units);
-                customer.even_share.take_down_to_zero(0.0);
+                customer.even_share.saturating_take(0.0);
             }
             UnitSource::EvenShare => {
-                customer.even_share.take_down_to_zero(units);
+                customer.even_share.saturating_take(units);
                 self.record_unreported(candidate, units);
             }
         }
--- a/src/primitives/token_bucket.rs
+++ b/src/primitives/token_bucket.rs
@@ -19,8 +19,8 @@
         self.level
     }
 
-    /// Takes tokens, then raises a negative level to 0.
-    pub fn take_down_to_zero(&mut self, tokens: f64) {
+    /// Takes tokens; the level saturates at 0 instead of becoming or staying negative.
+    pub fn saturating_take(&mut self, tokens: f64) {
         self.level = (self.level - tokens).max(0.0);
     }
 }
