--- a/src/node/wire/request_head.rs
+++ b/src/node/wire/request_head.rs
@@ -75,7 +75,7 @@
 /// Returns an error if the head is malformed or too large.
 pub fn take_head(buffer: &mut BytesMut, scanned_bytes: &mut usize) -> Result<Option<RequestHead>, HeadError> {
     let is_first_scan = *scanned_bytes == 0;
-    let may_be_complete = contains_empty_line(buffer, scanned_bytes.saturating_sub(3));
+    let may_be_complete = may_contain_head_end(buffer, scanned_bytes.saturating_sub(3));
     *scanned_bytes = buffer.len();
     // The first bytes are parsed to reject at once what is not HTTP. After that the head is parsed only when it may be
     // complete, not for each byte of a head that arrives byte by byte.
@@ -89,8 +89,9 @@
     if buffer.len() >= MAX_HEAD_BYTES { Err(HeadError::TooLarge) } else { Ok(None) }
 }
 
-/// Returns whether the buffer contains an empty line at or after `from`, or ends with the start of one.
-fn contains_empty_line(buffer: &[u8], from: usize) -> bool {
+/// Returns whether the buffer may contain the end of a head at or after `from`: an empty line, or the start of one at
+/// the end of the buffer.
+fn may_contain_head_end(buffer: &[u8], from: usize) -> bool {
     buffer[from..].windows(2).enumerate().any(|(index, pair)| {
         let next = buffer.get(from + index + 2);
         pair == b"\n\n" || (pair == b"\n\r" && next.is_none_or(|byte| *byte == b'\n'))
