--- a/src/node/hot_restart/predecessor.rs
+++ b/src/node/hot_restart/predecessor.rs
@@ -13,9 +13,9 @@
 use tokio::{net::UnixStream, time::timeout};
 use tracing::warn;
 
-/// Result of connecting to the predecessors.
+/// Result of connecting to the predecessors and binding the listener for successors.
 #[derive(Default)]
-pub struct Takeover {
+pub struct HotRestartSetup {
     /// True if at least one predecessor has sent its snapshot.
     pub has_predecessor: bool,
     /// Listener for successors; `None` if there is no shared folder, or no socket can be bound in it.
@@ -23,8 +23,10 @@
 }
 
 /// Connects to the predecessors, takes over their state, and binds the listener for successors.
-pub async fn connect_to_predecessors(table: &Rc<ReplicaTable>, handler: &SharedHandler) -> Takeover {
-    let Some(folder) = SharedFolder::from_env(table.gateway_name()) else { return Takeover::default() };
+pub async fn connect_to_predecessors(table: &Rc<ReplicaTable>, handler: &SharedHandler) -> HotRestartSetup {
+    let Some(folder) = SharedFolder::from_env(table.gateway_name()) else {
+        return HotRestartSetup::default();
+    };
     let mut has_predecessor = false;
     for path in folder.socket_paths().iter().take(MAX_PEERS) {
         match connect(table, handler, path).await {
@@ -43,7 +45,7 @@
             None
         }
     };
-    Takeover { has_predecessor, successor_listener }
+    HotRestartSetup { has_predecessor, successor_listener }
 }
 
 /// Performs the handshake with the process that listens at `path`, and adds the process as a peer.
--- a/src/node/tasks.rs
+++ b/src/node/tasks.rs
@@ -79,11 +79,11 @@
 /// in maintenance that the last process stored.
 async fn connect_to_replicas(driver: &Rc<Driver>, tasks: &mut JoinSet<()>) {
     let handler: peer_connection::SharedHandler = driver.clone();
-    let takeover = predecessor::connect_to_predecessors(driver.replicas(), &handler).await;
-    if !takeover.has_predecessor {
+    let setup = predecessor::connect_to_predecessors(driver.replicas(), &handler).await;
+    if !setup.has_predecessor {
         driver.maintenance().restore();
     }
-    if let Some(listener) = takeover.successor_listener {
+    if let Some(listener) = setup.successor_listener {
         tasks.spawn_local(successor::accept_successors(driver.replicas().clone(), handler, listener));
     }
 }
