--- a/src/bin/oliverack-sim/main.rs
+++ b/src/bin/oliverack-sim/main.rs
@@ -2,10 +2,10 @@
 //! actions to the simulator's decisions, and decides nothing itself.
 #![forbid(unsafe_code)]
 
-mod host;
+mod simulated_gateways;
 mod wire;
 
-use host::Host;
+use simulated_gateways::SimulatedGateways;
 use std::{
     io::{self, BufRead, Write},
     process::ExitCode,
@@ -39,14 +39,14 @@
 fn serve() -> Result<(), AdapterError> {
     let stdin = io::stdin().lock();
     let mut stdout = io::stdout().lock();
-    let mut host = Host::default();
+    let mut gateways = SimulatedGateways::default();
     for line in stdin.lines() {
         let line = line.map_err(AdapterError::Input)?;
         if line.trim().is_empty() {
             continue;
         }
         let batch: Batch = serde_json::from_str(&line).map_err(AdapterError::MalformedBatch)?;
-        let reply = host
+        let reply = gateways
             .handle_batch(&batch)
             .map_err(|error| AdapterError::Message { batch: batch.number, error })?;
         writeln!(stdout, "{reply}").and_then(|()| stdout.flush()).map_err(AdapterError::Output)?;
--- a/src/bin/oliverack-sim/host.rs
+++ b/src/bin/oliverack-sim/simulated_gateways.rs
@@ -7,12 +7,12 @@
 
 /// The simulated gateways by their number, and the reader of the messages to them.
 #[derive(Default)]
-pub struct Host {
+pub struct SimulatedGateways {
     gateways: BTreeMap<u64, Gateway>,
     reader: Reader,
 }
 
-impl Host {
+impl SimulatedGateways {
     /// Applies the messages of a batch in order and returns the reply.
     ///
     /// # Errors
--- a/src/bin/oliverack-sim/wire/error.rs
+++ b/src/bin/oliverack-sim/wire/error.rs
@@ -1,6 +1,6 @@
 //! Errors in the simulator's messages. Their texts use the names of the simulator's format.
 
-use crate::wire::row::FieldError;
+use crate::wire::positional_values::FieldError;
 use oliverack::{OptionsError, SettingsError};
 use thiserror::Error;
 
--- a/src/bin/oliverack-sim/wire/mod.rs
+++ b/src/bin/oliverack-sim/wire/mod.rs
@@ -3,8 +3,8 @@
 
 mod batch;
 mod error;
+mod positional_values;
 mod reader;
-mod row;
 mod writer;
 
 pub use batch::{Batch, Inbox};
--- a/src/bin/oliverack-sim/wire/row.rs
+++ b/src/bin/oliverack-sim/wire/positional_values.rs
@@ -41,13 +41,13 @@
 
 /// The positional values of a message, or of an endpoint in a list.
 #[derive(Debug, Clone, Copy)]
-pub struct Row<'a> {
+pub struct PositionalValues<'a> {
     message: &'static str,
     values: &'a [Value],
 }
 
-impl<'a> Row<'a> {
-    /// Creates a row of values. Errors name `message` as their source.
+impl<'a> PositionalValues<'a> {
+    /// Wraps the values of a message. Errors name `message` as their source.
     pub fn new(message: &'static str, values: &'a [Value]) -> Self {
         Self { message, values }
     }
