--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -4,7 +4,7 @@
 use super::{
     Error,
     bounds::BOUND_MEMORY_MB,
-    program_row::{MICROSECONDS_PER_SECOND, Row, TestBed},
+    program_row::{MICROSECONDS_PER_SECOND, ProgramRow, TestBed},
     report::{Axis, BASE_SIZE, RowKey},
     stand_in_discovery::ListFormat,
 };
@@ -47,7 +47,7 @@
 
 /// One of the two builds with its running process.
 struct Candidate<'a> {
-    row: Row<'a>,
+    row: ProgramRow<'a>,
     test_bed: TestBed,
     sent: u64,
 }
@@ -59,7 +59,7 @@
         }
         let row_key =
             RowKey { axis: Axis::Endpoints, gateways: arguments.gateways, size: arguments.endpoints };
-        let row = Row {
+        let row = ProgramRow {
             program,
             row_key,
             requests: arguments.requests,
--- a/lab/src/process/program.rs
+++ b/lab/src/process/program.rs
@@ -3,7 +3,7 @@
 use super::{
     Error,
     bounds::{self, BOUND_MEMORY_MB},
-    program_row::{self, Row},
+    program_row::{self, ProgramRow},
     report::{Axis, Report, RowKey},
     rounds::{CHECK_POSITION, RoundArguments},
 };
@@ -115,12 +115,12 @@
     arguments.round_arguments.publish("program", &report, bounds)
 }
 
-fn row<'a>(arguments: &Arguments, program: &'a Path, row_key: RowKey) -> Row<'a> {
+fn row<'a>(arguments: &Arguments, program: &'a Path, row_key: RowKey) -> ProgramRow<'a> {
     let memory_mb = match row_key.axis {
         Axis::Endpoints => arguments.memory_mb,
         Axis::Tenants => arguments.tenant_memory_mb,
     };
-    Row {
+    ProgramRow {
         program,
         row_key,
         requests: arguments.requests,
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -44,7 +44,7 @@
 
 /// Program, load and limits of a row.
 #[derive(Debug)]
-pub struct Row<'a> {
+pub struct ProgramRow<'a> {
     /// Path of the built program.
     pub program: &'a Path,
     /// Key of the row in the report.
@@ -59,7 +59,7 @@
     pub memory_mb: usize,
 }
 
-impl Row<'_> {
+impl ProgramRow<'_> {
     fn endpoints(&self) -> usize {
         match self.row_key.axis {
             Axis::Endpoints => self.row_key.size,
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// A stand-in or the program does not start, or the program does not watch discovery in time.
-    pub fn start(row: &Row<'_>) -> Result<Self, Error> {
+    pub fn start(row: &ProgramRow<'_>) -> Result<Self, Error> {
         let endpoints = StandInEndpoints::start()?;
         let entry = |number| ListEntry::new(number, endpoints.address(number), EntryState::Serving);
         let entries: Vec<ListEntry> = (0..row.endpoints()).map(entry).collect();
@@ -167,7 +167,7 @@
 
 /// Row that is being measured.
 struct RowBenchmark<'a> {
-    row: &'a Row<'a>,
+    row: &'a ProgramRow<'a>,
     report: &'a mut Report,
     test_bed: TestBed,
     /// Number of requests sent so far.
@@ -178,7 +178,7 @@
 ///
 /// # Errors
 /// A measurement could not be made. The values of earlier measurements stay in the report.
-pub fn measure(row: &Row<'_>, report: &mut Report) -> Result<(), Error> {
+pub fn measure(row: &ProgramRow<'_>, report: &mut Report) -> Result<(), Error> {
     let test_bed = TestBed::start(row)?;
     let mut benchmark = RowBenchmark { row, report, test_bed, sent: 0 };
     match row.row_key.axis {
