--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -1,6 +1,6 @@
 //! Clients of all tenants, and the load balancer that forwards their requests to the gateways.
 
-use super::context::Context;
+use super::context::RunContext;
 use super::event::ScheduledEvent;
 use super::gateway_fleet::GatewayFleet;
 use crate::fleet::event_queue::RUN_START;
@@ -38,7 +38,7 @@
 
 impl ClientModel {
     /// Draws the tenants of a run.
-    pub fn new(context: &Context, seed: u64) -> Self {
+    pub fn new(context: &RunContext, seed: u64) -> Self {
         Self {
             tenants: tenants::draw(&context.configuration, &mut stream(seed, Stream::Tenants)),
             arrival_generator: stream(seed, Stream::Arrivals),
@@ -47,13 +47,13 @@
     }
 
     /// Schedules the first arrival candidate of each tenant.
-    pub fn schedule_first_arrivals(&mut self, context: &mut Context) {
+    pub fn schedule_first_arrivals(&mut self, context: &mut RunContext) {
         for tenant in 0..self.tenants.len() {
             self.schedule_arrival(context, tenant);
         }
     }
 
-    fn schedule_arrival(&mut self, context: &mut Context, tenant: usize) {
+    fn schedule_arrival(&mut self, context: &mut RunContext, tenant: usize) {
         let arrivals_end_at = RUN_START + context.configuration.seconds;
         let candidate_time =
             self.tenants[tenant].next_arrival_candidate(context.now(), &mut self.arrival_generator);
@@ -64,7 +64,7 @@
 
     /// Handles an arrival candidate of a tenant: schedules the next one, and returns the demand if this one is
     /// accepted.
-    pub fn handle_arrival_candidate(&mut self, context: &mut Context, tenant: usize) -> Option<Demand> {
+    pub fn handle_arrival_candidate(&mut self, context: &mut RunContext, tenant: usize) -> Option<Demand> {
         self.schedule_arrival(context, tenant);
         if !self.tenants[tenant].accepts_candidate(context.now(), &mut self.arrival_generator) {
             return None;
@@ -74,7 +74,7 @@
         Some(demand)
     }
 
-    fn draw_demand(&mut self, context: &Context, tenant: usize) -> Demand {
+    fn draw_demand(&mut self, context: &RunContext, tenant: usize) -> Demand {
         let configuration = &context.configuration;
         let now = context.now();
         let generator = &mut self.arrival_generator;
@@ -100,7 +100,7 @@
     }
 
     /// Chooses one of the tenant's gateways by weight, and skips those that the load balancer has detected as down.
-    fn route(&mut self, context: &Context, gateways: &GatewayFleet, tenant: usize) -> Route {
+    fn route(&mut self, context: &RunContext, gateways: &GatewayFleet, tenant: usize) -> Route {
         let detection_delay = context.configuration.clients.failure_detection_delay;
         let tenant = &self.tenants[tenant];
         let first_offset = weighted_index(&mut self.choice_generator, &tenant.gateway_weights);
@@ -120,7 +120,7 @@
     /// lost because its gateway is down.
     pub fn submit(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         gateways: &mut GatewayFleet,
         requests: &mut RequestTable,
         demand: Demand,
@@ -152,7 +152,7 @@
         Some(Submission { gateway, request })
     }
 
-    fn request_bytes(&self, context: &Context, demand: &Demand) -> u64 {
+    fn request_bytes(&self, context: &RunContext, demand: &Demand) -> u64 {
         let tenant = &self.tenants[demand.tenant];
         let quota = QuotaHeaders {
             plan: &context.configuration.plans[tenant.plan].name,
@@ -165,7 +165,7 @@
     }
 
     /// Charges the tenant's true quota and ceiling for a submission whose first attempt is being sent.
-    pub fn charge_quota(&mut self, context: &mut Context, demand: &Demand) {
+    pub fn charge_quota(&mut self, context: &mut RunContext, demand: &Demand) {
         let now = context.now();
         let tenant = &mut self.tenants[demand.tenant];
         let is_within_quota = tenant.forwarded_quota.try_take(now, demand.units);
@@ -184,7 +184,7 @@
     }
 
     /// Handles a rejection at the client, which schedules a retry or gives up.
-    pub fn handle_rejection(&mut self, context: &mut Context, demand: Demand, retry_after: Seconds) {
+    pub fn handle_rejection(&mut self, context: &mut RunContext, demand: Demand, retry_after: Seconds) {
         let clients = &context.configuration.clients;
         let backoff = if retry_after > 0.0 { retry_after } else { clients.default_backoff };
         let will_retry = demand.retries < clients.max_retries
@@ -213,7 +213,7 @@
 }
 
 /// Records that a client has got the response of an endpoint.
-pub fn record_served(context: &mut Context, demand: &Demand) {
+pub fn record_served(context: &mut RunContext, demand: &Demand) {
     let latency = context.now() - demand.submitted_at;
     let is_late = latency > context.configuration.classes[demand.class].latency_objective;
     context.measures.record_latency(latency);
@@ -222,7 +222,7 @@
 }
 
 /// Counts the outcome of a demand.
-pub fn count_outcome(context: &mut Context, demand: &Demand, outcome: DemandOutcome) {
+pub fn count_outcome(context: &mut RunContext, demand: &Demand, outcome: DemandOutcome) {
     let now = context.now();
     context.measures.count_outcome(now, outcome, demand.in_quota_weight());
 }
--- a/lab/src/fleet/simulation/context.rs
+++ b/lab/src/fleet/simulation/context.rs
@@ -10,7 +10,7 @@
 
 /// Context of a run that is passed to its models. Holds no state of any model.
 #[derive(Debug)]
-pub struct Context {
+pub struct RunContext {
     /// Configuration of the run.
     pub configuration: Configuration,
     /// Counts of the run so far.
@@ -18,7 +18,7 @@
     event_queue: EventQueue<ScheduledEvent>,
 }
 
-impl Context {
+impl RunContext {
     /// Returns the context at the start of a run.
     pub fn new(configuration: Configuration) -> Self {
         let measures = Measures::new(configuration.gateways.count as usize);
--- a/lab/src/fleet/simulation/counter_service.rs
+++ b/lab/src/fleet/simulation/counter_service.rs
@@ -1,6 +1,6 @@
 //! Calls from gateways to the counter, and the responses to them.
 
-use super::context::Context;
+use super::context::RunContext;
 use super::event::{CounterCall, ScheduledEvent};
 use super::gateway_fleet::GatewayFleet;
 use crate::fleet::counter::{CallAdmission, Counter};
@@ -25,7 +25,7 @@
 
 impl CounterService {
     /// Returns the counter, without entries, at the start of a run.
-    pub fn new(context: &Context, seed: u64) -> Self {
+    pub fn new(context: &RunContext, seed: u64) -> Self {
         let configuration = &context.configuration;
         let mut calls = Vec::new();
         calls.resize_with(configuration.gateways.count as usize, CounterCalls::default);
@@ -45,7 +45,7 @@
     /// Starts a call that adds to an entry. If there is no counter, the connection fails at once.
     pub fn start_call(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         from: GatewayAddress,
         name: u64,
         amount: f64,
@@ -72,12 +72,12 @@
         }
     }
 
-    fn is_cut_off(&self, context: &Context, address: GatewayAddress) -> bool {
+    fn is_cut_off(&self, context: &RunContext, address: GatewayAddress) -> bool {
         self.zone_is_cut[context.gateway_zone(address.gateway) as usize]
     }
 
     /// Handles the arrival of a call at the counter.
-    pub fn call_arrived(&mut self, context: &mut Context, gateways: &GatewayFleet, call: CounterCall) {
+    pub fn call_arrived(&mut self, context: &mut RunContext, gateways: &GatewayFleet, call: CounterCall) {
         let Some(counter) = &mut self.counter else { return };
         let admission = counter.admit(context.now(), call.key.name);
         if admission != CallAdmission::NoResponse {
@@ -97,7 +97,7 @@
     }
 
     /// Completes the service of a call. The amount is added even if the caller no longer waits.
-    pub fn call_served(&mut self, context: &mut Context, gateways: &GatewayFleet, call: CounterCall) {
+    pub fn call_served(&mut self, context: &mut RunContext, gateways: &GatewayFleet, call: CounterCall) {
         let Some(counter) = &mut self.counter else { return };
         let total = counter.add(context.now(), call.key.name, call.amount, call.ttl);
         if !self.is_awaited(gateways, call.from, call.key) {
@@ -113,7 +113,7 @@
 
     fn respond(
         &self,
-        context: &mut Context,
+        context: &mut RunContext,
         gateways: &GatewayFleet,
         call: CounterCall,
         result: CallResult,
@@ -136,7 +136,7 @@
     /// Returns none if the call or the incarnation that made it has ended before.
     pub fn call_ended(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         gateways: &GatewayFleet,
         to: GatewayAddress,
         call: CallKey,
@@ -174,7 +174,7 @@
     }
 
     /// Removes a random share of the counter's entries.
-    pub fn lose_entries(&mut self, context: &mut Context, share: f64) {
+    pub fn lose_entries(&mut self, context: &mut RunContext, share: f64) {
         if let Some(counter) = &mut self.counter {
             let lost = counter.lose_entries(share, &mut self.entry_loss_generator);
             context.measures.counter_calls.entries_lost += lost as u64;
--- a/lab/src/fleet/simulation/discovery_service.rs
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -1,6 +1,6 @@
 //! Distribution of the endpoint list to the gateways by polls and watches, with propagation delays.
 
-use super::context::Context;
+use super::context::RunContext;
 use super::event::ScheduledEvent;
 use crate::fleet::discovery::{Discovery, PollResult, SharedList};
 use crate::fleet::gateways::GatewayAddress;
@@ -31,7 +31,7 @@
 
 impl DiscoveryService {
     /// Returns a service that lists these endpoints and that no gateway watches yet.
-    pub fn new(context: &Context, seed: u64, endpoints: Vec<Endpoint>) -> Self {
+    pub fn new(context: &RunContext, seed: u64, endpoints: Vec<Endpoint>) -> Self {
         let discovery = &context.configuration.discovery;
         let mut delay_generator = stream(seed, Stream::Discovery);
         let watch = |_| Watch {
@@ -45,7 +45,7 @@
 
     /// Handles the start of a gateway. The gateway gets the list that last reached its machine, which may be stale.
     /// Unless lists have to be polled for, it also gets the current one.
-    pub fn gateway_started(&mut self, context: &mut Context, gateway: GatewayAddress) {
+    pub fn gateway_started(&mut self, context: &mut RunContext, gateway: GatewayAddress) {
         let now = context.now();
         let watch = &mut self.watches[gateway.gateway];
         watch.last_response_at = now;
@@ -61,13 +61,13 @@
     }
 
     /// Ends the watch of a gateway whose incarnation has ended.
-    pub fn gateway_stopped(&mut self, context: &mut Context, gateway: usize) {
+    pub fn gateway_stopped(&mut self, context: &mut RunContext, gateway: usize) {
         self.count_idle_watches(context, gateway);
         self.watches[gateway].watcher = None;
     }
 
     /// Sends the current complete list to a gateway.
-    fn send_complete_list(&mut self, context: &mut Context, to: GatewayAddress, delay: Seconds) {
+    fn send_complete_list(&mut self, context: &mut RunContext, to: GatewayAddress, delay: Seconds) {
         let list = self.discovery.list_at(context.now());
         context.measures.fleet.complete_lists_sent += 1;
         let event = ScheduledEvent::EndpointListArrived { to, kind: ListKind::Full, list };
@@ -75,7 +75,7 @@
     }
 
     /// Sends a gateway's poll for the endpoint list. In push mode, the list is sent without queueing.
-    pub fn poll(&mut self, context: &mut Context, from: GatewayAddress) {
+    pub fn poll(&mut self, context: &mut RunContext, from: GatewayAddress) {
         count_message(context, from.gateway, wire_size::list_request());
         if context.discovery_is_polled() {
             context.schedule_after(poll_delay(context), ScheduledEvent::PollArrived(from));
@@ -86,7 +86,7 @@
     }
 
     /// Handles the arrival of a poll at the service, where it is queued.
-    pub fn poll_arrived(&mut self, context: &mut Context, from: GatewayAddress) {
+    pub fn poll_arrived(&mut self, context: &mut RunContext, from: GatewayAddress) {
         match self.discovery.poll(context.now()) {
             PollResult::Answered(answered_at) => {
                 context
@@ -102,7 +102,7 @@
     }
 
     /// Answers the poll of a running gateway with the complete list. The gateway watches for changes from then on.
-    pub fn poll_succeeded(&mut self, context: &mut Context, to: GatewayAddress) {
+    pub fn poll_succeeded(&mut self, context: &mut RunContext, to: GatewayAddress) {
         let watch = &mut self.watches[to.gateway];
         watch.watcher = Some(to);
         watch.last_response_at = context.now();
@@ -112,7 +112,7 @@
     /// Handles the arrival of a list at a running gateway and returns the notification for its policy.
     pub fn list_arrived(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         to: GatewayAddress,
         kind: ListKind,
         list: &SharedList,
@@ -132,7 +132,7 @@
     }
 
     /// Publishes the change of a list entry to all watching gateways.
-    pub fn publish(&mut self, context: &mut Context, change: Endpoint) {
+    pub fn publish(&mut self, context: &mut RunContext, change: Endpoint) {
         let list = self.discovery.record_change(context.now(), change);
         context.measures.fleet.list_changes += 1;
         for watch in &self.watches {
@@ -147,7 +147,7 @@
     /// Counts the messages of a gateway's watches that have ended without a change since its last response.
     ///
     /// Idle watches are counted afterwards and not simulated one by one, because they affect nothing but the traffic.
-    fn count_idle_watches(&mut self, context: &mut Context, gateway: usize) {
+    fn count_idle_watches(&mut self, context: &mut RunContext, gateway: usize) {
         let now = context.now();
         let watch_hold = context.configuration.discovery.watch_hold;
         let watch = &mut self.watches[gateway];
@@ -165,7 +165,7 @@
     }
 
     /// Counts the idle watches of all gateways at the end of a run.
-    pub fn count_all_idle_watches(&mut self, context: &mut Context) {
+    pub fn count_all_idle_watches(&mut self, context: &mut RunContext) {
         for gateway in 0..self.watches.len() {
             self.count_idle_watches(context, gateway);
         }
@@ -173,12 +173,12 @@
 }
 
 /// Returns the network delay between a gateway and the service that it polls.
-fn poll_delay(context: &Context) -> Seconds {
+fn poll_delay(context: &RunContext) -> Seconds {
     context.configuration.topology.delay_in_region
 }
 
 /// Counts a message between a gateway and discovery.
-fn count_message(context: &mut Context, gateway: usize, bytes: u64) {
+fn count_message(context: &mut RunContext, gateway: usize, bytes: u64) {
     context.measures.traffic.gateways[gateway].count(bytes);
     context.measures.traffic.discovery.count(bytes);
 }
--- a/lab/src/fleet/simulation/endpoint_fleet.rs
+++ b/lab/src/fleet/simulation/endpoint_fleet.rs
@@ -1,6 +1,6 @@
 //! All endpoints of a run: arrivals of attempts, service, and faults.
 
-use super::context::Context;
+use super::context::RunContext;
 use super::event::ScheduledEvent;
 use crate::fleet::configuration::Configuration;
 use crate::fleet::endpoints::{Admission, EndpointState, SimulatedEndpoint};
@@ -77,7 +77,7 @@
     /// Handles the arrival of an attempt at its endpoint. Does nothing if the attempt has ended at its gateway.
     pub fn attempt_arrived(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         requests: &RequestTable,
         attempt: AttemptKey,
         endpoint: usize,
@@ -95,7 +95,7 @@
         }
     }
 
-    fn start_service(&self, context: &mut Context, attempt: AttemptKey, endpoint: usize, seconds: f64) {
+    fn start_service(&self, context: &mut RunContext, attempt: AttemptKey, endpoint: usize, seconds: f64) {
         let simulated_endpoint = &self.endpoints[endpoint];
         let capacity = simulated_endpoint.capacity(context.now(), &context.configuration.endpoints);
         let incarnation = simulated_endpoint.incarnation();
@@ -107,7 +107,7 @@
     /// nothing if an earlier incarnation of the endpoint started the service.
     pub fn service_completed(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         requests: &RequestTable,
         attempt: AttemptKey,
         endpoint: usize,
@@ -131,7 +131,7 @@
     /// ended at the gateway.
     fn respond(
         &self,
-        context: &mut Context,
+        context: &mut RunContext,
         requests: &RequestTable,
         attempt: AttemptKey,
         endpoint: usize,
@@ -154,7 +154,7 @@
     /// Crashes a serving endpoint and returns the change of its list entry. Returns `None` if it is not serving.
     pub fn crash(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         requests: &RequestTable,
         endpoint: usize,
     ) -> Option<Endpoint> {
@@ -165,7 +165,7 @@
     /// Shuts a draining endpoint down and returns the change of its list entry. Returns `None` if it is not draining.
     pub fn remove(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         requests: &RequestTable,
         endpoint: usize,
     ) -> Option<Endpoint> {
@@ -176,7 +176,7 @@
     /// Stops an endpoint, resets the connections of its attempts, and returns the change of its list entry.
     fn shut_down(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         requests: &RequestTable,
         endpoint: usize,
         state: EndpointState,
@@ -189,7 +189,7 @@
 
     /// Starts a crashed endpoint again and returns the change of its list entry. Returns `None` if the endpoint has
     /// not crashed, or if its zone is lost; then it starts when the zone is restored.
-    pub fn restart(&mut self, context: &Context, endpoint: usize, zone_is_lost: bool) -> Option<Endpoint> {
+    pub fn restart(&mut self, context: &RunContext, endpoint: usize, zone_is_lost: bool) -> Option<Endpoint> {
         let simulated_endpoint = &mut self.endpoints[endpoint];
         if simulated_endpoint.state != EndpointState::Down {
             return None;
@@ -227,7 +227,7 @@
     }
 
     /// Adds an endpoint, which begins with its slow start, and returns its list entry.
-    pub fn add(&mut self, context: &Context) -> Endpoint {
+    pub fn add(&mut self, context: &RunContext) -> Endpoint {
         let index = self.endpoints.len();
         let zone = index as u32 % context.configuration.topology.zones;
         self.push(SimulatedEndpoint::new(&context.configuration.endpoints, zone, context.now()));
@@ -244,7 +244,7 @@
     }
 
     /// Starts the unreachable endpoints of a zone again and returns the changes of their list entries.
-    pub fn restore_zone(&mut self, context: &Context, zone: u32) -> Vec<Endpoint> {
+    pub fn restore_zone(&mut self, context: &RunContext, zone: u32) -> Vec<Endpoint> {
         let mut changes = Vec::new();
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -19,7 +19,7 @@
 use super::tenants::Tenant;
 use super::wire_size;
 use clients::{ClientModel, count_outcome, record_served};
-use context::Context;
+use context::RunContext;
 use counter_service::CounterService;
 use discovery_service::DiscoveryService;
 use endpoint_fleet::EndpointFleet;
@@ -35,7 +35,7 @@
 /// Simulated fleet with the models of its clients and services.
 #[derive(Debug)]
 pub struct Simulation {
-    context: Context,
+    context: RunContext,
     clients: ClientModel,
     gateways: GatewayFleet,
     endpoints: EndpointFleet,
@@ -71,7 +71,7 @@
     /// # Errors
     /// The policy rejects its settings.
     pub fn new(configuration: Configuration, seed: u64) -> Result<Self, SettingsError> {
-        let context = Context::new(configuration);
+        let context = RunContext::new(configuration);
         let endpoints = EndpointFleet::new(&context.configuration);
         let mut simulation = Self {
             clients: ClientModel::new(&context, seed),
