--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -40,7 +40,7 @@
     /// Draws the tenants of a run.
     pub fn new(context: &RunContext, seed: u64) -> Self {
         Self {
-            tenants: tenants::draw(&context.configuration, &mut stream(seed, Stream::Tenants)),
+            tenants: tenants::draw_tenants(&context.configuration, &mut stream(seed, Stream::Tenants)),
             arrival_generator: stream(seed, Stream::Arrivals),
             choice_generator: stream(seed, Stream::Clients),
         }
--- a/lab/src/fleet/tenants.rs
+++ b/lab/src/fleet/tenants.rs
@@ -127,7 +127,7 @@
 }
 
 /// Draws the plan, gateways and usage of all tenants.
-pub fn draw(configuration: &Configuration, generator: &mut ChaCha8Rng) -> Vec<Tenant> {
+pub fn draw_tenants(configuration: &Configuration, generator: &mut ChaCha8Rng) -> Vec<Tenant> {
     let plan_shares: Vec<f64> = configuration.plans.iter().map(|plan| plan.share).collect();
     let usage_shares: Vec<f64> = configuration.usage.iter().map(|usage| usage.share).collect();
     let mut tenants = Vec::new();
