--- a/lab/src/fleet/requests.rs
+++ b/lab/src/fleet/requests.rs
@@ -124,21 +124,21 @@
 #[derive(Debug, Default)]
 pub struct RequestTable {
     last_number: u64,
-    open: BTreeMap<u64, OpenRequest>,
+    open_requests: BTreeMap<u64, OpenRequest>,
 }
 
 impl RequestTable {
-    /// Opens a request and returns its number.
-    pub fn open(&mut self, demand: Demand, gateway: usize) -> u64 {
+    /// Inserts an open request and returns its number.
+    pub fn insert(&mut self, demand: Demand, gateway: usize) -> u64 {
         self.last_number += 1;
         let request = OpenRequest { demand, gateway, is_answered: false, attempts: Vec::new() };
-        self.open.insert(self.last_number, request);
+        self.open_requests.insert(self.last_number, request);
         self.last_number
     }
 
     /// Returns an open request; `None` if it is closed.
     pub fn get(&self, number: u64) -> Option<&OpenRequest> {
-        self.open.get(&number)
+        self.open_requests.get(&number)
     }
 
     /// Returns whether a request is answered or closed.
@@ -148,14 +148,14 @@
 
     /// Marks a request as answered. Returns `None` if it was answered before or is closed.
     pub fn answer(&mut self, number: u64) -> Option<AnsweredRequest> {
-        let request = self.open.get_mut(&number).filter(|request| !request.is_answered)?;
+        let request = self.open_requests.get_mut(&number).filter(|request| !request.is_answered)?;
         request.is_answered = true;
         Some(AnsweredRequest { demand: request.demand, gateway: request.gateway })
     }
 
     /// Adds an attempt to an open request. Returns `None` if the request is closed.
     pub fn start_attempt(&mut self, number: u64, endpoint: EndpointId, now: Time) -> Option<StartedAttempt> {
-        let request = self.open.get_mut(&number)?;
+        let request = self.open_requests.get_mut(&number)?;
         let key = AttemptKey { request: number, attempt: request.attempts.len() as u32 };
         request.attempts.push(SentAttempt { endpoint, sent_at: now, is_in_flight: true });
         Some(StartedAttempt { key, demand: request.demand, request_is_answered: request.is_answered })
@@ -163,7 +163,7 @@
 
     /// Ends an attempt. Returns `None` if it has ended before or its request is closed.
     pub fn end_attempt(&mut self, key: AttemptKey) -> Option<EndedAttempt> {
-        let request = self.open.get_mut(&key.request)?;
+        let request = self.open_requests.get_mut(&key.request)?;
         let attempt = request.attempts.get_mut(key.attempt as usize)?;
         if !attempt.is_in_flight {
             return None;
@@ -191,23 +191,23 @@
         if !self.get(number)?.is_finished() {
             return None;
         }
-        self.open.remove(&number).map(|request| request.gateway)
+        self.open_requests.remove(&number).map(|request| request.gateway)
     }
 
     /// Removes all requests at a gateway and returns them in the order of their numbers.
     pub fn remove_all_at(&mut self, gateway: usize) -> Vec<OpenRequest> {
         let numbers: Vec<u64> =
-            self.open.iter().filter(|(_, r)| r.gateway == gateway).map(|(n, _)| *n).collect();
-        numbers.iter().filter_map(|number| self.open.remove(number)).collect()
+            self.open_requests.iter().filter(|(_, r)| r.gateway == gateway).map(|(n, _)| *n).collect();
+        numbers.iter().filter_map(|number| self.open_requests.remove(number)).collect()
     }
 
     /// Returns the number of open requests.
     pub fn len(&self) -> usize {
-        self.open.len()
+        self.open_requests.len()
     }
 
     /// Returns whether no request is open.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.open_requests.is_empty()
     }
 }
--- a/lab/src/fleet/simulation/clients.rs
+++ b/lab/src/fleet/simulation/clients.rs
@@ -129,7 +129,7 @@
             count_outcome(context, &demand, DemandOutcome::Lost);
             return None;
         };
-        let number = requests.open(demand, gateway);
+        let number = requests.insert(demand, gateway);
         context.measures.submissions += 1;
         context.measures.max_open_requests = context.measures.max_open_requests.max(requests.len());
         let bytes = self.request_bytes(context, &demand);
--- a/lab/tests/fleet_requests.rs
+++ b/lab/tests/fleet_requests.rs
@@ -21,7 +21,7 @@
 /// Returns a table with one request, whose first attempt is in flight, and the key of the attempt.
 fn table_with_attempt_in_flight() -> (RequestTable, AttemptKey) {
     let mut requests = RequestTable::default();
-    let number = requests.open(demand(), GATEWAY);
+    let number = requests.insert(demand(), GATEWAY);
     let started = requests.start_attempt(number, "a".into(), 100.5).expect("an open request");
     (requests, started.key)
 }
@@ -73,7 +73,7 @@
 fn requests_of_stopped_gateway_are_removed_in_order() {
     let mut requests = RequestTable::default();
     let gateways = [GATEWAY, 4, GATEWAY];
-    let numbers = gateways.map(|gateway| requests.open(demand(), gateway));
+    let numbers = gateways.map(|gateway| requests.insert(demand(), gateway));
     requests.answer(numbers[2]);
     let removed_are_answered: Vec<bool> =
         requests.remove_all_at(GATEWAY).iter().map(|request| request.is_answered).collect();
