--- a/lab/src/process/policy_memory.rs
+++ b/lab/src/process/policy_memory.rs
@@ -50,17 +50,21 @@
     // A single gateway has all endpoints in its subset.
     let mut single = Driver::new(Scenario { gateways: 1, ..scenario })?;
     let Some(total_bytes) = measure_growth(|| single.update_list(row_key.size)) else { return Ok(()) };
-    let inside_bytes = total_bytes / row_key.size as f64;
+    let bytes_per_subset_endpoint = total_bytes / row_key.size as f64;
     let mut driver = Driver::new(scenario)?;
     let Some(idle_bytes) = measure_growth(|| driver.update_list(row_key.size)) else { return Ok(()) };
     let subset = reach_whole_subset(row_key, driver);
-    let added_bytes = subset.added_bytes / subset.size.max(1) as f64;
-    report.record(row_key, Metric::EndpointInsideBytes, inside_bytes);
-    report.record(row_key, Metric::EndpointRespondedBytes, inside_bytes + added_bytes);
+    let added_bytes_per_endpoint = subset.added_bytes / subset.size.max(1) as f64;
+    report.record(row_key, Metric::EndpointInsideBytes, bytes_per_subset_endpoint);
+    report.record(
+        row_key,
+        Metric::EndpointRespondedBytes,
+        bytes_per_subset_endpoint + added_bytes_per_endpoint,
+    );
     if subset.size < row_key.size && row_key.gateways > 1 {
-        let outside_bytes =
-            (idle_bytes - subset.size as f64 * inside_bytes) / (row_key.size - subset.size) as f64;
-        report.record(row_key, Metric::EndpointOutsideBytes, outside_bytes);
+        let bytes_per_other_endpoint = (idle_bytes - subset.size as f64 * bytes_per_subset_endpoint)
+            / (row_key.size - subset.size) as f64;
+        report.record(row_key, Metric::EndpointOutsideBytes, bytes_per_other_endpoint);
     }
     Ok(())
 }
