--- a/tests/discovery_failures.rs
+++ b/tests/discovery_failures.rs
@@ -20,7 +20,7 @@
 
 /// Stage at which a call fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Stage {
+enum FailureStage {
     /// The connection stays pending.
     Connecting,
     /// The connection is refused.
@@ -35,8 +35,14 @@
     Status,
 }
 
-const ALL_STAGES: [Stage; 6] =
-    [Stage::Connecting, Stage::Refused, Stage::Head, Stage::Body, Stage::Reset, Stage::Status];
+const ALL_STAGES: [FailureStage; 6] = [
+    FailureStage::Connecting,
+    FailureStage::Refused,
+    FailureStage::Head,
+    FailureStage::Body,
+    FailureStage::Reset,
+    FailureStage::Status,
+];
 
 fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
@@ -51,12 +57,12 @@
 
 /// Returns the time from a change at discovery to the next call of a gateway in a fleet of `gateway_count` if the watch
 /// that would deliver the change fails at `stage`.
-fn time_until_next_call(mode: &str, gateway_count: u32, stage: Stage) -> Duration {
+fn time_until_next_call(mode: &str, gateway_count: u32, stage: FailureStage) -> Duration {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
     let (mut builder, _unused_discovery) = NodeBuilder::new(&[&endpoint]);
     builder.settings["Discovery"] = json!(mode);
     builder.settings["PeersTotal"] = json!(gateway_count);
-    if stage == Stage::Refused {
+    if stage == FailureStage::Refused {
         let closed_port = ReservedPort::new();
         builder.discovery(closed_port.addr);
         let node = builder.start();
@@ -77,7 +83,7 @@
     // Discovery has the change from here on.
     let changed_at = Instant::now();
     match stage {
-        Stage::Connecting => {
+        FailureStage::Connecting => {
             // The backlog of one is full again, so that the next connection stays pending.
             let backlog_connection = TcpStream::connect(addr).expect("the connection that fills the backlog");
             drop(socket);
@@ -86,15 +92,15 @@
             drop(backlog_connection);
             listener.accept().expect("the connection that filled the backlog");
         }
-        Stage::Refused | Stage::Head => drop(thread::spawn(move || hold_until_closed(socket))),
-        Stage::Body => {
+        FailureStage::Refused | FailureStage::Head => drop(thread::spawn(move || hold_until_closed(socket))),
+        FailureStage::Body => {
             let (first_half, _) = body.split_at(body.len() / 2);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{first_half}", body.len());
             socket.write_all(head.as_bytes()).expect("the gateway reads");
             thread::spawn(move || hold_until_closed(socket));
         }
-        Stage::Reset => drop(socket),
-        Stage::Status => {
+        FailureStage::Reset => drop(socket),
+        FailureStage::Status => {
             let unavailable_response = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
             socket.write_all(unavailable_response).expect("the gateway reads");
         }
