--- a/tests/fakes/ports.rs
+++ b/tests/fakes/ports.rs
@@ -102,10 +102,11 @@
         wait_for_pending_connections(self.addr, 0);
     }
 
-    /// Like [`open`](Self::open), but requires one pending connection and waits until it is established.
-    pub fn open_for_pending_connection(self, behaviour: EndpointBehaviour) -> FakeEndpoint {
+    /// Like [`into_endpoint`](Self::into_endpoint), but requires one pending connection and waits until it is
+    /// established.
+    pub fn into_endpoint_for_pending_connection(self, behaviour: EndpointBehaviour) -> FakeEndpoint {
         assert_eq!(pending_connections(self.addr), 1, "number of pending connections");
-        let endpoint = self.open(behaviour);
+        let endpoint = self.into_endpoint(behaviour);
         wait_for_pending_connections(endpoint.addr, 0);
         endpoint
     }
@@ -117,8 +118,8 @@
         self.listener
     }
 
-    /// Frees the backlog and serves connections with `behaviour`.
-    pub fn open(self, behaviour: EndpointBehaviour) -> FakeEndpoint {
+    /// Frees the backlog and returns an endpoint that serves connections with `behaviour`.
+    pub fn into_endpoint(self, behaviour: EndpointBehaviour) -> FakeEndpoint {
         drop(self.backlog_connection);
         FakeEndpoint::start_on(self.listener, self.addr, behaviour)
     }
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -100,7 +100,7 @@
     for i in 0..40 {
         client.send(&request_with_long_timeout(&format!("p{i}")).with_header("X-Other", &"x".repeat(10_000)));
     }
-    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    let endpoint = saturated.into_endpoint(EndpointBehaviour::Respond("ok"));
     for i in 0..41 {
         assert_eq!(client.read_response().expect("a complete response").status(), 200, "{i}");
     }
@@ -145,7 +145,7 @@
     upload.body = (0..900_000u32).map(|i| (i % 251) as u8).collect();
     client.send(&upload);
     saturated.wait_for_pending_connections(1);
-    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    let endpoint = saturated.into_endpoint(EndpointBehaviour::Respond("ok"));
     assert_eq!(client.read_response().expect("a complete response").status(), 200);
     assert!(endpoint.next_request().1.body == upload.body, "unchanged");
 }
@@ -166,7 +166,7 @@
         assert!(client.read_response().is_none());
     }
     saturated.wait_for_pending_connections(1);
-    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    let endpoint = saturated.into_endpoint(EndpointBehaviour::Respond("ok"));
     assert_eq!(held.read_response().expect("a complete response").status(), 200);
     assert_eq!(endpoint.drain_requests().len(), 1);
 }
@@ -244,7 +244,8 @@
     let HedgedRequest { builder, node, mut client, _discovery } = hedged_request;
     let mut opened_endpoint = None;
     node.reload_while(&builder.config().to_string(), || {
-        opened_endpoint = Some(saturated.open_for_pending_connection(EndpointBehaviour::Respond("late")));
+        opened_endpoint =
+            Some(saturated.into_endpoint_for_pending_connection(EndpointBehaviour::Respond("late")));
         // Until the idempotency window of four seconds has passed.
         std::thread::sleep(Duration::from_secs(5).saturating_sub(sent_at.elapsed()));
     });
@@ -276,7 +277,7 @@
             _ => {}
         }
         discovery.wait_until_applied(discovery.update_entry(changed_entry));
-        let opened_endpoint = saturated.open(EndpointBehaviour::Respond("late"));
+        let opened_endpoint = saturated.into_endpoint(EndpointBehaviour::Respond("late"));
         let response = client.read_response().expect("a complete response");
         assert_eq!((response.status(), response.body.as_slice()), (200, b"elsewhere".as_slice()), "{change}");
         assert_eq!(opened_endpoint.drain_requests().len(), 0, "{change}");
