--- a/src/node/hot_restart/predecessor.rs
+++ b/src/node/hot_restart/predecessor.rs
@@ -15,7 +15,7 @@
 
 /// Result of connecting to the predecessors and binding the listener for successors.
 #[derive(Default)]
-pub struct HotRestartSetup {
+pub struct ReplicaSetup {
     /// True if at least one predecessor has sent its snapshot.
     pub has_predecessor: bool,
     /// Listener for successors; `None` if there is no shared folder, or no socket can be bound in it.
@@ -23,10 +23,8 @@
 }
 
 /// Connects to the predecessors, takes over their state, and binds the listener for successors.
-pub async fn connect_to_predecessors(table: &Rc<ReplicaTable>, handler: &SharedHandler) -> HotRestartSetup {
-    let Some(folder) = SharedFolder::from_env(table.gateway_name()) else {
-        return HotRestartSetup::default();
-    };
+pub async fn connect_to_predecessors(table: &Rc<ReplicaTable>, handler: &SharedHandler) -> ReplicaSetup {
+    let Some(folder) = SharedFolder::from_env(table.gateway_name()) else { return ReplicaSetup::default() };
     let mut has_predecessor = false;
     for path in folder.socket_paths().iter().take(MAX_PEERS) {
         match connect(table, handler, path).await {
@@ -45,7 +43,7 @@
             None
         }
     };
-    HotRestartSetup { has_predecessor, successor_listener }
+    ReplicaSetup { has_predecessor, successor_listener }
 }
 
 /// Performs the handshake with the process that listens at `path`, and adds the process as a peer.
