--- a/src/policy/admission/leasing.rs
+++ b/src/policy/admission/leasing.rs
@@ -141,6 +141,8 @@
         customer.quota.pending.take().map(|pending| pending.waiting).unwrap_or_default()
     }
 
+    /// Applies a lease reply to the quota, then corrects the count or reads that of the previous window if the
+    /// quota requires it.
     fn settle_lease(
         &mut self,
         call: &CounterCall,
@@ -163,6 +165,8 @@
         }
     }
 
+    /// Applies the count of the previous window to the quota and corrects the current count. Ignores a window
+    /// that is no longer the previous one, and a count that was zero before the call.
     fn settle_previous(
         &mut self,
         call: &CounterCall,
