--- a/src/policy/admission/leasing.rs
+++ b/src/policy/admission/leasing.rs
@@ -141,8 +141,8 @@
         customer.quota.pending.take().map(|pending| pending.waiting).unwrap_or_default()
     }
 
-    /// Applies a lease reply to the quota, then corrects the count or reads that of the previous window if the
-    /// quota requires it.
+    /// Applies a lease reply to the quota, then corrects the count or reads that of the previous window if
+    /// the quota requires it.
     fn settle_lease(
         &mut self,
         call: &CounterCall,
