--- a/lab/src/fleet/simulation/discovery_service.rs
+++ b/lab/src/fleet/simulation/discovery_service.rs
@@ -1,6 +1,6 @@
 //! Distribution of the endpoint list to the gateways by polls and watches, with propagation delays.
 
-use super::context::Context;
+use super::context::RunContext;
 use super::event::ScheduledEvent;
 use crate::fleet::discovery::{Discovery, PollResult, SharedList};
 use crate::fleet::gateways::GatewayAddress;
@@ -31,7 +31,7 @@
 
 impl DiscoveryService {
     /// Returns a service that lists these endpoints and that no gateway watches yet.
-    pub fn new(context: &Context, seed: u64, endpoints: Vec<Endpoint>) -> Self {
+    pub fn new(context: &RunContext, seed: u64, endpoints: Vec<Endpoint>) -> Self {
         let discovery = &context.configuration.discovery;
         let mut delay_generator = stream(seed, Stream::Discovery);
         let watch = |_| Watch {
@@ -45,7 +45,7 @@
 
     /// Handles the start of a gateway. The gateway gets the list that last reached its machine, which may be stale.
     /// Unless lists have to be polled for, it also gets the current one.
-    pub fn gateway_started(&mut self, context: &mut Context, gateway: GatewayAddress) {
+    pub fn gateway_started(&mut self, context: &mut RunContext, gateway: GatewayAddress) {
         let now = context.now();
         let watch = &mut self.watches[gateway.gateway];
         watch.last_response_at = now;
@@ -61,13 +61,13 @@
     }
 
     /// Ends the watch of a gateway whose incarnation has ended.
-    pub fn gateway_stopped(&mut self, context: &mut Context, gateway: usize) {
+    pub fn gateway_stopped(&mut self, context: &mut RunContext, gateway: usize) {
         self.count_idle_watches(context, gateway);
         self.watches[gateway].watcher = None;
     }
 
     /// Sends the current complete list to a gateway.
-    fn send_complete_list(&mut self, context: &mut Context, to: GatewayAddress, delay: Seconds) {
+    fn send_complete_list(&mut self, context: &mut RunContext, to: GatewayAddress, delay: Seconds) {
         let list = self.discovery.list_at(context.now());
         context.measures.fleet.complete_lists_sent += 1;
         let event = ScheduledEvent::EndpointListArrived { to, kind: ListKind::Full, list };
@@ -75,7 +75,7 @@
     }
 
     /// Sends a gateway's poll for the endpoint list. In push mode, the list is sent without queueing.
-    pub fn poll(&mut self, context: &mut Context, from: GatewayAddress) {
+    pub fn poll(&mut self, context: &mut RunContext, from: GatewayAddress) {
         count_message(context, from.gateway, wire_size::list_request());
         if context.discovery_is_polled() {
             context.schedule_after(poll_delay(context), ScheduledEvent::PollArrived(from));
@@ -86,20 +86,23 @@
     }
 
     /// Handles the arrival of a poll at the service, where it is queued.
-    pub fn poll_arrived(&mut self, context: &mut Context, from: GatewayAddress) {
+    pub fn poll_arrived(&mut self, context: &mut RunContext, from: GatewayAddress) {
         match self.discovery.poll(context.now()) {
             PollResult::Answered(answered_at) => {
-                context.schedule_at(answered_at, ScheduledEvent::PollCompleted { to: from, succeeded: true });
+                context
+                    .schedule_at(answered_at, ScheduledEvent::PollCompleted { to: from, is_answered: true });
             }
             PollResult::TimedOut(timed_out_at) => {
-                context
-                    .schedule_at(timed_out_at, ScheduledEvent::PollCompleted { to: from, succeeded: false });
+                context.schedule_at(
+                    timed_out_at,
+                    ScheduledEvent::PollCompleted { to: from, is_answered: false },
+                );
             }
         }
     }
 
     /// Answers the poll of a running gateway with the complete list. The gateway watches for changes from then on.
-    pub fn poll_succeeded(&mut self, context: &mut Context, to: GatewayAddress) {
+    pub fn poll_succeeded(&mut self, context: &mut RunContext, to: GatewayAddress) {
         let watch = &mut self.watches[to.gateway];
         watch.watcher = Some(to);
         watch.last_response_at = context.now();
@@ -109,7 +112,7 @@
     /// Handles the arrival of a list at a running gateway and returns the notification for its policy.
     pub fn list_arrived(
         &mut self,
-        context: &mut Context,
+        context: &mut RunContext,
         to: GatewayAddress,
         kind: ListKind,
         list: &SharedList,
@@ -118,14 +121,18 @@
         if kind != ListKind::Stale {
             self.count_idle_watches(context, to.gateway);
             count_message(context, to.gateway, list.bytes);
-            let hold = context.configuration.discovery.watch_hold;
-            count_message(context, to.gateway, wire_size::watch_request(self.discovery.version(), hold));
+            let watch_hold = context.configuration.discovery.watch_hold;
+            count_message(
+                context,
+                to.gateway,
+                wire_size::watch_request(self.discovery.version(), watch_hold),
+            );
         }
         Event::EndpointsUpdated { kind, endpoints: list.endpoints.clone() }
     }
 
     /// Publishes the change of a list entry to all watching gateways.
-    pub fn publish(&mut self, context: &mut Context, change: Endpoint) {
+    pub fn publish(&mut self, context: &mut RunContext, change: Endpoint) {
         let list = self.discovery.record_change(context.now(), change);
         context.measures.fleet.list_changes += 1;
         for watch in &self.watches {
@@ -140,25 +147,25 @@
     /// Counts the messages of a gateway's watches that have ended without a change since its last response.
     ///
     /// Idle watches are counted afterwards and not simulated one by one, because they affect nothing but the traffic.
-    fn count_idle_watches(&mut self, context: &mut Context, gateway: usize) {
+    fn count_idle_watches(&mut self, context: &mut RunContext, gateway: usize) {
         let now = context.now();
-        let hold = context.configuration.discovery.watch_hold;
+        let watch_hold = context.configuration.discovery.watch_hold;
         let watch = &mut self.watches[gateway];
-        let idle = now - watch.last_response_at;
+        let idle_time = now - watch.last_response_at;
         watch.last_response_at = now;
         if watch.watcher.is_none() {
             return;
         }
-        let request_bytes = wire_size::watch_request(self.discovery.version(), hold);
+        let request_bytes = wire_size::watch_request(self.discovery.version(), watch_hold);
         let response_bytes = wire_size::list_response(&[], false);
-        for _ in 0..(idle / hold) as u64 {
+        for _ in 0..(idle_time / watch_hold) as u64 {
             count_message(context, gateway, request_bytes);
             count_message(context, gateway, response_bytes);
         }
     }
 
     /// Counts the idle watches of all gateways at the end of a run.
-    pub fn count_all_idle_watches(&mut self, context: &mut Context) {
+    pub fn count_all_idle_watches(&mut self, context: &mut RunContext) {
         for gateway in 0..self.watches.len() {
             self.count_idle_watches(context, gateway);
         }
@@ -166,12 +173,12 @@
 }
 
 /// Returns the network delay between a gateway and the service that it polls.
-fn poll_delay(context: &Context) -> Seconds {
+fn poll_delay(context: &RunContext) -> Seconds {
     context.configuration.topology.delay_in_region
 }
 
 /// Counts a message between a gateway and discovery.
-fn count_message(context: &mut Context, gateway: usize, bytes: u64) {
+fn count_message(context: &mut RunContext, gateway: usize, bytes: u64) {
     context.measures.traffic.gateways[gateway].count(bytes);
     context.measures.traffic.discovery.count(bytes);
 }
--- a/lab/src/fleet/simulation/mod.rs
+++ b/lab/src/fleet/simulation/mod.rs
@@ -19,7 +19,7 @@
 use super::tenants::Tenant;
 use super::wire_size;
 use clients::{ClientModel, count_outcome, record_served};
-use context::Context;
+use context::RunContext;
 use counter_service::CounterService;
 use discovery_service::DiscoveryService;
 use endpoint_fleet::EndpointFleet;
@@ -35,7 +35,7 @@
 /// Simulated fleet with the models of its clients and services.
 #[derive(Debug)]
 pub struct Simulation {
-    context: Context,
+    context: RunContext,
     clients: ClientModel,
     gateways: GatewayFleet,
     endpoints: EndpointFleet,
@@ -71,7 +71,7 @@
     /// # Errors
     /// The policy rejects its settings.
     pub fn new(configuration: Configuration, seed: u64) -> Result<Self, SettingsError> {
-        let context = Context::new(configuration);
+        let context = RunContext::new(configuration);
         let endpoints = EndpointFleet::new(&context.configuration);
         let mut simulation = Self {
             clients: ClientModel::new(&context, seed),
@@ -157,7 +157,7 @@
             }
             ScheduledEvent::PolicyTimer { to, token } => self.notify(to, Event::Timer { token }),
             ScheduledEvent::PollArrived(from) => self.discovery.poll_arrived(&mut self.context, from),
-            ScheduledEvent::PollCompleted { to, succeeded } => self.poll_completed(to, succeeded),
+            ScheduledEvent::PollCompleted { to, is_answered } => self.poll_completed(to, is_answered),
             ScheduledEvent::EndpointListArrived { to, kind, list } => {
                 if self.gateways.is_running(to) {
                     let event = self.discovery.list_arrived(&mut self.context, to, kind, &list);
@@ -304,11 +304,11 @@
         }
     }
 
-    fn poll_completed(&mut self, to: GatewayAddress, succeeded: bool) {
+    fn poll_completed(&mut self, to: GatewayAddress, is_answered: bool) {
         if !self.gateways.is_running(to) {
             return;
         }
-        if succeeded {
+        if is_answered {
             self.discovery.poll_succeeded(&mut self.context, to);
         } else {
             self.context.measures.fleet.polls_failed += 1;
--- a/lab/src/process/compare.rs
+++ b/lab/src/process/compare.rs
@@ -4,7 +4,7 @@
 use super::{
     Error,
     bounds::BOUND_MEMORY_MB,
-    program_row::{MICROSECONDS_PER_SECOND, Row, TestBed},
+    program_row::{MICROSECONDS_PER_SECOND, ProgramRow, TestBed},
     report::{Axis, BASE_SIZE, RowKey},
     stand_in_discovery::ListFormat,
 };
@@ -37,7 +37,7 @@
     #[arg(long = "workers", value_name = "WORKERS", default_value_t = BASE_SIZE)]
     endpoints: usize,
     /// Number of gateways in the programs' settings. Low, because each gateway then has many endpoints in its subset,
-    /// and seldom waits for a connection to become idle.
+    /// and seldom has to wait until a connection may be reused.
     #[arg(long, default_value_t = 4)]
     gateways: u32,
     /// Fails if the median ratio is above this bound.
@@ -47,7 +47,7 @@
 
 /// One of the two builds with its running process.
 struct Candidate<'a> {
-    row: Row<'a>,
+    row: ProgramRow<'a>,
     test_bed: TestBed,
     sent: u64,
 }
@@ -59,7 +59,7 @@
         }
         let row_key =
             RowKey { axis: Axis::Endpoints, gateways: arguments.gateways, size: arguments.endpoints };
-        let row = Row {
+        let row = ProgramRow {
             program,
             row_key,
             requests: arguments.requests,
@@ -78,12 +78,12 @@
     fn measure_batch(&mut self, requests: u64) -> Result<f64, Error> {
         let before = self.test_bed.child.processor_time()?;
         let result = self.row.load(requests, self.sent).run(self.test_bed.child.address)?;
-        let elapsed = self.test_bed.child.processor_time()? - before;
+        let processor_time = self.test_bed.child.processor_time()? - before;
         self.sent += result.sent;
         if result.served < result.sent {
             return Err(Error::TooFewServed { served: result.served, sent: result.sent });
         }
-        Ok(elapsed.as_secs_f64() * MICROSECONDS_PER_SECOND / result.sent as f64)
+        Ok(processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / result.sent as f64)
     }
 }
 
--- a/lab/src/process/program_row.rs
+++ b/lab/src/process/program_row.rs
@@ -31,7 +31,7 @@
 /// Lowest accepted number of counter calls per request. With fewer, a row of tenants does not show the cost of a lease.
 const MIN_CALLS_PER_REQUEST: f64 = 0.01;
 /// Number of connections for the first request of each tenant. High, so that the load finishes before the program
-/// forgets its first tenants, which it does after 26 s without a request.
+/// evicts its first tenants, which it does after 26 s without a request.
 const TENANT_CONNECTIONS: u64 = 32;
 /// Lowest accepted share of requests that are served.
 const MIN_SERVED_SHARE: f64 = 0.9;
@@ -44,7 +44,7 @@
 
 /// Program, load and limits of a row.
 #[derive(Debug)]
-pub struct Row<'a> {
+pub struct ProgramRow<'a> {
     /// Path of the built program.
     pub program: &'a Path,
     /// Key of the row in the report.
@@ -59,7 +59,7 @@
     pub memory_mb: usize,
 }
 
-impl Row<'_> {
+impl ProgramRow<'_> {
     fn endpoints(&self) -> usize {
         match self.row_key.axis {
             Axis::Endpoints => self.row_key.size,
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// A stand-in or the program does not start, or the program does not watch discovery in time.
-    pub fn start(row: &Row<'_>) -> Result<Self, Error> {
+    pub fn start(row: &ProgramRow<'_>) -> Result<Self, Error> {
         let endpoints = StandInEndpoints::start()?;
         let entry = |number| ListEntry::new(number, endpoints.address(number), EntryState::Serving);
         let entries: Vec<ListEntry> = (0..row.endpoints()).map(entry).collect();
@@ -143,7 +143,7 @@
         let mut write_started = None;
         loop {
             match (self.next_event("a watch")?, write_started) {
-                (DiscoveryEvent::Response { version: sent, at }, _) if sent >= version => {
+                (DiscoveryEvent::Response { version: sent_version, at }, _) if sent_version >= version => {
                     write_started = Some(at);
                 }
                 (DiscoveryEvent::Call { from, at }, Some(started)) => {
@@ -167,7 +167,7 @@
 
 /// Row that is being measured.
 struct RowBenchmark<'a> {
-    row: &'a Row<'a>,
+    row: &'a ProgramRow<'a>,
     report: &'a mut Report,
     test_bed: TestBed,
     /// Number of requests sent so far.
@@ -178,7 +178,7 @@
 ///
 /// # Errors
 /// A measurement could not be made. The values of earlier measurements stay in the report.
-pub fn measure(row: &Row<'_>, report: &mut Report) -> Result<(), Error> {
+pub fn measure(row: &ProgramRow<'_>, report: &mut Report) -> Result<(), Error> {
     let test_bed = TestBed::start(row)?;
     let mut benchmark = RowBenchmark { row, report, test_bed, sent: 0 };
     match row.row_key.axis {
@@ -306,17 +306,18 @@
     fn measure_changes(&mut self) -> Result<(), Error> {
         let changes = self.row.changes;
         let endpoints = self.test_bed.entries.len();
-        let mut elapsed = Vec::with_capacity(changes);
+        let mut elapsed_micros = Vec::with_capacity(changes);
         let before = self.test_bed.child.processor_time()?;
         for change in 0..changes {
             let number = change / 2 * endpoints / changes.div_ceil(2);
             let state = if change % 2 == 0 { EntryState::Draining } else { EntryState::Serving };
             let version = self.test_bed.discovery.change(number, state);
-            elapsed.push(self.test_bed.wait_until_applied(version)?.as_secs_f64() * MICROSECONDS_PER_SECOND);
+            elapsed_micros
+                .push(self.test_bed.wait_until_applied(version)?.as_secs_f64() * MICROSECONDS_PER_SECOND);
         }
         let processor_time = self.test_bed.child.processor_time()? - before;
-        elapsed.sort_by(f64::total_cmp);
-        self.record(Metric::ChangeElapsedMicros, elapsed[changes / 2]);
+        elapsed_micros.sort_by(f64::total_cmp);
+        self.record(Metric::ChangeElapsedMicros, elapsed_micros[changes / 2]);
         self.record(
             Metric::ChangeProcessorMicros,
             processor_time.as_secs_f64() * MICROSECONDS_PER_SECOND / changes as f64,
--- a/tests/common/simulation.rs
+++ b/tests/common/simulation.rs
@@ -50,24 +50,24 @@
 
     /// Processes a call made at `now`. Returns the time at which it ends, and the event that reports its result.
     fn call(&mut self, now: Time, counter: u64, amount: f64) -> (Time, Event) {
-        let ended = |status, total, elapsed| {
+        let result = |status, total, elapsed| {
             (now + elapsed, Event::CounterReplied { counter, status, total, elapsed })
         };
         if now < self.silent_until {
-            return ended(Status::Timeout, 0.0, self.call_timeout);
+            return result(Status::Timeout, 0.0, self.call_timeout);
         }
         let queue_time = (self.idle_at - now).max(0.0);
         if queue_time > self.max_queue_time {
-            return ended(Status::Rejected, 0.0, self.round_trip);
+            return result(Status::Rejected, 0.0, self.round_trip);
         }
         self.idle_at = now.max(self.idle_at) + 1.0 / self.calls_per_second;
         let total = self.totals.entry(counter).or_default();
         *total += amount;
         let elapsed = queue_time + self.round_trip;
         if elapsed <= self.call_timeout {
-            ended(Status::Ok, *total, elapsed)
+            result(Status::Ok, *total, elapsed)
         } else {
-            ended(Status::Timeout, 0.0, self.call_timeout)
+            result(Status::Timeout, 0.0, self.call_timeout)
         }
     }
 }
@@ -107,7 +107,9 @@
     /// Delivers all events that are due by `now`. Returns the requests that get their first attempt.
     pub fn advance(&mut self, now: Time) -> Vec<RequestId> {
         let mut first_attempts = Vec::new();
-        while let Some(entry) = self.pending.first_entry().filter(|e| f64::from_bits(e.key().0) <= now) {
+        while let Some(entry) =
+            self.pending.first_entry().filter(|entry| f64::from_bits(entry.key().0) <= now)
+        {
             let (gateway, event) = entry.remove();
             first_attempts.extend(self.handle(gateway, now, event));
         }
@@ -122,7 +124,7 @@
         harness.actions.clear();
         let mut first_attempts = Vec::new();
         for action in actions {
-            let (at, event) = match action {
+            let (due_at, event) = match action {
                 Action::StartAttempt { request_id, endpoint, .. } => {
                     if self.sent_requests.insert(request_id.clone()) {
                         first_attempts.push(request_id.clone());
@@ -134,7 +136,7 @@
                 _ => continue,
             };
             self.scheduled_count += 1;
-            self.pending.insert((at.to_bits(), self.scheduled_count), (gateway, event));
+            self.pending.insert((due_at.to_bits(), self.scheduled_count), (gateway, event));
         }
         first_attempts
     }
--- a/tests/fleet_ceilings.rs
+++ b/tests/fleet_ceilings.rs
@@ -22,7 +22,7 @@
 /// Most units of one request.
 const MAX_REQUEST_UNITS: u32 = 4;
 /// Allowed excess as a share of the ceiling's burst. At least [`MAX_REQUEST_UNITS`] are allowed.
-const ALLOWED_EXCESS: f64 = 0.1;
+const ALLOWED_EXCESS_SHARE: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum CounterFault {
@@ -76,7 +76,7 @@
     settings.has_counter = has_counter;
     settings.max_units = f64::from(MAX_REQUEST_UNITS);
     settings.counter_timeout = 0.15;
-    // Operators configure no lower ceiling than 1.6 times the quota.
+    // The lowest ceiling that operators configure: 1.6 times the quota.
     settings.plans = vec![PlanBuilder::new(7.0, 40.0).ceiling(11.2, 64.0).build()];
     settings
 }
@@ -158,9 +158,9 @@
                     continue;
                 }
                 request_number += 1;
-                let at_first_gateway =
+                let is_at_first_gateway =
                     matches!(customer.pattern, ArrivalPattern::Skewed) && random.u32(0..3) > 0;
-                let position = if at_first_gateway { 0 } else { random.u32(0..customer.gateway_count) };
+                let position = if is_at_first_gateway { 0 } else { random.u32(0..customer.gateway_count) };
                 let request = Request {
                     units,
                     customer_gateway_count: customer.gateway_count,
@@ -192,7 +192,7 @@
 fn assert_ceilings_hold(fleet_size: u32, has_counter: bool) {
     let settings = ceiling_settings(fleet_size, has_counter);
     let plan = &settings.plans[0];
-    let allowed_excess = (ALLOWED_EXCESS * plan.ceiling_burst).max(f64::from(MAX_REQUEST_UNITS));
+    let allowed_excess = (ALLOWED_EXCESS_SHARE * plan.ceiling_burst).max(f64::from(MAX_REQUEST_UNITS));
     let faults: &[CounterFault] = if has_counter {
         &[CounterFault::None, CounterFault::Silent, CounterFault::CountsLost]
     } else {
@@ -202,7 +202,7 @@
         for restarted_share in [0.0, 0.7, 1.0] {
             for customer in simulate_fleet(fleet_size, &settings, *fault, restarted_share) {
                 let context = format!(
-                    "{fleet_size} gateways, counter: {has_counter}, fault: {fault:?}, restarted share: {restarted_share}, {:?} at {}",
+                    "{fleet_size} gateways, counter: {has_counter}, fault: {fault:?}, restarted share: {restarted_share}, {:?} load at {} gateways",
                     customer.pattern, customer.gateway_count
                 );
                 assert!(
--- a/tests/fleet_discovery.rs
+++ b/tests/fleet_discovery.rs
@@ -29,7 +29,7 @@
     let mut gateways = fleet(gateway_count, &settings, &running_endpoints(9));
     let mut timers: Vec<(f64, usize, u64)> = Vec::new();
     let mut queue: VecDeque<(f64, usize)> = VecDeque::new();
-    let mut idle_at: f64 = 100.0;
+    let mut discovery_idle_at: f64 = 100.0;
     let mut calls = 0;
     let mut gateways_with_list = BTreeSet::new();
     let scheduled_timers = |index: usize, actions: Vec<Action>| {
@@ -47,7 +47,7 @@
     }
     for step in 0..6000 {
         let now = 100.0 + f64::from(step) * 0.01;
-        let (due, later) = timers.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= now);
+        let (due, later) = timers.into_iter().partition::<Vec<_>, _>(|(due_at, ..)| *due_at <= now);
         timers = later;
         for (_, index, token) in due {
             gateways[index].now = now;
@@ -60,9 +60,9 @@
             calls += 1;
             if queue.len() < MAX_QUEUE_LENGTH { queue.push_back((now, index)) } else { failed.push(index) }
         }
-        while let Some((called_at, index)) = queue.front().copied().filter(|_| idle_at <= now) {
+        while let Some((called_at, index)) = queue.front().copied().filter(|_| discovery_idle_at <= now) {
             queue.pop_front();
-            idle_at = now.max(idle_at) + 1.0 / CALLS_PER_SECOND;
+            discovery_idle_at = now.max(discovery_idle_at) + 1.0 / CALLS_PER_SECOND;
             if now - called_at > CALL_TIMEOUT {
                 failed.push(index);
                 continue;
@@ -112,8 +112,8 @@
         });
         let mut timers: Vec<_> = timers.collect();
         timers.sort_by(|first, second| first.0.total_cmp(&second.0));
-        for (at, token) in timers {
-            harness.now = harness.now.max(at);
+        for (due_at, token) in timers {
+            harness.now = harness.now.max(due_at);
             if harness.handle(Event::Timer { token }).contains(&Action::PollEndpoints) {
                 calls += 1;
                 harness.handle(Event::EndpointsUpdated { kind: ListKind::Failed, endpoints: Vec::new() });
@@ -146,13 +146,13 @@
                     .drain(..)
                     .filter_map(|action| scheduled_timer(&action))
                     .min_by(|first, second| first.1.total_cmp(&second.1));
-                let (token, at) = earliest.expect("a timer for the next poll");
+                let (token, due_at) = earliest.expect("a timer for the next poll");
                 assert!(
-                    at - harness.now < max_interval,
+                    due_at - harness.now < max_interval,
                     "{gateway_count} gateways: next poll after {} s",
-                    at - harness.now
+                    due_at - harness.now
                 );
-                harness.now = at;
+                harness.now = due_at;
                 assert!(harness.handle(Event::Timer { token }).contains(&Action::PollEndpoints));
                 harness.update_endpoints(ListKind::Failed, Vec::new());
             }
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -25,15 +25,15 @@
     let (builder, _discovery) = NodeBuilder::with_operator_address(&[&endpoint]);
     let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let start = || builder.start_with(&LaunchOptions { listener: Some(&socket), ..LaunchOptions::default() });
-    let mut first = start();
-    assert_eq!(Some(first.addr), socket.local_addr().ok());
-    assert_eq!(first.send_request(&TestRequest::new("a")).status(), 200);
-    first.terminate();
-    assert!(first.wait_for_exit().success());
+    let mut first_process = start();
+    assert_eq!(Some(first_process.addr), socket.local_addr().ok());
+    assert_eq!(first_process.send_request(&TestRequest::new("a")).status(), 200);
+    first_process.terminate();
+    assert!(first_process.wait_for_exit().success());
     // This client connects while no process accepts, and the next process serves it.
-    let mut waiting_client = first.connect();
+    let mut waiting_client = first_process.connect();
     waiting_client.send(&TestRequest::new("b"));
-    let _second = start();
+    let _second_process = start();
     assert_eq!(waiting_client.read_response().map(|response| response.status()), Some(200));
 }
 
@@ -57,11 +57,11 @@
 
 #[test]
 fn maintenance_survives_kill_and_corrupt_file_does_not_crash() {
-    let (one, two) = (
+    let (first_endpoint, second_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("one")),
         FakeEndpoint::start(EndpointBehaviour::Respond("two")),
     );
-    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&first_endpoint, &second_endpoint]);
     let temp_dir = TempDir::new("kept");
     let start =
         || builder.start_with(&LaunchOptions { temp_dir: Some(&temp_dir.path), ..LaunchOptions::default() });
@@ -92,11 +92,11 @@
 
 #[test]
 fn hot_restart_from_renamed_program_keeps_maintenance_and_finds_predecessor() {
-    let (one, two) = (
+    let (first_endpoint, second_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("one")),
         FakeEndpoint::start(EndpointBehaviour::Respond("two")),
     );
-    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&first_endpoint, &second_endpoint]);
     let (socket, temp_dir) =
         (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("renamed"));
     let start = || builder.start_with(&shared_launch_options(&socket, &temp_dir));
@@ -142,7 +142,8 @@
 #[test]
 fn hot_restart_hands_over_10000_endpoints_within_32_mb() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    let closed_addr = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a free port");
+    let closed_addr =
+        TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port");
     let (mut builder, _discovery) = NodeBuilder::with_operator_address(&[]);
     let id = |i: usize| format!("worker-hall-a-{i:05}");
     builder.known_endpoints = (0..9_999).map(|i| endpoint_entry(&id(i), closed_addr, "DRAINING")).collect();
@@ -168,11 +169,11 @@
 
 #[test]
 fn maintenance_call_during_hot_restart_reaches_both_processes_despite_corrupt_file() {
-    let (one, two) = (
+    let (first_endpoint, second_endpoint) = (
         FakeEndpoint::start(EndpointBehaviour::Respond("one")),
         FakeEndpoint::start(EndpointBehaviour::Respond("two")),
     );
-    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&one, &two]);
+    let (builder, _discovery) = NodeBuilder::with_operator_address(&[&first_endpoint, &second_endpoint]);
     let (socket, temp_dir) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("both"));
     // A socket that no process serves any more, and a file that is not a socket.
     drop(UnixListener::bind(temp_dir.path.join("oliverack-n0.1.sock")).expect("a writable folder"));
@@ -186,20 +187,20 @@
             .collect::<Vec<_>>()
     };
     assert!(
-        response_bodies("a").iter().all(|b| b == b"two"),
+        response_bodies("a").iter().all(|body| body == b"two"),
         "the same from whichever process accepts the client"
     );
     assert_eq!(successor.operator_call("PUT /workers/w0/ready").status(), 200);
     predecessor.wait_for_log("taken out of maintenance endpoint=w0");
     assert_eq!(successor.operator_call("PUT /workers/w1/maint").status(), 200);
     std::fs::write(temp_dir.path.join("oliverack-n0.out.json"), "{").expect("a writable folder");
-    let third = builder.start_with(&shared_launch_options(&socket, &temp_dir));
+    let third_process = builder.start_with(&shared_launch_options(&socket, &temp_dir));
     predecessor.wait_for_log("processes=3");
-    assert_eq!(third.operator_call("GET /stats").status(), 200);
+    assert_eq!(third_process.operator_call("GET /stats").status(), 200);
     drop((predecessor, successor));
-    third.wait_for_log("processes=1");
+    third_process.wait_for_log("processes=1");
     for i in 0..20 {
-        let response = third.send_request(&TestRequest::at_most_once(&format!("c{i}")));
+        let response = third_process.send_request(&TestRequest::at_most_once(&format!("c{i}")));
         assert!(
             response.status() == 429 || response.body == b"one",
             "w1 is in maintenance, w0 may be in slow start"
--- a/tests/memory_bounds.rs
+++ b/tests/memory_bounds.rs
@@ -1,4 +1,4 @@
-//! One gateway forgets removed endpoints and idle customers, so that its memory stays bounded.
+//! One gateway drops removed endpoints and evicts idle customers, so that its memory stays bounded.
 
 mod common;
 use common::{
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn removed_endpoints_are_forgotten_after_last_attempt() {
+fn removed_endpoints_are_dropped_after_last_attempt() {
     let mut harness = GatewayHarness::new(settings_without_quota(Effect::Idempotent));
     let before = state_size(&harness);
     let names: Vec<String> = (0..500).map(|i| format!("new-{i}")).collect();
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -100,7 +100,7 @@
     for i in 0..40 {
         client.send(&request_with_long_timeout(&format!("p{i}")).with_header("X-Other", &"x".repeat(10_000)));
     }
-    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    let endpoint = saturated.into_endpoint(EndpointBehaviour::Respond("ok"));
     for i in 0..41 {
         assert_eq!(client.read_response().expect("a complete response").status(), 200, "{i}");
     }
@@ -145,7 +145,7 @@
     upload.body = (0..900_000u32).map(|i| (i % 251) as u8).collect();
     client.send(&upload);
     saturated.wait_for_pending_connections(1);
-    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    let endpoint = saturated.into_endpoint(EndpointBehaviour::Respond("ok"));
     assert_eq!(client.read_response().expect("a complete response").status(), 200);
     assert!(endpoint.next_request().1.body == upload.body, "unchanged");
 }
@@ -166,7 +166,7 @@
         assert!(client.read_response().is_none());
     }
     saturated.wait_for_pending_connections(1);
-    let endpoint = saturated.open(EndpointBehaviour::Respond("ok"));
+    let endpoint = saturated.into_endpoint(EndpointBehaviour::Respond("ok"));
     assert_eq!(held.read_response().expect("a complete response").status(), 200);
     assert_eq!(endpoint.drain_requests().len(), 1);
 }
@@ -180,7 +180,8 @@
     builder.known_endpoints.push(endpoint_entry("w1", saturated.addr, "SERVING"));
     discovery.update_entry(builder.known_endpoints[1].clone());
     let mut builder = with_long_timeouts(builder);
-    // A hedged request is sent after a part of the latency objective, and has a value beyond it.
+    // The hedged request is sent after a part of the latency objective (`Slo`). A response after the objective still
+    // has a value (`LateWorth`).
     builder.settings["Classes"][0]["Slo"] = json!(1.0);
     builder.settings["Classes"][0]["LateWorth"] = json!(0.1);
     let node = builder.start();
@@ -213,7 +214,8 @@
     class["Effect"] = json!("deduplicated");
     class["Group"] = json!("zone");
     class["Window"] = json!(4.0);
-    // A hedged request is sent after a part of the latency objective, and has a value beyond it.
+    // The hedged request is sent after a part of the latency objective (`Slo`). A response after the objective still
+    // has a value (`LateWorth`).
     class["Slo"] = json!(1.0);
     class["LateWorth"] = json!(0.1);
     let node = builder.start();
@@ -242,7 +244,9 @@
     let HedgedRequest { builder, node, mut client, _discovery } = hedged_request;
     let mut opened_endpoint = None;
     node.reload_while(&builder.config().to_string(), || {
-        opened_endpoint = Some(saturated.open_for_pending_connection(EndpointBehaviour::Respond("late")));
+        opened_endpoint =
+            Some(saturated.into_endpoint_for_pending_connection(EndpointBehaviour::Respond("late")));
+        // Until the idempotency window of four seconds has passed.
         std::thread::sleep(Duration::from_secs(5).saturating_sub(sent_at.elapsed()));
     });
     // When the reload ends, the process finds both the open connection and the end of the window.
@@ -273,10 +277,10 @@
             _ => {}
         }
         discovery.wait_until_applied(discovery.update_entry(changed_entry));
-        let saturated = saturated.open(EndpointBehaviour::Respond("late"));
+        let opened_endpoint = saturated.into_endpoint(EndpointBehaviour::Respond("late"));
         let response = client.read_response().expect("a complete response");
         assert_eq!((response.status(), response.body.as_slice()), (200, b"elsewhere".as_slice()), "{change}");
-        assert_eq!(saturated.drain_requests().len(), 0, "{change}");
+        assert_eq!(opened_endpoint.drain_requests().len(), 0, "{change}");
     }
 }
 
@@ -295,7 +299,7 @@
                 let mut responded_at: Option<Instant> = None;
                 while read_message(&mut reader).is_some() {
                     // Measured from before the response, so never shorter than the gateway's wait.
-                    let _ = gap_sender.send(responded_at.map(|at| at.elapsed()));
+                    let _ = gap_sender.send(responded_at.map(|instant| instant.elapsed()));
                     responded_at = Some(Instant::now());
                     let _ = socket.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                 }
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,5 +1,6 @@
-//! Checks of the source text: limits on files and functions, the policy files that `deploy/balancer.toml` lists, the
-//! dependencies between the node's modules, and the file names in the documentation.
+//! Checks of the source text. The operators require limits on the length of files and functions, and dependencies in
+//! one direction between the node's modules. Further tests compare the policy files with those that
+//! `deploy/balancer.toml` lists, and the file names in the documentation with the files that exist.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -65,8 +66,8 @@
     let mut owners: BTreeMap<String, PathBuf> = BTreeMap::new();
     for path in policy_files(root) {
         for name in implemented_types(&fs::read_to_string(&path).expect("readable file")) {
-            let other = owners.insert(name.clone(), path.clone());
-            assert_eq!(other, None, "{name} is implemented in {}, too", path.display());
+            let earlier_path = owners.insert(name.clone(), path.clone());
+            assert_eq!(earlier_path, None, "{name} is implemented in {}, too", path.display());
         }
     }
     assert!(owners.contains_key("Gateway"));
@@ -217,7 +218,7 @@
     {
         remaining.remove(&independent);
         for uses in remaining.values_mut() {
-            uses.retain(|other| *other != independent);
+            uses.retain(|used| *used != independent);
         }
     }
     assert!(remaining.is_empty(), "files with circular dependencies, and files that use them: {remaining:?}");
