--- a/src/node/config/error.rs
+++ b/src/node/config/error.rs
@@ -1,6 +1,5 @@
 //! Errors of the configuration.
 
-use crate::node::config::MAX_LIMIT_SECONDS;
 use std::io;
 use thiserror::Error;
 
@@ -32,9 +31,7 @@
     #[error("the configuration's seed: expected up to 16 hexadecimal digits")]
     InvalidSeed,
     /// The key at this path is not a time in the accepted range.
-    #[error(
-        "the configuration's {0}: expected a time of more than 0 and at most {MAX_LIMIT_SECONDS} seconds"
-    )]
+    #[error("the configuration's {0}: expected a time of more than 0 and at most 3600 seconds")]
     InvalidTime(&'static str),
     /// The limit of file descriptors is too low.
     #[error(
