--- a/tests/endpoint_attempts.rs
+++ b/tests/endpoint_attempts.rs
@@ -1,9 +1,12 @@
 //! Attempts of the built program at failing endpoints: retries, and responses to the client.
 
 mod fakes;
-use fakes::{EndpointBehaviour, EndpointEvent, FakeEndpoint, Gate, NodeBuilder, TestRequest, endpoint_entry};
+use fakes::{
+    EndpointBehaviour, EndpointEvent, FakeEndpoint, Gate, NodeBuilder, ReservedPort, TestRequest,
+    endpoint_entry,
+};
 use serde_json::json;
-use std::{net::TcpListener, sync::Arc};
+use std::sync::Arc;
 
 const REJECTED_RESPONSE: &str = "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
@@ -77,10 +80,8 @@
         FakeEndpoint::start(EndpointBehaviour::Respond("ok")),
     );
     let (mut builder, discovery) = NodeBuilder::new(&[&overloaded, &healthy]);
-    // A port that was free just before and on which nothing listens.
-    let closed_addr =
-        TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port");
-    let unreachable = endpoint_entry("w2", closed_addr, "SERVING");
+    let closed_port = ReservedPort::new();
+    let unreachable = endpoint_entry("w2", closed_port.addr, "SERVING");
     discovery.update_entry(unreachable.clone());
     builder.known_endpoints.push(unreachable);
     let node = builder.start();
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -2,8 +2,8 @@
 
 mod fakes;
 use fakes::{
-    Client, EndpointBehaviour, FakeEndpoint, LaunchOptions, Node, NodeBuilder, TempDir, TestRequest,
-    endpoint_entry,
+    Client, EndpointBehaviour, FakeEndpoint, LaunchOptions, Node, NodeBuilder, ReservedPort, TempDir,
+    TestRequest, endpoint_entry,
 };
 use serde_json::json;
 use std::{
@@ -142,17 +142,17 @@
 #[test]
 fn hot_restart_hands_over_10000_endpoints_within_32_mb() {
     let endpoint = FakeEndpoint::start(EndpointBehaviour::Respond("ok"));
-    let closed_addr =
-        TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port");
+    let closed_port = ReservedPort::new();
     let (mut builder, _discovery) = NodeBuilder::with_operator_address(&[]);
     let id = |i: usize| format!("worker-hall-a-{i:05}");
-    builder.known_endpoints = (0..9_999).map(|i| endpoint_entry(&id(i), closed_addr, "DRAINING")).collect();
+    builder.known_endpoints =
+        (0..9_999).map(|i| endpoint_entry(&id(i), closed_port.addr, "DRAINING")).collect();
     builder.known_endpoints.push(endpoint_entry(&id(9_999), endpoint.addr, "SERVING"));
     for entry in &mut builder.known_endpoints {
         entry["started_ms"] = json!(1_700_000_000_123_u64);
     }
     // Discovery is unreachable, so that only the configured list applies.
-    builder.discovery(closed_addr);
+    builder.discovery(closed_port.addr);
     let (socket, temp_dir) = (TcpListener::bind("127.0.0.1:0").expect("a free port"), TempDir::new("long"));
     let mut config = builder.config();
     config["limits"]["memory_mb"] = json!(32);
